--- /dev/null
+++ b/exchange/signal/golden_test.go
@@ -0,0 +1,159 @@
+package signal
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"reflect"
+	"slices"
+	"strconv"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew, for a new field or type only")
+
+const goldenFile = "testdata/messages.golden"
+
+// fieldsOf lists the numbers of the protobuf fields that each type of message carries, beside the type itself
+// (field 1). It is written in numbers alone, so that renaming a Go identifier can't change it.
+var fieldsOf = map[uint64][]int{
+	1:  {3, 40, 41},
+	2:  {11, 18, 20, 32, 40, 54},
+	3:  {6, 30, 31, 40, 53},
+	5:  {4, 7, 9, 10, 12, 13, 30, 32, 33, 34, 45, 46, 47, 50, 51},
+	6:  {4, 7, 21, 22, 30, 39, 40, 71},
+	7:  {4, 7, 8, 21, 22, 32, 39, 40, 70, 71},
+	8:  {2, 4, 5, 6, 30, 31, 40, 53},
+	9:  {4, 5, 6, 7, 8, 22, 30, 31, 40, 53, 70},
+	10: {4, 40},
+	11: {4, 5, 7, 52},
+	12: {2, 7, 8, 40},
+	13: {2, 4, 7, 9, 40},
+	14: {4, 7, 8, 22},
+	15: {2, 7, 40},
+	16: {2, 7, 8, 9, 40},
+	17: {2, 4, 40},
+	18: {2, 4, 9, 40},
+	19: {2, 4, 7, 12, 14, 17, 18, 40, 46, 47, 60, 61, 62},
+	20: {2, 4, 5, 6, 7, 8, 9, 12, 13, 14, 30, 31, 40, 53, 60},
+	21: {12},
+	22: {2, 4, 15, 40, 42},
+	23: {2, 4, 9, 15, 19, 40},
+	24: {4, 5, 40},
+	25: {4, 6, 7, 9, 40},
+	26: {4, 6, 40},
+	27: {4, 40},
+	28: {2, 7, 40},
+	40: {7, 8, 21, 22, 32, 70},
+	41: {7, 32},
+	42: {6, 30, 31, 53},
+	43: {2, 35, 36, 40},
+	44: {2, 5, 6, 9, 13, 30, 37, 38, 40, 48},
+}
+
+// fill sets the tagged fields of a struct to values that follow from their numbers; only those named, unless
+// the list is nil.
+func fill(v reflect.Value, only []int) {
+	for i := range v.NumField() {
+		number, err := strconv.Atoi(v.Type().Field(i).Tag.Get("pb"))
+		if err != nil || only != nil && !slices.Contains(only, number) {
+			continue
+		}
+		fillValue(v.Field(i), number)
+	}
+}
+
+func fillValue(v reflect.Value, number int) {
+	switch v.Kind() {
+	case reflect.Uint64:
+		v.SetUint(uint64(1000*number + 7))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(float64(number) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("field-%d", number))
+	case reflect.Array:
+		for i := range v.Len() {
+			v.Index(i).SetUint(uint64(number + i))
+		}
+	case reflect.Struct:
+		fill(v, nil)
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), nil)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range 2 {
+			if v.Type().Elem().Kind() == reflect.Uint8 {
+				v.Index(i).SetUint(uint64(number + i))
+			} else {
+				fillValue(v.Index(i), number+i)
+			}
+		}
+	default:
+		panic("no value for a field of kind " + v.Kind().String())
+	}
+}
+
+// golden returns the frame of a message of each type with all fields that the type carries.
+func golden() []byte {
+	var out bytes.Buffer
+	for _, number := range slices.Sorted(func(yield func(uint64) bool) {
+		for n := range fieldsOf {
+			if !yield(n) {
+				return
+			}
+		}
+	}) {
+		m := new(Message)
+		m.Kind = Kind(number)
+		fill(reflect.ValueOf(m).Elem(), fieldsOf[number])
+		fmt.Fprintf(&out, "%d %s\n", number, hex.EncodeToString(Append(nil, m)))
+	}
+	return out.Bytes()
+}
+
+// Given a message of every type with all that it carries, then its bytes are those that earlier versions of
+// the program wrote, and are read back and written equal.
+func TestBytesOfEveryMessageStay(t *testing.T) {
+	if *update {
+		if err := os.WriteFile(goldenFile, golden(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(golden(), want) {
+		t.Error("messages are written with other bytes than before")
+	}
+	types := 0
+	for lines := bufio.NewScanner(bytes.NewReader(want)); lines.Scan(); types++ {
+		var number uint64
+		var text string
+		if _, err := fmt.Sscanf(lines.Text(), "%d %s", &number, &text); err != nil {
+			t.Fatal(err)
+		}
+		frame, err := hex.DecodeString(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var c Cutter
+		c.Feed(frame)
+		m, err := c.Next()
+		if err != nil || m == nil || uint64(m.Kind) != number {
+			t.Fatalf("type %d: %v, %v", number, m, err)
+		}
+		if !bytes.Equal(Append(nil, m), frame) {
+			t.Errorf("type %d: read back, it is written with other bytes", number)
+		}
+	}
+	if types != len(fieldsOf) {
+		t.Errorf("%d types in the file, %d in the table", types, len(fieldsOf))
+	}
+}
