--- a/cmd/tandem/main.go
+++ b/cmd/dunespoke-gateway/main.go
@@ -1,4 +1,4 @@
-// Command tandem is the exchange: one program for all machines of the gateway. It takes clients' requests,
+// Command dunespoke-gateway is the whole gateway: one program for all machines. It takes clients' requests,
 // operators' calls and other machines' lines; on machines with a disk it holds the control state.
 package main
 
@@ -15,9 +15,9 @@
 	"github.com/gravitational/trace"
 	"github.com/jessevdk/go-flags"
 
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/plant"
-	"dunespoke/exchange/settings"
+	"dunespoke/internal/routing"
+	"dunespoke/internal/server"
+	"dunespoke/internal/settings"
 )
 
 type serve struct {
@@ -33,7 +33,7 @@
 	defer stop()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	return plant.Run(ctx, s.Settings, reload, log)
+	return server.Run(ctx, s.Settings, reload, log)
 }
 
 type check struct {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	d, err := directory.Check(text)
+	d, err := routing.Check(text)
 	if err != nil {
 		return trace.Wrap(err, "%s", c.Config)
 	}
@@ -81,13 +81,13 @@
 			}
 		}
 	}
-	fmt.Println("tandem", build)
+	fmt.Println("dunespoke-gateway", build)
 	return nil
 }
 
 // parser knows all commands.
 func parser() *flags.Parser {
-	p := flags.NewNamedParser("tandem", flags.HelpFlag|flags.PassDoubleDash)
+	p := flags.NewNamedParser("dunespoke-gateway", flags.HelpFlag|flags.PassDoubleDash)
 	p.AddCommand("serve", "serve", "Serve clients, operators and other machines.", &serve{})
 	p.AddCommand("check", "check files", "Check settings and configurations, and name what is wrong.", &check{})
 	p.AddCommand("view", "see the exchange", "Tell how a machine sees the exchange.", &view{})
@@ -126,7 +126,7 @@
 			fmt.Println(f.Message)
 			return
 		}
-		fmt.Fprintln(os.Stderr, "tandem:", trace.UserMessage(err))
+		fmt.Fprintln(os.Stderr, "dunespoke-gateway:", trace.UserMessage(err))
 		os.Exit(1)
 	}
 }
--- a/cmd/tandem/main_test.go
+++ b/cmd/dunespoke-gateway/main_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	deps := string(out)
-	if !strings.Contains(deps, "dunespoke/exchange/frame") {
+	if !strings.Contains(deps, "dunespoke/internal/controlplane/replica") {
 		t.Fatal("the list of what is linked is not whole")
 	}
 	for _, bad := range []string{"go.etcd.io/raft", "hashicorp/memberlist", "dunespoke/fleet"} {
@@ -46,7 +46,7 @@
 		{[]string{"store", "check"}, "DIR"},
 		{[]string{"store", "found", "--from", dir + "/no", "--core", "z=a", dir}, "no such file"},
 		{[]string{"config", "put", "--at", "127.0.0.1:1", dir + "/none.json"}, "no such file"},
-		{[]string{"config", "diff", "--at", "127.0.0.1:1", "../../example/exchange/config.json"},
+		{[]string{"config", "diff", "--at", "127.0.0.1:1", "../../example/cluster/config.json"},
 			"does not answer"},
 		{[]string{"view", "--at", "127.0.0.1:1"}, "does not answer"},
 		{[]string{"view"}, "at"},
--- a/cmd/tandem/members.go
+++ b/cmd/dunespoke-gateway/members.go
@@ -8,14 +8,14 @@
 
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/desk"
+	"dunespoke/internal/controlplane/api"
 )
 
 type coreShow struct{ asked }
 
 // Execute tells the members of the core, and the machines that could become some.
 func (c *coreShow) Execute([]string) error {
-	var m desk.Members
+	var m api.Members
 	if done, err := c.ask("core.show", &m); done {
 		return err
 	}
@@ -30,7 +30,7 @@
 	}
 }
 
-func printMembers(m desk.Members) error {
+func printMembers(m api.Members) error {
 	printSpare(m.Generation, m.Spare, m.Lacks)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	row(w, "address", "zone", "store", "part")
@@ -48,7 +48,7 @@
 }
 
 // change orders a change of members, and prints them as they are then.
-func (a at) change(c desk.Change) error {
+func (a at) change(c api.Change) error {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return trace.Wrap(err)
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	var m desk.Members
+	var m api.Members
 	if err := json.Unmarshal(text, &m); err != nil {
 		return trace.BadParameter("%s does not answer as this program does: %v", a.At, err)
 	}
@@ -72,7 +72,7 @@
 }
 
 // Execute makes a machine a member.
-func (c *coreAdd) Execute([]string) error { return c.change(desk.Change{Add: c.Args.New}) }
+func (c *coreAdd) Execute([]string) error { return c.change(api.Change{Add: c.Args.New}) }
 
 type coreRemove struct {
 	at
@@ -82,7 +82,7 @@
 }
 
 // Execute removes a member for good.
-func (c *coreRemove) Execute([]string) error { return c.change(desk.Change{Remove: c.Args.Old}) }
+func (c *coreRemove) Execute([]string) error { return c.change(api.Change{Remove: c.Args.Old}) }
 
 type coreReplace struct {
 	at
@@ -94,5 +94,5 @@
 
 // Execute puts a machine in the place of a member.
 func (c *coreReplace) Execute([]string) error {
-	return c.change(desk.Change{Add: c.Args.New, Remove: c.Args.Old})
+	return c.change(api.Change{Add: c.Args.New, Remove: c.Args.Old})
 }
--- a/cmd/tandem/staff.go
+++ b/cmd/dunespoke-gateway/staff.go
@@ -15,17 +15,17 @@
 
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/desk"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/vault"
+	"dunespoke/internal/controlplane/api"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/storage"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/routing"
 )
 
 // callLimit is for a call with its answer; longest is the most that is read of that.
 const (
 	callLimit = 5 * time.Second
-	longest   = signal.MaxFrame
+	longest   = message.MaxFrame
 )
 
 // at is the machine that is called.
@@ -84,7 +84,7 @@
 
 // Execute tells how a machine sees the exchange.
 func (c *view) Execute([]string) error {
-	var v desk.View
+	var v api.View
 	if done, err := c.ask("exchange.view", &v); done {
 		return err
 	}
@@ -110,11 +110,11 @@
 
 // Execute tells which requests of a machine ran late or were given up, and where their time went.
 func (c *late) Execute([]string) error {
-	var l desk.LateList
+	var l api.LateList
 	if done, err := c.ask("exchange.late", &l); done {
 		return err
 	}
-	l.Calls = slices.DeleteFunc(l.Calls, func(x observing.Call) bool {
+	l.Calls = slices.DeleteFunc(l.Calls, func(x slowlog.Call) bool {
 		return c.Route != "" && x.Route != c.Route
 	})
 	fmt.Printf("node %s: %d since its start, the last %d of them:\n", l.Node, l.Total, len(l.Calls))
@@ -129,7 +129,7 @@
 		return trace.Wrap(w.Flush())
 	}
 	row(w, "n", "route", "tenant", "service", "end", "worst", "mostly")
-	for _, s := range observing.Sums(l.Calls) {
+	for _, s := range slowlog.Sums(l.Calls) {
 		row(w, s.N, s.Route, s.Tenant, s.Service, s.End, ms(s.Worst), s.Longest)
 	}
 	return trace.Wrap(w.Flush())
@@ -166,12 +166,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (f file) read() ([]byte, *directory.Directory, error) {
+func (f file) read() ([]byte, *routing.Directory, error) {
 	text, err := os.ReadFile(f.Args.File)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
 	}
-	d, err := directory.Check(text)
+	d, err := routing.Check(text)
 	return text, d, trace.Wrap(err, "%s", f.Args.File)
 }
 
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	old, err := directory.Read(text)
+	old, err := routing.Read(text)
 	if err != nil {
 		return trace.Wrap(err, "the newest configuration")
 	}
@@ -216,7 +216,7 @@
 		fmt.Printf("r%d is not above r%d: it would be acknowledged, and change nothing\n", fresh.Version,
 			old.Version)
 	}
-	for _, line := range directory.Diff(old, fresh) {
+	for _, line := range routing.Diff(old, fresh) {
 		fmt.Println(line)
 	}
 	return nil
@@ -233,13 +233,13 @@
 
 // Execute looks at a stopped machine's store, and checks what is in it.
 func (c *storeCheck) Execute([]string) error {
-	s, err := vault.Look(c.Args.Dir)
+	s, err := storage.Look(c.Args.Dir)
 	if err != nil {
 		return err
 	}
 	config := "no configuration yet"
 	if s.Version > 0 {
-		d, err := directory.Read([]byte(s.Config))
+		d, err := routing.Read([]byte(s.Config))
 		if err != nil {
 			return trace.Wrap(err, "the configuration in the store")
 		}
@@ -257,7 +257,7 @@
 
 // Execute prints a stopped machine's store as a document. It holds tenants' keys.
 func (c *storeExport) Execute([]string) error {
-	s, err := vault.Look(c.Args.Dir)
+	s, err := storage.Look(c.Args.Dir)
 	if err != nil {
 		return err
 	}
@@ -282,19 +282,19 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	s, err := vault.DecodeSnapshot(text)
+	s, err := storage.DecodeSnapshot(text)
 	if err != nil {
 		return trace.Wrap(err, "%s", c.From)
 	}
-	var core []signal.Machine
+	var core []message.Machine
 	for _, text := range c.Core {
 		zone, addr, ok := strings.Cut(text, "=")
 		if !ok || zone == "" || addr == "" {
 			return trace.BadParameter("--core %s: want ZONE=ADDRESS", text)
 		}
-		core = append(core, signal.Machine{Addr: addr, Zone: zone})
+		core = append(core, message.Machine{Addr: addr, Zone: zone})
 	}
-	if err := vault.Found(c.Args.Dir, s, core); err != nil {
+	if err := storage.Found(c.Args.Dir, s, core); err != nil {
 		return err
 	}
 	fmt.Printf("r%d in a core of %d machines; do the same on all of them before any is started\n", s.Version,
--- a/cmd/dunelab/exchange.go
+++ b/cmd/dunespoke-lab/cluster.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"dunespoke/exchange/rehearsal"
+	"dunespoke/internal/controlplane/simulation"
 )
 
 type exchangeCommand struct {
@@ -22,38 +22,38 @@
 
 // exchangeCases are what can happen to an exchange, to its chain's head, middle or tail where one is named. A
 // machine that can't hear of the change meanwhile is returned.
-var exchangeCases = map[string]func(x *rehearsal.Exchange, chain []*rehearsal.Machine) *rehearsal.Machine{
-	"calm": func(*rehearsal.Exchange, []*rehearsal.Machine) *rehearsal.Machine { return nil },
-	"head-killed": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+var exchangeCases = map[string]func(x *simulation.Exchange, chain []*simulation.Machine) *simulation.Machine{
+	"calm": func(*simulation.Exchange, []*simulation.Machine) *simulation.Machine { return nil },
+	"head-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[0].Kill()
 		return c[0]
 	},
-	"middle-killed": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"middle-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[len(c)/2].Kill()
 		return c[len(c)/2]
 	},
-	"tail-killed": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"tail-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[len(c)-1].Kill()
 		return c[len(c)-1]
 	},
-	"head-frozen": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"head-frozen": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[0].Freeze()
 		return c[0]
 	},
-	"tail-cut": func(x *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"tail-cut": func(x *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		x.Isolate(c[len(c)-1], true)
 		return c[len(c)-1]
 	},
-	"head-disk-hangs": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"head-disk-hangs": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[0].SetSync(5 * time.Second)
 		return nil
 	},
-	"head-wiped": func(_ *rehearsal.Exchange, c []*rehearsal.Machine) *rehearsal.Machine {
+	"head-wiped": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
 		c[0].Kill()
 		c[0].Wipe()
 		return c[0]
 	},
-	"all-killed": func(x *rehearsal.Exchange, _ []*rehearsal.Machine) *rehearsal.Machine {
+	"all-killed": func(x *simulation.Exchange, _ []*simulation.Machine) *simulation.Machine {
 		for _, m := range x.Machines {
 			m.Kill()
 		}
@@ -71,8 +71,10 @@
 	var acked, heard, whole []float64
 	var messages, bytes, calm float64
 	for seed := range c.Seeds {
-		x := rehearsal.New(rehearsal.Options{Zones: c.Zones, Disks: c.Disks, Others: c.Others, Survive: c.Survive,
-			Seed: seed + 1, Sync: c.Sync, Latency: c.Latency})
+		x := simulation.New(
+			simulation.Options{Zones: c.Zones, Disks: c.Disks, Others: c.Others, Survive: c.Survive,
+				Seed: seed + 1, Sync: c.Sync, Latency: c.Latency},
+		)
 		x.StartAll()
 		if !x.Until(func() bool { return len(x.Chain()) == c.Zones*c.Disks }, 20*time.Second) {
 			return fmt.Errorf("seed %d: no first start", seed+1)
@@ -81,13 +83,13 @@
 		from := x.Messages
 		x.Run(10 * time.Second)
 		calm += float64(x.Messages-from) / 10
-		var chain []*rehearsal.Machine
+		var chain []*simulation.Machine
 		for _, addr := range x.Chain() {
 			chain = append(chain, x.At(addr))
 		}
 		deaf := exchangeCases[c.Case](x, chain)
 		all := func() bool {
-			return !slices.ContainsFunc(x.Machines, func(m *rehearsal.Machine) bool {
+			return !slices.ContainsFunc(x.Machines, func(m *simulation.Machine) bool {
 				return m != deaf && m.Version() != 100
 			})
 		}
--- a/cmd/dunelab/fleet.go
+++ b/cmd/dunespoke-lab/fleet.go
@@ -44,7 +44,7 @@
 	}
 	dir := c.Out
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", "dunelab-fleet"); err != nil {
+		if dir, err = os.MkdirTemp("", "dunespoke-lab-fleet"); err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
--- a/cmd/dunelab/main.go
+++ b/cmd/dunespoke-lab/main.go
@@ -1,4 +1,4 @@
-// Command dunelab is the project's laboratory: stand-ins of outside systems with faults by script, a load
+// Command dunespoke-lab is the laboratory: stand-ins of outside systems with faults by script, a load
 // tool, and the measurements of docs/measurements. It works on loopback addresses alone.
 package main
 
@@ -130,8 +130,13 @@
 		return err
 	}
 	defer end()
-	fmt.Printf("listening on %s; client %q, secret %q, token %q\n", c.Listen, endpoint.ClientID, endpoint.Secret,
-		endpoint.Token)
+	fmt.Printf(
+		"listening on %s; client %q, secret %q, token %q\n",
+		c.Listen,
+		endpoint.ClientID,
+		endpoint.Secret,
+		endpoint.Token,
+	)
 	<-ctx.Done()
 	return nil
 }
@@ -164,13 +169,13 @@
 
 func main() {
 	var c commands
-	line := kong.Parse(&c, kong.Name("dunelab"), kong.UsageOnError(),
+	line := kong.Parse(&c, kong.Name("dunespoke-lab"), kong.UsageOnError(),
 		kong.Description("The laboratory of dunespoke, on loopback addresses alone."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	line.BindTo(ctx, (*context.Context)(nil))
 	if err := line.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "dunelab:", err)
+		fmt.Fprintln(os.Stderr, "dunespoke-lab:", err)
 		if errors.As(err, &badFile{}) {
 			os.Exit(2)
 		}
--- a/cmd/dunelab/payday.go
+++ b/cmd/dunespoke-lab/payday.go
@@ -198,7 +198,10 @@
 	if err := awaitHealth(ctx); err != nil {
 		return nil, err
 	}
-	service, end, err := startIdp(idpAddr, idp.Options{Script: script, Work: 20 * time.Millisecond, Workers: 32})
+	service, end, err := startIdp(
+		idpAddr,
+		idp.Options{Script: script, Work: 20 * time.Millisecond, Workers: 32},
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/dunelab/scale.go
+++ b/cmd/dunespoke-lab/scale.go
@@ -36,7 +36,7 @@
 	Hollow    []int         `help:"Hollow processes on loopback lines, run by run." default:"200"`
 	Real      int           `help:"Real ones beside them, which are the core." default:"3"`
 	For       time.Duration `help:"That these are watched." default:"20s"`
-	Bin       string        `help:"tandem; none: it is built." type:"existingfile"`
+	Bin       string        `help:"dunespoke-gateway; none: it is built." type:"existingfile"`
 	Within    time.Duration `help:"By when all must have ended." default:"15m"`
 	Out       string        `help:"Folder for scale.json and plots; none: neither." type:"existingdir"`
 }
@@ -132,14 +132,14 @@
 }
 
 func (c *scaleCommand) lines(ctx context.Context, tell func(scale.Row)) error {
-	dir, err := os.MkdirTemp("", "dunelab")
+	dir, err := os.MkdirTemp("", "dunespoke-lab")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	program := c.Bin
 	if program == "" {
-		if program, err = rig.Build(dir, "tandem"); err != nil {
+		if program, err = rig.Build(dir, "dunespoke-gateway"); err != nil {
 			return err
 		}
 	}
@@ -192,7 +192,10 @@
 }{
 	{"scale-rest.svg", "What a core machine sends at rest", "machines, 7 of them of the core", "bytes a second",
 		func(s scale.Slope) string {
-			return named(s.Case == "rest" && s.Role == scale.Middle && s.What == "sent" && s.By == "machines", s.Cause)
+			return named(
+				s.Case == "rest" && s.Role == scale.Middle && s.What == "sent" && s.By == "machines",
+				s.Cause,
+			)
 		}},
 	{"scale-events.svg", "What a core machine sends for an event", "machines, 7 of them of the core", "bytes",
 		func(s scale.Slope) string {
--- a/cmd/dunelab/streaming.go
+++ b/cmd/dunespoke-lab/streaming.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "dunelab")
+	dir, err := os.MkdirTemp("", "dunespoke-lab")
 	if err != nil {
 		return err
 	}
--- a/cmd/dunespoke/live_test.go
+++ b/cmd/dunespoke/live_test.go
@@ -331,7 +331,8 @@
 	if refused < 4 {
 		t.Errorf("%d refusals before, want a question for each failure", refused)
 	}
-	if text := l.log.String(); strings.Contains(text, token) || !strings.Contains(text, "answered-by-fallback") {
+	if text := l.log.String(); strings.Contains(text, token) ||
+		!strings.Contains(text, "answered-by-fallback") {
 		t.Error("the token is in the log, or the fallback is not")
 	}
 }
--- a/example/gateway.sh
+++ b/example/gateway.sh
@@ -3,7 +3,7 @@
 set -e
 cd "$(dirname "$0")/.."
 mkdir -p bin && go build -o bin/ ./cmd/...
-bin/dunelab origin & origin=$!
+bin/dunespoke-lab origin & origin=$!
 DUNESPOKE_OPERATOR=deploy/gateway.toml bin/dunespoke & front=$!
 trap 'kill $front; wait $front; kill $origin' EXIT
 until curl -sf 'http://127.0.0.1:8080/small?bytes=0'; do sleep 0.1; done
--- a/exchange/desk/desk.go
+++ b/internal/controlplane/api/desk.go
@@ -1,6 +1,6 @@
 // Package desk is the operator's desk: the calls of servers and operators, each declared beside its handler,
 // and the question whether this ingress is ready.
-package desk
+package api
 
 import (
 	"encoding/json"
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/http1"
+	"dunespoke/internal/routing"
 
 	"github.com/gravitational/trace"
 )
@@ -25,7 +25,7 @@
 type Core interface {
 	// Put hands a configuration to the core; done is called once, with nil if there was no clear answer, a
 	// signal.Conflict if another one stands under the number, and with the number that the core holds otherwise.
-	Put(version uint64, config []byte, done func(*signal.Message))
+	Put(version uint64, config []byte, done func(*message.Message))
 	// Read asks for the newest configuration; done is called once, with nil if there was no clear answer.
 	Read(done func(version uint64, config []byte))
 	// Nearer is the host of a machine of the core that answers and has a wider link than this one; empty: this
@@ -33,7 +33,7 @@
 	Nearer() string
 	// Reform has the core change its members: add one, remove one or both; or tell them where both addresses are
 	// empty. done is called once, with nil if there was no clear answer.
-	Reform(add, remove string, done func(*signal.Message))
+	Reform(add, remove string, done func(*message.Message))
 	// View tells how this machine sees the exchange; done is called once.
 	View(done func(View))
 }
@@ -95,8 +95,8 @@
 type Desk struct {
 	Core  Core
 	Ready func() bool
-	Board *observing.Board // of what ran late or was given up
-	Port  string           // of the control address, which is alike on all machines
+	Board *slowlog.Board // of what ran late or was given up
+	Port  string         // of the control address, which is alike on all machines
 	Log   func(e events.Event, pairs ...any)
 
 	open atomic.Int64
@@ -182,18 +182,18 @@
 
 // replace takes a whole configuration.
 func (d *Desk) replace(r *http1.Request, respond func(*http1.Answer)) {
-	dir, err := directory.Check(r.Content)
+	dir, err := routing.Check(r.Content)
 	if err != nil {
 		d.Log(events.PutRefused, "error", trace.UserMessage(err))
 		respond(http1.Plain(http.StatusBadRequest, trace.UserMessage(err)))
 		return
 	}
-	d.Core.Put(dir.Version, r.Content, func(m *signal.Message) {
+	d.Core.Put(dir.Version, r.Content, func(m *message.Message) {
 		switch {
 		case m == nil:
 			d.Log(events.PutUnclear, "version", dir.Version)
 			respond(unclear("not acknowledged yet: send it again", 50*time.Millisecond))
-		case m.Kind == signal.Conflict:
+		case m.Kind == message.Conflict:
 			d.Log(events.PutConflict, "version", dir.Version)
 			respond(http1.Plain(http.StatusConflict, fmt.Sprintf(
 				"another configuration stands under r%d: send this one under a higher number", dir.Version)))
@@ -240,7 +240,7 @@
 
 // members tells who the core is.
 func (d *Desk) members(_ *http1.Request, respond func(*http1.Answer)) {
-	d.Core.Reform("", "", func(m *signal.Message) { d.reformed(m, respond) })
+	d.Core.Reform("", "", func(m *message.Message) { d.reformed(m, respond) })
 }
 
 // reform changes the members by hand.
@@ -250,10 +250,10 @@
 		respond(http1.Plain(http.StatusBadRequest, `want {"add": ADDRESS, "remove": ADDRESS}, one or both`))
 		return
 	}
-	d.Core.Reform(c.Add, c.Remove, func(m *signal.Message) { d.reformed(m, respond) })
+	d.Core.Reform(c.Add, c.Remove, func(m *message.Message) { d.reformed(m, respond) })
 }
 
-func (d *Desk) reformed(m *signal.Message, respond func(*http1.Answer)) {
+func (d *Desk) reformed(m *message.Message, respond func(*http1.Answer)) {
 	switch {
 	case m == nil:
 		respond(unclear("no clear answer: look at core.show, and send it again", busyWait))
@@ -263,7 +263,7 @@
 		return
 	}
 	v := Members{Generation: m.Generation, Spare: m.Spare, Lacks: m.Lacks}
-	row := func(x signal.Machine) Member {
+	row := func(x message.Machine) Member {
 		return Member{Addr: x.Addr, Zone: x.Zone, ID: strconv.FormatUint(x.ID, 16),
 			Serves: slices.Contains(m.Chain, x.Addr)}
 	}
@@ -278,9 +278,9 @@
 
 // LateList is what this machine's requests ran late or were given up, the last ones first.
 type LateList struct {
-	Node  string           `json:"node"`
-	Total uint64           `json:"total"` // since the process began
-	Calls []observing.Call `json:"calls"`
+	Node  string         `json:"node"`
+	Total uint64         `json:"total"` // since the process began
+	Calls []slowlog.Call `json:"calls"`
 }
 
 // late tells which requests ran late or were given up.
--- a/exchange/desk/desk_test.go
+++ b/internal/controlplane/api/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package api
 
 import (
 	"net/http/httptest"
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/http1"
 )
 
@@ -22,41 +22,43 @@
 	put      []uint64
 }
 
-func (c *core) Put(version uint64, _ []byte, done func(*signal.Message)) {
+func (c *core) Put(version uint64, _ []byte, done func(*message.Message)) {
 	c.put = append(c.put, version)
 	if c.silent {
 		done(nil)
 		return
 	}
 	if c.conflict {
-		done(&signal.Message{Kind: signal.Conflict, Version: c.held})
+		done(&message.Message{Kind: message.Conflict, Version: c.held})
 		return
 	}
-	done(&signal.Message{Kind: signal.Done, Version: max(version, c.held)})
+	done(&message.Message{Kind: message.Done, Version: max(version, c.held)})
 }
 
 func (c *core) Read(done func(uint64, []byte)) { done(c.held, c.config) }
 func (c *core) Nearer() string                 { return c.nearer }
 func (c *core) View(done func(View))           { done(View{Node: "n-1", Version: "r7"}) }
-func (c *core) Reform(add, _ string, done func(*signal.Message)) {
+func (c *core) Reform(add, _ string, done func(*message.Message)) {
 	switch {
 	case c.silent:
 		done(nil)
 	case add == "x:1":
-		done(&signal.Message{Kind: signal.Reformed, Text: "no quorum would be left"})
+		done(&message.Message{Kind: message.Reformed, Text: "no quorum would be left"})
 	default:
-		done(&signal.Message{Kind: signal.Reformed, OK: true, Registry: []signal.Machine{{Addr: "y:1", ID: 10}}})
+		done(
+			&message.Message{Kind: message.Reformed, OK: true, Registry: []message.Machine{{Addr: "y:1", ID: 10}}},
+		)
 	}
 }
 
 // Given a desk, when calls come in, then each gets its answer, and only what is valid and new is passed on.
 func TestCallsAndTheirAnswers(t *testing.T) {
-	valid, err := os.ReadFile("../../example/exchange/config.json")
+	valid, err := os.ReadFile("../../../example/cluster/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	board := &observing.Board{}
-	board.Note(observing.Call{ID: "id-9", Route: "transfers", End: observing.Late})
+	board := &slowlog.Board{}
+	board.Note(slowlog.Call{ID: "id-9", Route: "transfers", End: slowlog.Late})
 	long := []byte(strings.Repeat("x", longAnswer+1))
 	for _, c := range []struct {
 		name, method, target string
@@ -110,8 +112,16 @@
 			t.Errorf("%s: no answer", c.name)
 			continue
 		case got.Status != c.status || !strings.Contains(string(got.Body), c.says) || len(k.put) != c.put:
-			t.Errorf("%s: %d %.80q, %d passed on; want %d %q, %d", c.name, got.Status, got.Body, len(k.put), c.status,
-				c.says, c.put)
+			t.Errorf(
+				"%s: %d %.80q, %d passed on; want %d %q, %d",
+				c.name,
+				got.Status,
+				got.Body,
+				len(k.put),
+				c.status,
+				c.says,
+				c.put,
+			)
 		}
 		has := c.header == ""
 		for _, h := range got.Header {
--- a/exchange/extension/extension.go
+++ b/internal/controlplane/client/extension.go
@@ -1,7 +1,7 @@
 // Package extension is every machine's line to the core: it finds the core by the seeds, asks one of its
 // machines for news with the versions that it has, and by asking renews this machine's lease. What it holds
 // only ever moves on. It knows no sockets and no clock.
-package extension
+package client
 
 import (
 	"maps"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // Tuned times, each with its reason.
@@ -38,14 +38,14 @@
 
 // Actions are what an Extension does. They must not call it back.
 type Actions interface {
-	Send(to string, m *signal.Message)
+	Send(to string, m *message.Message)
 	Log(e events.Event, pairs ...any)
 	// Config takes a configuration that is newer than the one before.
 	Config(version uint64, config []byte)
 	// Servers takes the list of servers.
-	Servers(list []signal.Server)
+	Servers(list []message.Server)
 	// Members takes the machines that hold leases, in an agreed order.
-	Members(list []signal.Machine)
+	Members(list []message.Machine)
 	// View takes the machines in charge.
 	View(epoch uint64, chain []string)
 }
@@ -62,7 +62,7 @@
 
 // Options are what New needs.
 type Options struct {
-	Self    signal.Machine
+	Self    message.Machine
 	Seeds   []string // addresses for the system's own processes
 	Disk    bool
 	First   bool // the whole system starts for the first time
@@ -75,16 +75,16 @@
 	Options
 	now        time.Duration
 	state      State
-	registry   []signal.Machine
-	generation uint64           // of the registry
-	removed    []signal.Machine // that go with it
-	joint      bool             // the change to it is not known to be complete
+	registry   []message.Machine
+	generation uint64            // of the registry
+	removed    []message.Machine // that go with it
+	joint      bool              // the change to it is not known to be complete
 	epoch      uint64
 	chain      []string
 	version    uint64
 	config     []byte
 	whole      bool // what came did not come out right: the whole is asked for
-	list       *signal.List
+	list       *message.List
 	roster     uint64
 
 	coming transfers
@@ -121,17 +121,17 @@
 
 // call is a Put or a Read that awaits its end.
 type call struct {
-	m     signal.Message
+	m     message.Message
 	began time.Duration
 	sent  time.Duration
 	tries int
-	done  func(*signal.Message)
+	done  func(*message.Message)
 }
 
 // New returns an Extension. The members of the core may be known from before, as a Roll tells them.
-func New(now time.Duration, o Options, known *signal.Message) *Extension {
+func New(now time.Duration, o Options, known *message.Message) *Extension {
 	e := &Extension{Options: o, now: now, calls: map[uint64]*call{}, heard: map[string]heard{},
-		homeAt: now, coming: transfers{}, room: signal.RoomFirst}
+		homeAt: now, coming: transfers{}, room: message.RoomFirst}
 	e.know(known)
 	return e
 }
@@ -159,12 +159,12 @@
 }
 
 // Registry returns the machines of the core, as far as known.
-func (e *Extension) Registry() []signal.Machine { return e.registry }
+func (e *Extension) Registry() []message.Machine { return e.registry }
 
 // Roll returns what this machine may tell others of the core; the registry is empty where it knows nothing
 // for sure.
-func (e *Extension) Roll() *signal.Message {
-	m := &signal.Message{Kind: signal.Roll, Generation: e.generation}
+func (e *Extension) Roll() *message.Message {
+	m := &message.Message{Kind: message.Roll, Generation: e.generation}
 	if !e.joint {
 		m.Registry, m.Removed = e.registry, e.removed
 	}
@@ -173,7 +173,7 @@
 
 // know takes what is said of the members. Of a change that is not known to be complete it is taken where
 // nothing else is known, and not told on.
-func (e *Extension) know(m *signal.Message) {
+func (e *Extension) know(m *message.Message) {
 	joint := len(m.Former) > 0
 	if len(m.Registry) == 0 || m.Generation < e.generation || joint && len(e.registry) > 0 {
 		return
@@ -190,7 +190,7 @@
 // turn chooses the machine to ask: this one, then those of its zone, then the others; the next one each time.
 func (e *Extension) turn() {
 	order := slices.Clone(e.registry)
-	rank := func(m signal.Machine) int {
+	rank := func(m message.Machine) int {
 		switch {
 		case m.Addr == e.Self.Addr:
 			return 0
@@ -199,7 +199,7 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(order, func(a, b signal.Machine) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(order, func(a, b message.Machine) int { return rank(a) - rank(b) })
 	e.at = order[e.failed%len(order)].Addr
 	e.become(Asking)
 	e.askAt = max(e.now, 1)
@@ -218,7 +218,7 @@
 		next = e.askAt
 	case e.askAt == 0 && now >= e.askedAt+e.patience():
 		e.silent++
-		e.room = max(e.room/4, signal.RoomLeast)
+		e.room = max(e.room/4, message.RoomLeast)
 		e.fail(e.pause())
 	}
 	if e.state == Attached && e.failed > 0 && now >= e.homeAt+homeEvery && len(e.coming) == 0 {
@@ -258,7 +258,7 @@
 	}
 	slices.Sort(to)
 	for _, s := range slices.Compact(to) {
-		e.Actions.Send(s, &signal.Message{Kind: signal.Hello, Zone: e.Self.Zone, Disk: e.Disk && id != 0,
+		e.Actions.Send(s, &message.Message{Kind: message.Hello, Zone: e.Self.Zone, Disk: e.Disk && id != 0,
 			First: e.First, ID: id})
 	}
 }
@@ -300,19 +300,27 @@
 func (e *Extension) ask() {
 	e.call++
 	e.askAt, e.askedAt = 0, e.now
-	m := &signal.Message{Kind: signal.Poll, Call: e.call, Epoch: e.epoch, Version: e.version, Roster: e.roster,
-		Wait: uint64(pollWait.Milliseconds()), Zone: e.Self.Zone, Parts: e.coming.held()}
+	m := &message.Message{
+		Kind:    message.Poll,
+		Call:    e.call,
+		Epoch:   e.epoch,
+		Version: e.version,
+		Roster:  e.roster,
+		Wait:    uint64(pollWait.Milliseconds()),
+		Zone:    e.Self.Zone,
+		Parts:   e.coming.held(),
+	}
 	if h, ok := e.heard[e.at]; ok { // so that it knows when this was sent: the lease counts from then
 		m.Echo, m.Held = h.call, uint64((e.now - h.at).Milliseconds())
 	}
-	if e.room != signal.RoomFirst {
+	if e.room != message.RoomFirst {
 		m.Room = e.room
 	}
 	if e.base.version > e.version {
 		m.Base = e.base.version
 	}
 	if e.list != nil {
-		m.List = &signal.List{Epoch: e.list.Epoch, Seq: e.list.Seq}
+		m.List = &message.List{Epoch: e.list.Epoch, Seq: e.list.Seq}
 	}
 	if e.whole {
 		m.Version, m.Base = 0, 0
@@ -324,12 +332,12 @@
 }
 
 // Handle takes a message.
-func (e *Extension) Handle(now time.Duration, from string, m *signal.Message) {
+func (e *Extension) Handle(now time.Duration, from string, m *message.Message) {
 	e.now = now
 	switch m.Kind {
-	case signal.Roll, signal.Notice:
+	case message.Roll, message.Notice:
 		e.know(m)
-	case signal.News:
+	case message.News:
 		// What comes later was held up on its way, or with this process and its turn to ask elsewhere: it is no
 		// fresh word.
 		if from == e.at && m.Call == e.call && e.askAt == 0 && now < e.askedAt+e.patience() {
@@ -338,12 +346,12 @@
 		} else {
 			e.late(m)
 		}
-	case signal.Done, signal.Conflict, signal.Copy, signal.Reformed:
-		if c := e.calls[m.Call]; c != nil && slices.Contains(signal.Questions[c.m.Kind], m.Kind) {
+	case message.Done, message.Conflict, message.Copy, message.Reformed:
+		if c := e.calls[m.Call]; c != nil && slices.Contains(message.Questions[c.m.Kind], m.Kind) {
 			delete(e.calls, m.Call)
 			c.done(m)
 		}
-	case signal.Refuse:
+	case message.Refuse:
 		if c := e.calls[m.Call]; c != nil && m.Epoch > e.epoch && len(m.Chain) > 0 {
 			e.view(m.Epoch, m.Chain)
 			e.send(c)
@@ -357,7 +365,7 @@
 }
 
 // news takes an answer, and asks for more.
-func (e *Extension) news(m *signal.Message) {
+func (e *Extension) news(m *message.Message) {
 	e.silent = 0
 	if !m.OK { // it is out of service, or cut off: what it says may be old
 		e.fail(againAfter)
@@ -377,7 +385,7 @@
 }
 
 // take takes what is the newest of some tables.
-func (e *Extension) take(m *signal.Message) {
+func (e *Extension) take(m *message.Message) {
 	if m.Version > e.version && m.Config != nil {
 		config, err := e.unpack(m)
 		if e.whole = err != nil; e.whole {
@@ -402,7 +410,7 @@
 }
 
 // unpack returns a configuration, which may be a change of the one in force or of the one that is held.
-func (e *Extension) unpack(m *signal.Message) ([]byte, error) {
+func (e *Extension) unpack(m *message.Message) ([]byte, error) {
 	base := text{e.version, e.config}
 	if m.Config.Base != base.version && m.Config.Base == e.base.version {
 		base = e.base
@@ -412,7 +420,7 @@
 
 // parts takes what an answer to the present question brings of snapshots. Each that the answer names as the
 // newest, and that is whole by now, comes into force. What it doesn't name is of no use any more.
-func (e *Extension) parts(list []signal.Part) {
+func (e *Extension) parts(list []message.Part) {
 	named := transfers{}
 	bytes := 0
 	for i := range list {
@@ -433,21 +441,21 @@
 	}
 	e.coming = named
 	if len(named) == 0 {
-		e.room = signal.RoomFirst
+		e.room = message.RoomFirst
 		return
 	}
 	// As much as comes in that time at the rate of this answer, which counts the wait for it, too.
 	rate := uint64(bytes) * uint64(partTime) / uint64(max(e.now-e.askedAt, time.Millisecond))
-	e.room = min(max(e.room, rate), signal.RoomMost)
+	e.room = min(max(e.room, rate), message.RoomMost)
 }
 
 // late takes what an answer to an earlier question brings: bytes, and not a word of what is newest, or of
 // who is in service.
-func (e *Extension) late(m *signal.Message) {
+func (e *Extension) late(m *message.Message) {
 	e.slow = true
 	for i := range m.Parts {
 		p := &m.Parts[i]
-		if t := e.coming.merge(p, true); t != nil && t.whole() && p.Table == signal.ConfigTable {
+		if t := e.coming.merge(p, true); t != nil && t.whole() && p.Table == message.ConfigTable {
 			e.keep(t)
 			delete(e.coming, p.Table)
 		}
@@ -467,20 +475,24 @@
 }
 
 // Put hands a configuration to the core. done gets the answer, or nil when there was none in time.
-func (e *Extension) Put(now time.Duration, version uint64, config []byte, done func(*signal.Message)) {
-	e.begin(now, signal.Message{Kind: signal.Put, Version: version, Config: signal.Pack(config, 0, nil)}, done)
+func (e *Extension) Put(now time.Duration, version uint64, config []byte, done func(*message.Message)) {
+	e.begin(
+		now,
+		message.Message{Kind: message.Put, Version: version, Config: message.Pack(config, 0, nil)},
+		done,
+	)
 }
 
 // Reform has the core change its members, or tell them. done gets the answer, or nil when there was none in
 // time.
-func (e *Extension) Reform(now time.Duration, add, remove string, done func(*signal.Message)) {
-	e.begin(now, signal.Message{Kind: signal.Reform, Add: add, Remove: remove}, done)
+func (e *Extension) Reform(now time.Duration, add, remove string, done func(*message.Message)) {
+	e.begin(now, message.Message{Kind: message.Reform, Add: add, Remove: remove}, done)
 }
 
 // Read asks the core for the newest configuration. done gets it, or nil when there was no clear answer.
 func (e *Extension) Read(now time.Duration, done func(version uint64, config []byte)) {
 	have, text := e.version, e.config
-	e.begin(now, signal.Message{Kind: signal.Read, Version: have}, func(m *signal.Message) {
+	e.begin(now, message.Message{Kind: message.Read, Version: have}, func(m *message.Message) {
 		switch {
 		case m == nil:
 			done(0, nil)
@@ -497,7 +509,7 @@
 	})
 }
 
-func (e *Extension) begin(now time.Duration, m signal.Message, done func(*signal.Message)) {
+func (e *Extension) begin(now time.Duration, m message.Message, done func(*message.Message)) {
 	e.now = now
 	e.lastCall++
 	m.Call = e.lastCall
@@ -514,7 +526,7 @@
 	to := ""
 	switch {
 	case len(e.chain) > 0 && c.tries%3 != 0:
-		if to = e.chain[0]; c.m.Kind == signal.Read {
+		if to = e.chain[0]; c.m.Kind == message.Read {
 			to = e.chain[len(e.chain)-1]
 		}
 	case len(e.registry) > 0:
--- a/exchange/extension/extension_test.go
+++ b/internal/controlplane/client/extension_test.go
@@ -1,4 +1,4 @@
-package extension
+package client
 
 import (
 	"testing"
--- a/exchange/extension/transfer.go
+++ b/internal/controlplane/client/transfer.go
@@ -1,6 +1,6 @@
-package extension
+package client
 
-import "dunespoke/exchange/signal"
+import "dunespoke/internal/controlplane/message"
 
 // A long snapshot comes in parts. Its bytes are one thing, and the word that it is the newest another: bytes
 // are kept whenever they come, whoever sent them, since they are named by a digest; and what they are put
@@ -8,14 +8,14 @@
 
 const (
 	// mostTransfer bounds what is kept of one. A list of 47,000 servers has 2.6 MB.
-	mostTransfer = 2 * signal.MaxFrame
+	mostTransfer = 2 * message.MaxFrame
 	// mostPassed is how many late parts of others, in a row, a transfer outlives: nobody goes on with it.
 	mostPassed = 8
 )
 
 // transfer is a snapshot on its way.
 type transfer struct {
-	of     signal.Part // without bytes
+	of     message.Part // without bytes
 	got    []byte
 	passed int // late parts of others since the last that was of use
 }
@@ -23,11 +23,11 @@
 func (t *transfer) whole() bool { return uint64(len(t.got)) == t.of.Size }
 
 // transfers are those of all tables.
-type transfers map[signal.Table]*transfer
+type transfers map[message.Table]*transfer
 
 // merge takes what a part brings, and returns its transfer; nil: it is of no use. A part that answers an
 // earlier question starts nothing anew while something else goes on.
-func (ts transfers) merge(p *signal.Part, late bool) *transfer {
+func (ts transfers) merge(p *message.Part, late bool) *transfer {
 	t := ts[p.Table]
 	if t == nil || t.of.Digest != p.Digest || t.of.Size != p.Size {
 		if p.Size > mostTransfer {
@@ -52,8 +52,8 @@
 }
 
 // held tells what is there, for a question.
-func (ts transfers) held() (list []signal.Part) {
-	for table := signal.ConfigTable; table <= signal.MemberTable; table++ {
+func (ts transfers) held() (list []message.Part) {
+	for table := message.ConfigTable; table <= message.MemberTable; table++ {
 		if t := ts[table]; t != nil {
 			p := t.of
 			p.From = uint64(len(t.got))
@@ -64,9 +64,9 @@
 }
 
 // open reads a snapshot that is whole.
-func (t *transfer) open() (*signal.Message, bool) {
-	m := new(signal.Message)
-	if signal.Digest(t.got) != t.of.Digest || signal.Decode(t.got, m) != nil {
+func (t *transfer) open() (*message.Message, bool) {
+	m := new(message.Message)
+	if message.Digest(t.got) != t.of.Digest || message.Decode(t.got, m) != nil {
 		return nil, false
 	}
 	return m, true
--- a/exchange/lineup/lineup.go
+++ b/internal/controlplane/discovery/lineup.go
@@ -1,6 +1,6 @@
 // Package lineup reads the platform's list of servers, page by page. Only the machine whose duty it is does
 // so.
-package lineup
+package discovery
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // Bounds on what the platform may send.
@@ -58,8 +58,8 @@
 
 // Read reads the whole list, in an agreed order. A list that can't be read whole is an error: a server that
 // is missing would be taken for gone.
-func (r *Reader) Read(ctx context.Context) ([]signal.Server, error) {
-	var all []signal.Server
+func (r *Reader) Read(ctx context.Context) ([]message.Server, error) {
+	var all []message.Server
 	token := ""
 	for range mostPages {
 		p, err := r.page(ctx, token)
@@ -68,8 +68,11 @@
 		}
 		for zone, list := range p.Servers {
 			for _, e := range list {
-				all = append(all, signal.Server{ID: e.ID, Service: e.Backend, Addr: e.Address, Zone: orElse(e.Zone, zone),
-					Capacity: e.Capacity, Draining: e.State == "draining", Cold: uint64(max(0, e.Warmup) * 1000)})
+				all = append(
+					all,
+					message.Server{ID: e.ID, Service: e.Backend, Addr: e.Address, Zone: orElse(e.Zone, zone),
+						Capacity: e.Capacity, Draining: e.State == "draining", Cold: uint64(max(0, e.Warmup) * 1000)},
+				)
 			}
 		}
 		if p.Next == nil || *p.Next == "" {
@@ -89,9 +92,9 @@
 
 // settle sorts the list, and tells of each server that is slow what was told first: the time that is left
 // changes from call to call, and would make every list another.
-func (r *Reader) settle(all []signal.Server) []signal.Server {
-	slices.SortFunc(all, func(a, b signal.Server) int { return strings.Compare(a.ID, b.ID) })
-	all = slices.CompactFunc(all, func(a, b signal.Server) bool { return a.ID == b.ID })
+func (r *Reader) settle(all []message.Server) []message.Server {
+	slices.SortFunc(all, func(a, b message.Server) int { return strings.Compare(a.ID, b.ID) })
+	all = slices.CompactFunc(all, func(a, b message.Server) bool { return a.ID == b.ID })
 	colds := map[string]uint64{}
 	for i := range all {
 		if s := &all[i]; s.Cold > 0 {
--- a/exchange/lineup/lineup_test.go
+++ b/internal/controlplane/discovery/lineup_test.go
@@ -1,4 +1,4 @@
-package lineup
+package discovery
 
 import (
 	"context"
--- a/exchange/signal/golden_test.go
+++ b/internal/controlplane/message/golden_test.go
@@ -1,4 +1,4 @@
-package signal
+package message
 
 import (
 	"bufio"
--- a/exchange/signal/signal.go
+++ b/internal/controlplane/message/signal.go
@@ -1,6 +1,6 @@
 // Package signal holds what the system's processes say to each other, and its form in bytes: protobuf's wire
 // format, by the field numbers in the tags, in frames that begin with their length. It knows no sockets.
-package signal
+package message
 
 import (
 	"encoding/binary"
--- a/exchange/signal/signal_test.go
+++ b/internal/controlplane/message/signal_test.go
@@ -1,4 +1,4 @@
-package signal
+package message
 
 import (
 	"reflect"
@@ -54,7 +54,9 @@
 // Given bytes of a peer that is broken, when they are read, then there is an error or a message, and no
 // crash.
 func FuzzFrames(f *testing.F) {
-	f.Add(Append(nil, &Message{Kind: Put, Version: 7, Config: Pack([]byte("{}"), 0, nil), Chain: []string{"a"}}))
+	f.Add(
+		Append(nil, &Message{Kind: Put, Version: 7, Config: Pack([]byte("{}"), 0, nil), Chain: []string{"a"}}),
+	)
 	f.Add([]byte{0, 0, 0, 2, 0x0a, 0xff})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/exchange/office/office.go
+++ b/internal/controlplane/node/office.go
@@ -1,46 +1,46 @@
 // Package office is the central office: all that one process does for control, put together. It is pure, and
 // is driven by one goroutine, or by the in-memory fleet of the tests.
-package office
+package node
 
 import (
 	"slices"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/extension"
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
+	"dunespoke/internal/controlplane/client"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
+	"dunespoke/internal/events"
+	"dunespoke/internal/ratelimit"
 )
 
 // Actions are what an Office does. They must not call it back.
 type Actions interface {
-	extension.Actions
-	Save(token uint64, r frame.Record)
+	client.Actions
+	Save(token uint64, r replica.Record)
 }
 
 // Options are what New needs.
 type Options struct {
-	Self    signal.Machine
-	Seeds   []string        // addresses for the system's own processes
-	Survive frame.Tolerance // of the machines with a disk
+	Self    message.Machine
+	Seeds   []string          // addresses for the system's own processes
+	Survive replica.Tolerance // of the machines with a disk
 	// LostAfter is for how long a machine of the core must be silent before another takes its place; 0: two
 	// seconds.
 	LostAfter time.Duration
 	First     bool // the whole system starts for the first time
-	Disk      *frame.Record
+	Disk      *replica.Record
 	Life      uint64 // of the process: no other has or had it
 	Actions   Actions
-	Limits    func(tenant string) toll.Limits
+	Limits    func(tenant string) ratelimit.Limits
 }
 
 // Office is one process's part in control.
 type Office struct {
 	o       Options
-	frame   *frame.Frame // nil without a disk
-	ext     *extension.Extension
-	founder *frame.Founder // at seeds, until they are started again without anything kept
-	desk    *toll.Desk
+	frame   *replica.Frame // nil without a disk
+	ext     *client.Extension
+	founder *replica.Founder // at seeds, until they are started again without anything kept
+	desk    *ratelimit.Desk
 	keeping bool
 	helloAt time.Duration // when a machine that is of no core yet says so again
 	rollAt  time.Duration // and when one of the core tells the seeds
@@ -53,11 +53,11 @@
 	f *Office
 }
 
-func (a asker) Send(to string, m *signal.Message) {
+func (a asker) Send(to string, m *message.Message) {
 	if m.Asks() {
 		m.Life = a.f.o.Life
 	}
-	if m.Kind == signal.Hello && a.f.frame != nil {
+	if m.Kind == message.Hello && a.f.frame != nil {
 		m.Barred = a.f.frame.Record().Barred
 	}
 	a.Actions.Send(to, m)
@@ -69,25 +69,25 @@
 	f *Office
 }
 
-func (w watch) Members(list []signal.Machine) {
+func (w watch) Members(list []message.Machine) {
 	w.f.desk.Members(w.f.now, list)
 	w.Actions.Members(list)
 }
 
 // New returns an Office.
 func New(now time.Duration, o Options) *Office {
-	f := &Office{now: now, desk: toll.NewDesk(o.Limits)}
+	f := &Office{now: now, desk: ratelimit.NewDesk(o.Limits)}
 	o.Actions = asker{o.Actions, f}
 	o.Seeds = slices.Sorted(slices.Values(o.Seeds))
 	f.o = o
-	known := &signal.Message{}
+	known := &message.Message{}
 	if o.Disk != nil {
-		f.frame = frame.New(now, frame.Options{Self: o.Self, Survive: o.Survive, LostAfter: o.LostAfter,
+		f.frame = replica.New(now, replica.Options{Self: o.Self, Survive: o.Survive, LostAfter: o.LostAfter,
 			Life: o.Life, First: o.First, Seeds: o.Seeds, Disk: *o.Disk, Actions: o.Actions})
 		known = f.frame.Roll()
 	}
 	f.found(now)
-	f.ext = extension.New(now, extension.Options{Self: o.Self, Seeds: o.Seeds, Disk: o.Disk != nil,
+	f.ext = client.New(now, client.Options{Self: o.Self, Seeds: o.Seeds, Disk: o.Disk != nil,
 		First: f.first(), Life: o.Life, Actions: watch{o.Actions, f}}, known)
 	return f
 }
@@ -104,48 +104,48 @@
 // found makes this machine's founder. One that is started again votes by what it has on its disk; without a
 // disk it may have forgotten what it promised, and has no vote.
 func (f *Office) found(now time.Duration) {
-	o := frame.FounderOptions{Self: f.o.Self.Addr, Seeds: f.o.Seeds,
+	o := replica.FounderOptions{Self: f.o.Self.Addr, Seeds: f.o.Seeds,
 		Survive: f.o.Survive, Actions: f.o.Actions, Known: func() bool { return len(f.known()) > 0 }}
 	if f.frame == nil {
-		o.Kept = frame.Founding{Sure: true, Seeds: o.Seeds}
-		o.Keep = func(_ frame.Founding, then func()) { then() }
+		o.Kept = replica.Founding{Sure: true, Seeds: o.Seeds}
+		o.Keep = func(_ replica.Founding, then func()) { then() }
 		if f.o.First && slices.Contains(o.Seeds, o.Self) {
-			f.founder = frame.NewFounder(now, o)
+			f.founder = replica.NewFounder(now, o)
 		}
 		return
 	}
 	o.Kept = f.frame.Founding()
-	o.Keep = func(k frame.Founding, then func()) { f.frame.KeepFounding(f.now, k, then) }
+	o.Keep = func(k replica.Founding, then func()) { f.frame.KeepFounding(f.now, k, then) }
 	if o.Kept.Sure {
 		o.Seeds = o.Kept.Seeds
 	}
 	if !f.o.Disk.Whole && (slices.Contains(o.Seeds, o.Self) || !o.Kept.Sure) {
-		f.founder = frame.NewFounder(now, o)
+		f.founder = replica.NewFounder(now, o)
 	}
 }
 
 // Handle takes a message of another process, or of this one. An answer that an earlier life of this process
 // asked for, or another process at its address, is dropped.
-func (f *Office) Handle(now time.Duration, from string, m *signal.Message) {
+func (f *Office) Handle(now time.Duration, from string, m *message.Message) {
 	f.now = now
 	if m.Answers() && m.Life != f.o.Life {
 		return
 	}
 	switch m.Kind {
-	case signal.Hello:
+	case message.Hello:
 		f.hello(now, from, m)
-	case signal.Ask:
+	case message.Ask:
 		f.ask(now, from, m)
-	case signal.Pledge, signal.Pledged, signal.Draft, signal.Drafted:
+	case message.Pledge, message.Pledged, message.Draft, message.Drafted:
 		if f.founder != nil {
 			f.founder.Handle(now, from, m)
 		}
-	case signal.News, signal.Copy, signal.Conflict, signal.Reformed:
+	case message.News, message.Copy, message.Conflict, message.Reformed:
 		f.ext.Handle(now, from, m)
-	case signal.Roll, signal.Notice:
+	case message.Roll, message.Notice:
 		f.ext.Handle(now, from, m)
 		f.toFrame(now, from, m)
-	case signal.Done, signal.Refuse:
+	case message.Done, message.Refuse:
 		if m.Call != 0 {
 			f.ext.Handle(now, from, m)
 		} else {
@@ -156,14 +156,14 @@
 	}
 }
 
-func (f *Office) toFrame(now time.Duration, from string, m *signal.Message) {
+func (f *Office) toFrame(now time.Duration, from string, m *message.Message) {
 	if f.frame != nil {
 		f.frame.Handle(now, from, m)
 	}
 }
 
 // hello tells a machine that starts what this one knows of the core.
-func (f *Office) hello(now time.Duration, from string, m *signal.Message) {
+func (f *Office) hello(now time.Duration, from string, m *message.Message) {
 	if f.founder != nil {
 		f.founder.Hello(now, from, m)
 	}
@@ -178,7 +178,7 @@
 
 // roll is what this machine tells of the core: what its frame has or what it was told, whichever is newer;
 // and what a founder has decided where nothing is known.
-func (f *Office) roll() *signal.Message {
+func (f *Office) roll() *message.Message {
 	m := f.ext.Roll()
 	if f.frame != nil {
 		if own := f.frame.Roll(); len(own.Registry) > 0 && own.Generation >= m.Generation {
@@ -192,17 +192,17 @@
 }
 
 // Registry returns the machines of the core, as far as known.
-func (f *Office) Registry() []signal.Machine { return f.roll().Registry }
+func (f *Office) Registry() []message.Machine { return f.roll().Registry }
 
 // known returns the machines of the core as this one was told them.
-func (f *Office) known() []signal.Machine {
+func (f *Office) known() []message.Machine {
 	if f.frame != nil && len(f.frame.Record().Registry) > 0 {
 		return f.frame.Record().Registry
 	}
 	return f.ext.Registry()
 }
 
-func (f *Office) ask(now time.Duration, from string, m *signal.Message) {
+func (f *Office) ask(now time.Duration, from string, m *message.Message) {
 	if f.keep(now) {
 		f.o.Actions.Send(from, f.desk.Ask(now, from, m))
 	}
@@ -210,7 +210,7 @@
 
 // keep opens the desk as soon as that is this machine's duty: stores fill from then on.
 func (f *Office) keep(now time.Duration) bool {
-	epoch, ok := f.Holds(now, frame.KeepTolls)
+	epoch, ok := f.Holds(now, replica.KeepTolls)
 	if ok && !f.keeping {
 		f.o.Actions.Log(events.TollHeld, "epoch", epoch)
 	}
@@ -221,7 +221,7 @@
 }
 
 // Holds reports whether this process is to do a duty now, and under which epoch.
-func (f *Office) Holds(now time.Duration, d frame.Duty) (epoch uint64, ok bool) {
+func (f *Office) Holds(now time.Duration, d replica.Duty) (epoch uint64, ok bool) {
 	if f.frame == nil {
 		return 0, false
 	}
@@ -230,7 +230,7 @@
 
 // Servers takes the list of servers, as this process read it by its duty: with the epoch under which it held
 // that when the reading began.
-func (f *Office) Servers(now time.Duration, epoch uint64, list []signal.Server) {
+func (f *Office) Servers(now time.Duration, epoch uint64, list []message.Server) {
 	if f.frame != nil {
 		f.frame.List(now, epoch, list)
 	}
@@ -265,11 +265,11 @@
 			f.helloAt = now + helloEvery
 			f.ext.Hello(f.frame.Record().ID)
 		}
-		if f.frame.State() == frame.InService && now >= f.rollAt {
+		if f.frame.State() == replica.InService && now >= f.rollAt {
 			f.rollAt = now + rollEvery
 			for _, s := range f.ext.Seeds {
 				m := f.roll()
-				if m.Kind = signal.Notice; !slices.ContainsFunc(m.Registry, func(r signal.Machine) bool {
+				if m.Kind = message.Notice; !slices.ContainsFunc(m.Registry, func(r message.Machine) bool {
 					return r.Addr == s
 				}) {
 					f.o.Actions.Send(s, m)
@@ -294,13 +294,13 @@
 func (f *Office) HandsOver() bool { return f.frame != nil && f.frame.HandsOver() }
 
 // Put hands a configuration to the core.
-func (f *Office) Put(now time.Duration, version uint64, config []byte, done func(*signal.Message)) {
+func (f *Office) Put(now time.Duration, version uint64, config []byte, done func(*message.Message)) {
 	f.ext.Put(now, version, config, done)
 }
 
 // Reform has the core change its members by hand, or tell them where both addresses are empty. done gets the
 // answer, or nil when there was none in time.
-func (f *Office) Reform(now time.Duration, add, remove string, done func(*signal.Message)) {
+func (f *Office) Reform(now time.Duration, add, remove string, done func(*message.Message)) {
 	f.ext.Reform(now, add, remove, done)
 }
 
@@ -310,7 +310,7 @@
 }
 
 // Frame returns the frame; nil without a disk.
-func (f *Office) Frame() *frame.Frame { return f.frame }
+func (f *Office) Frame() *replica.Frame { return f.frame }
 
 // Seeds takes seeds as they now are.
 func (f *Office) Seeds(seeds []string) { f.ext.Seeds = seeds }
--- a/exchange/frame/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -1,10 +1,10 @@
-package frame
+package replica
 
 import (
 	"slices"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // put is a configuration that waits to be acknowledged.
@@ -12,7 +12,7 @@
 	from   string
 	life   uint64 // of the process that asked
 	call   uint64
-	entry  signal.Taken
+	entry  message.Taken
 	config []byte
 	came   time.Duration
 	rides  bool          // it has gone down the chain in this view: what that ends with is its answer
@@ -40,13 +40,13 @@
 }
 
 // sendOn tells who asked that this is not the machine to ask, and which view it knows.
-func (f *Frame) sendOn(from string, m *signal.Message) {
-	f.Actions.Send(from, &signal.Message{Kind: signal.Refuse, Life: m.Life, Call: m.Call, Epoch: f.epoch,
+func (f *Frame) sendOn(from string, m *message.Message) {
+	f.Actions.Send(from, &message.Message{Kind: message.Refuse, Life: m.Life, Call: m.Call, Epoch: f.epoch,
 		Chain: f.chain})
 }
 
 // put takes a configuration at the head.
-func (f *Frame) put(from string, m *signal.Message) {
+func (f *Frame) put(from string, m *message.Message) {
 	if f.place() != 0 || len(f.puts) >= mostPuts {
 		f.sendOn(from, m)
 		return
@@ -62,7 +62,7 @@
 		return
 	}
 	f.puts = append(f.puts, put{from: from, life: m.Life, call: m.Call, config: config, came: f.now,
-		entry: signal.Taken{Version: m.Version, Digest: signal.SumOf(config)}})
+		entry: message.Taken{Version: m.Version, Digest: message.SumOf(config)}})
 	f.advance()
 }
 
@@ -76,7 +76,7 @@
 	if f.next.Version > f.committed { // one is on its way
 		return
 	}
-	var batch []signal.Taken
+	var batch []message.Taken
 	for i := range f.puts {
 		p := &f.puts[i]
 		if p.entry.Version <= f.committed {
@@ -129,9 +129,9 @@
 // acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered is
 // acknowledged and changes nothing, since the highest version wins.
 func (f *Frame) verdict(p put) {
-	m := &signal.Message{Kind: signal.Done, Life: p.life, Call: p.call, Version: f.committed, OK: true}
+	m := &message.Message{Kind: message.Done, Life: p.life, Call: p.call, Version: f.committed, OK: true}
 	if sum, known := f.next.digest(p.entry.Version); known && sum != p.entry.Digest {
-		m.Kind, m.OK = signal.Conflict, false
+		m.Kind, m.OK = message.Conflict, false
 	}
 	f.Actions.Send(p.from, m)
 }
@@ -155,11 +155,14 @@
 	again := f.passed == f.rec.Version // the first time did not do it: without a base
 	f.sentAt, f.passed = f.now, f.rec.Version
 	if at < len(f.chain)-1 {
-		f.Actions.Send(f.chain[at+1], &signal.Message{Kind: signal.Relay, Epoch: f.epoch, Version: f.rec.Version,
-			Past: f.rec.above(f.committed), Config: f.packed(f.held(), f.committed, !again)})
+		f.Actions.Send(
+			f.chain[at+1],
+			&message.Message{Kind: message.Relay, Epoch: f.epoch, Version: f.rec.Version,
+				Past: f.rec.above(f.committed), Config: f.packed(f.held(), f.committed, !again)},
+		)
 		return
 	}
-	m := &signal.Message{Kind: signal.Done, Epoch: f.epoch, Version: f.rec.Version}
+	m := &message.Message{Kind: message.Done, Epoch: f.epoch, Version: f.rec.Version}
 	for _, to := range f.chain[:at] {
 		f.Actions.Send(to, m)
 	}
@@ -167,7 +170,7 @@
 }
 
 // relayed takes what comes down the chain.
-func (f *Frame) relayed(from string, m *signal.Message) {
+func (f *Frame) relayed(from string, m *message.Message) {
 	at := f.place()
 	if at <= 0 || m.Epoch != f.epoch || f.next.Promised != f.epoch || f.chain[at-1] != from {
 		return
@@ -175,7 +178,7 @@
 	switch {
 	case m.Version > f.next.Version && m.Config != nil:
 		// The head starts on the next once what came before is done.
-		f.done(&signal.Message{Epoch: f.epoch, Version: f.rec.Version})
+		f.done(&message.Message{Epoch: f.epoch, Version: f.rec.Version})
 		config, err := m.Config.Unpack(f.next.Version, f.next.Config)
 		if err != nil {
 			return // it comes again, whole
@@ -189,7 +192,7 @@
 }
 
 // done tells that the tail has a version: it is committed.
-func (f *Frame) done(m *signal.Message) {
+func (f *Frame) done(m *message.Message) {
 	if f.state != InService || m.Epoch != f.epoch || m.Version <= f.committed || m.Version > f.rec.Version {
 		return
 	}
@@ -219,7 +222,7 @@
 
 // packed is a configuration as a change of a version, if that is wanted and known. It is made once for all
 // who ask with the same.
-func (f *Frame) packed(t text, base uint64, change bool) *signal.Packed {
+func (f *Frame) packed(t text, base uint64, change bool) *message.Packed {
 	var old []byte
 	if i := slices.IndexFunc(f.texts, func(t text) bool { return t.version == base }); i >= 0 && change {
 		old = f.texts[i].text
@@ -229,7 +232,7 @@
 	key := [2]uint64{t.version, base}
 	p := f.packs[key]
 	if p == nil {
-		p = signal.Pack(t.text, base, old)
+		p = message.Pack(t.text, base, old)
 		if len(f.packs) >= 2*mostTexts {
 			clear(f.packs)
 		}
@@ -253,7 +256,7 @@
 }
 
 // read answers from the tail, once a majority has said that no later view can be in service.
-func (f *Frame) read(from string, m *signal.Message) {
+func (f *Frame) read(from string, m *message.Message) {
 	if at := f.place(); at < 0 || at != len(f.chain)-1 || len(f.asks) >= mostPuts {
 		f.sendOn(from, m)
 		return
@@ -262,7 +265,7 @@
 		if f.rec.Version != f.committed { // it is being passed on
 			return
 		}
-		answer := &signal.Message{Kind: signal.Copy, Life: m.Life, Call: m.Call, Version: f.committed, OK: true}
+		answer := &message.Message{Kind: message.Copy, Life: m.Life, Call: m.Call, Version: f.committed, OK: true}
 		if f.committed > m.Version {
 			answer.Config = f.packed(f.held(), m.Version, true)
 		}
@@ -277,19 +280,19 @@
 	f.asks[f.askSeq] = &ask{yes: map[string]bool{}, began: f.now, then: then}
 	for _, r := range f.rec.Registry {
 		if r.Addr != f.self {
-			f.Actions.Send(r.Addr, &signal.Message{Kind: signal.Confirm, Call: f.askSeq, Epoch: f.epoch})
+			f.Actions.Send(r.Addr, &message.Message{Kind: message.Confirm, Call: f.askSeq, Epoch: f.epoch})
 		}
 	}
-	f.confirmed(f.self, &signal.Message{Call: f.askSeq, Epoch: f.epoch, OK: f.next.Promised == f.epoch})
+	f.confirmed(f.self, &message.Message{Call: f.askSeq, Epoch: f.epoch, OK: f.next.Promised == f.epoch})
 }
 
-func (f *Frame) confirmed(from string, m *signal.Message) {
+func (f *Frame) confirmed(from string, m *message.Message) {
 	r := f.asks[m.Call]
 	if r == nil || !m.OK || m.Epoch != f.epoch || !f.ofCore(from) || f.state != InService {
 		return
 	}
 	r.yes[from] = true
-	if !quorate(func(m signal.Machine) bool { return r.yes[m.Addr] && f.is(m) }, f.next.voters()...) {
+	if !quorate(func(m message.Machine) bool { return r.yes[m.Addr] && f.is(m) }, f.next.voters()...) {
 		return
 	}
 	delete(f.asks, m.Call)
--- a/exchange/frame/contact.go
+++ b/internal/controlplane/replica/contact.go
@@ -1,9 +1,9 @@
-package frame
+package replica
 
 import (
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // How old a machine's word may be. Both go by the teller's own steady clock, which runs on while its process
@@ -44,13 +44,13 @@
 // saidAt returns when a peer said a beat, by this machine's clock, or a little earlier: it names the last
 // beat of this one that it had, and how long before it had that. What waited on its way, in a socket or
 // before a process that stood still, is as old as it is, however late it is read. False: it has heard none.
-func (f *Frame) saidAt(m *signal.Message) (at time.Duration, ok bool) {
+func (f *Frame) saidAt(m *message.Message) (at time.Duration, ok bool) {
 	sent, ok := f.beatsSent.time(m.Echo)
 	return min(f.now, sent+time.Duration(m.Held)*time.Millisecond), ok
 }
 
 // echo has a beat name the last one that came from who it goes to.
-func (f *Frame) echo(to string, m signal.Message) *signal.Message {
+func (f *Frame) echo(to string, m message.Message) *message.Message {
 	if p := f.peers[to]; p != nil && p.beat != 0 {
 		m.Echo, m.Held = p.beat, uint64((f.now - p.beatCame).Milliseconds())
 	}
--- a/exchange/frame/founder.go
+++ b/internal/controlplane/replica/founder.go
@@ -1,12 +1,12 @@
-package frame
+package replica
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // Founding is what a seed keeps of the first start, until a core is named.
@@ -14,10 +14,10 @@
 	// Sure says that this disk holds all that the seed promised: it was made in the first life of the
 	// system. A seed on another disk may have promised what it doesn't know.
 	Sure    bool
-	Seeds   []string         // of the first start
-	Pledged uint64           // it takes no draft below this ballot
-	Ballot  uint64           // of the draft that it took last; 0: none
-	Draft   []signal.Machine // the machines of the core, as that has them
+	Seeds   []string          // of the first start
+	Pledged uint64            // it takes no draft below this ballot
+	Ballot  uint64            // of the draft that it took last; 0: none
+	Draft   []message.Machine // the machines of the core, as that has them
 }
 
 // FounderState is what a Founder is in.
@@ -47,7 +47,7 @@
 	state    FounderState
 	since    time.Duration
 	begun    time.Duration
-	machines map[string]signal.Machine
+	machines map[string]message.Machine
 	grown    time.Duration            // when the last machine was heard of
 	said     map[string]time.Duration // when each last said that it is there
 	heard    map[string]time.Duration // seeds
@@ -55,7 +55,7 @@
 	ballot   uint64
 	answers  map[string]bool // by seed: its pledge is sure
 	newest   uint64          // ballot of the draft that was told
-	draft    []signal.Machine
+	draft    []message.Machine
 }
 
 // FounderOptions are what NewFounder needs.
@@ -74,7 +74,7 @@
 
 // NewFounder returns a seed's founder.
 func NewFounder(now time.Duration, o FounderOptions) *Founder {
-	return &Founder{o: o, now: now, since: now, begun: now, grown: now, machines: map[string]signal.Machine{},
+	return &Founder{o: o, now: now, since: now, begun: now, grown: now, machines: map[string]message.Machine{},
 		said: map[string]time.Duration{}, heard: map[string]time.Duration{}, next: o.Kept}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // Registry returns the machines of the core once they are decided here; nil before.
-func (f *Founder) Registry() []signal.Machine {
+func (f *Founder) Registry() []message.Machine {
 	if f.state != Decided {
 		return nil
 	}
@@ -94,13 +94,13 @@
 }
 
 // Hello takes the word of a machine that knows of no core.
-func (f *Founder) Hello(now time.Duration, from string, m *signal.Message) {
+func (f *Founder) Hello(now time.Duration, from string, m *message.Message) {
 	f.now = now
 	if m.First && slices.Contains(f.o.Seeds, from) { // one that forgot its votes founds nothing
 		f.heard[from] = now
 	}
 	if known := f.machines[from]; m.Disk && known.ID != m.ID {
-		f.machines[from], f.grown = signal.Machine{Addr: from, Zone: m.Zone, ID: m.ID}, now
+		f.machines[from], f.grown = message.Machine{Addr: from, Zone: m.Zone, ID: m.ID}, now
 	}
 	if m.Disk {
 		f.said[from] = now
@@ -140,8 +140,8 @@
 // come. All of the core have a vote at once: they are named by the ids of their disks, on which all is that
 // they will have acknowledged. After a while it is those that are there then, if no loss of machines covers
 // them: one more would be one too many that is not, or is another disk by now.
-func (f *Founder) enough() []signal.Machine {
-	all := func() []signal.Machine { return slices.SortedFunc(maps.Values(f.machines), byAddr) }
+func (f *Founder) enough() []message.Machine {
+	all := func() []message.Machine { return slices.SortedFunc(maps.Values(f.machines), byAddr) }
 	core, borne := f.o.Survive.found(all())
 	switch {
 	case borne && len(core) > f.o.Survive.Machines && f.now >= f.grown+foundQuiet:
@@ -149,7 +149,7 @@
 	case f.now < f.begun+foundFew:
 		return nil
 	}
-	maps.DeleteFunc(f.machines, func(addr string, _ signal.Machine) bool {
+	maps.DeleteFunc(f.machines, func(addr string, _ message.Machine) bool {
 		return f.now > f.said[addr]+deadAfter
 	})
 	if len(f.machines) <= f.o.Survive.Machines {
@@ -160,50 +160,50 @@
 }
 
 // propose asks for pledges, under a ballot that no other seed uses.
-func (f *Founder) propose(core []signal.Machine) {
+func (f *Founder) propose(core []message.Machine) {
 	rank := uint64(slices.Index(f.o.Seeds, f.o.Self))
 	f.ballot = (max(f.ballot, f.next.Pledged)/epochStep+1)*epochStep + rank
 	f.newest, f.draft = 0, seated(core)
 	f.become(Pledging)
-	f.toSeeds(&signal.Message{Kind: signal.Pledge, Epoch: f.ballot, Chain: f.o.Seeds})
+	f.toSeeds(&message.Message{Kind: message.Pledge, Epoch: f.ballot, Chain: f.o.Seeds})
 }
 
-func (f *Founder) toSeeds(m *signal.Message) {
+func (f *Founder) toSeeds(m *message.Message) {
 	for _, s := range f.o.Seeds {
 		f.o.Actions.Send(s, m)
 	}
 }
 
 // Handle takes a message of founding.
-func (f *Founder) Handle(now time.Duration, from string, m *signal.Message) {
+func (f *Founder) Handle(now time.Duration, from string, m *message.Message) {
 	f.now = now
 	seeds := f.o.Seeds
-	if m.Kind == signal.Pledge && !f.next.Sure { // its settings may name others by now
+	if m.Kind == message.Pledge && !f.next.Sure { // its settings may name others by now
 		seeds = m.Chain
 	}
 	if !slices.Contains(seeds, from) || !slices.Contains(seeds, f.o.Self) {
 		return
 	}
 	switch m.Kind {
-	case signal.Pledge:
+	case message.Pledge:
 		f.pledge(from, m)
-	case signal.Pledged:
+	case message.Pledged:
 		f.pledged(from, m)
-	case signal.Draft:
+	case message.Draft:
 		f.take(from, m)
-	case signal.Drafted:
+	case message.Drafted:
 		f.drafted(from, m)
 	}
 }
 
 // pledge promises to take no draft under a lower ballot, and tells the one that was taken last.
-func (f *Founder) pledge(from string, m *signal.Message) {
+func (f *Founder) pledge(from string, m *message.Message) {
 	if m.Epoch <= f.next.Pledged || f.o.Known() {
 		return // who asks tries again, under a higher one
 	}
 	f.next.Pledged, f.next.Seeds = m.Epoch, m.Chain
 	f.keep(func(k Founding) {
-		f.o.Actions.Send(from, &signal.Message{Kind: signal.Pledged, Life: m.Life, Epoch: m.Epoch,
+		f.o.Actions.Send(from, &message.Message{Kind: message.Pledged, Life: m.Life, Epoch: m.Epoch,
 			Version: k.Ballot, Registry: k.Draft, OK: k.Sure})
 	})
 }
@@ -219,7 +219,7 @@
 }
 
 // pledged counts a pledge. The newest draft that any of them has may be decided already: it is the one.
-func (f *Founder) pledged(from string, m *signal.Message) {
+func (f *Founder) pledged(from string, m *message.Message) {
 	if f.state != Pledging || m.Epoch != f.ballot {
 		return
 	}
@@ -230,12 +230,12 @@
 	sure := func(seed string) bool { return f.answers[seed] }
 	if quorate(sure, f.o.Seeds) || len(f.answers) == len(f.o.Seeds) {
 		f.become(Drafting)
-		f.toSeeds(&signal.Message{Kind: signal.Draft, Epoch: f.ballot, Registry: f.draft})
+		f.toSeeds(&message.Message{Kind: message.Draft, Epoch: f.ballot, Registry: f.draft})
 	}
 }
 
 // take takes a draft.
-func (f *Founder) take(from string, m *signal.Message) {
+func (f *Founder) take(from string, m *message.Message) {
 	if m.Epoch < f.next.Pledged || len(m.Registry) == 0 || f.o.Known() {
 		return
 	}
@@ -244,11 +244,11 @@
 	}
 	f.next.Pledged, f.next.Ballot, f.next.Draft = m.Epoch, m.Epoch, m.Registry
 	f.keep(func(Founding) {
-		f.o.Actions.Send(from, &signal.Message{Kind: signal.Drafted, Life: m.Life, Epoch: m.Epoch})
+		f.o.Actions.Send(from, &message.Message{Kind: message.Drafted, Life: m.Life, Epoch: m.Epoch})
 	})
 }
 
-func (f *Founder) drafted(from string, m *signal.Message) {
+func (f *Founder) drafted(from string, m *message.Message) {
 	if f.state != Drafting || m.Epoch != f.ballot {
 		return
 	}
--- a/exchange/frame/frame.go
+++ b/internal/controlplane/replica/frame.go
@@ -5,14 +5,14 @@
 //
 // A Frame is one machine's part. It knows no sockets, disks or clocks: it is told what came, what was saved
 // and what time it is, and acts through Actions. Its methods must not be called concurrently.
-package frame
+package replica
 
 import (
 	"slices"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // Tuned times, each with its reason.
@@ -41,14 +41,14 @@
 
 // Record is what a machine keeps on its disk.
 type Record struct {
-	Whole    bool             // it has all that was acknowledged, and may vote
-	ID       uint64           // of this store, made with it: with the address, it is who this machine is
-	Registry []signal.Machine // the members of the core, in the order of their addresses
+	Whole    bool              // it has all that was acknowledged, and may vote
+	ID       uint64            // of this store, made with it: with the address, it is who this machine is
+	Registry []message.Machine // the members of the core, in the order of their addresses
 	// Generation is the epoch of the view that installed the registry; 0: the first start did.
 	Generation uint64
-	Former     []signal.Machine // the registry before, until the change is known to be complete
+	Former     []message.Machine // the registry before, until the change is known to be complete
 	// Removed are the members that staff have removed last, with the ids that they had. They go with Registry.
-	Removed  []signal.Machine
+	Removed  []message.Machine
 	Barred   bool     // of a machine that was: it is no newcomer until staff add it
 	Promised uint64   // no view below this epoch gets anything from here
 	Epoch    uint64   // of the view installed last
@@ -60,7 +60,7 @@
 // Actions are what a Frame does. They must not call it back.
 type Actions interface {
 	// Send sends a message, or loses it.
-	Send(to string, m *signal.Message)
+	Send(to string, m *message.Message)
 	// Save writes a record and syncs it, and then calls Saved with the token. Saves are done in order.
 	Save(token uint64, r Record)
 	// Log writes an event.
@@ -85,7 +85,7 @@
 
 // Options are what New needs.
 type Options struct {
-	Self    signal.Machine
+	Self    message.Machine
 	Survive Tolerance
 	// LostAfter is for how long a member must be silent before another machine takes its place.
 	LostAfter time.Duration
@@ -135,14 +135,14 @@
 	committed uint64
 
 	puts   []put
-	passed uint64                       // the version that was sent down the chain last
-	texts  []text                       // the configurations committed last
-	packs  map[[2]uint64]*signal.Packed // of the one on disk, by its version and the base
+	passed uint64                        // the version that was sent down the chain last
+	texts  []text                        // the configurations committed last
+	packs  map[[2]uint64]*message.Packed // of the one on disk, by its version and the base
 	sentAt time.Duration
 	asks   map[uint64]*ask
 	askSeq uint64
 
-	list     signal.List
+	list     message.List
 	polls    map[string]poll
 	answered map[string]answered // the last answer to each who asked for news
 	members  map[string]member
@@ -194,7 +194,7 @@
 		peers: map[string]*peer{},
 		asks:  map[uint64]*ask{}, polls: map[string]poll{}, answered: map[string]answered{},
 		members:    map[string]member{},
-		candidates: map[string]*candidate{}, packs: map[[2]uint64]*signal.Packed{}, beatAt: now,
+		candidates: map[string]*candidate{}, packs: map[[2]uint64]*message.Packed{}, beatAt: now,
 		slow: -healthyFor, borne: o.Survive.none(), epoch: o.Disk.Epoch, chain: o.Disk.Chain, wishAt: now,
 		beatsSent: beatTimes{number: o.Life % (1 << 28) << 20}}
 	f.rec.Content, f.next.Content = o.Disk.known(), o.Disk.known()
@@ -326,56 +326,56 @@
 	if f.state != InService {
 		return false
 	}
-	return quorate(func(m signal.Machine) bool {
+	return quorate(func(m message.Machine) bool {
 		return f.is(m) && (m.Addr == f.self || f.inTouch(f.peers[m.Addr]))
 	}, f.next.voters()...)
 }
 
 // Handle takes a message.
-func (f *Frame) Handle(now time.Duration, from string, m *signal.Message) {
+func (f *Frame) Handle(now time.Duration, from string, m *message.Message) {
 	f.now = now
 	switch m.Kind {
-	case signal.Roll, signal.Notice:
+	case message.Roll, message.Notice:
 		f.told(m)
-	case signal.Reform:
+	case message.Reform:
 		f.reform(from, m)
-	case signal.Learn:
+	case message.Learn:
 		f.learn(from, m)
-	case signal.Learned:
+	case message.Learned:
 		f.learned(from, m)
-	case signal.Beat:
+	case message.Beat:
 		f.beaten(from, m)
-	case signal.Prepare:
+	case message.Prepare:
 		f.prepare(from, m)
-	case signal.Promise:
+	case message.Promise:
 		f.promised(from, m)
-	case signal.Refuse:
+	case message.Refuse:
 		f.refused(m)
-	case signal.Install:
+	case message.Install:
 		f.install(from, m)
-	case signal.Installed:
+	case message.Installed:
 		f.installed(from, m)
-	case signal.Active:
+	case message.Active:
 		f.activate(m)
-	case signal.Put:
+	case message.Put:
 		f.put(from, m)
-	case signal.Relay:
+	case message.Relay:
 		f.relayed(from, m)
-	case signal.Done:
+	case message.Done:
 		f.done(m)
-	case signal.Read:
+	case message.Read:
 		f.read(from, m)
-	case signal.Confirm:
+	case message.Confirm:
 		// Not what this machine serves, but what it has promised: no later view can be in service unless a
 		// majority has promised its epoch.
 		ok := f.rec.Whole && f.next.Whole && f.next.Promised == m.Epoch
-		f.Actions.Send(from, &signal.Message{Kind: signal.Confirmed, Life: m.Life, Call: m.Call, Epoch: m.Epoch,
+		f.Actions.Send(from, &message.Message{Kind: message.Confirmed, Life: m.Life, Call: m.Call, Epoch: m.Epoch,
 			OK: ok})
-	case signal.Confirmed:
+	case message.Confirmed:
 		f.confirmed(from, m)
-	case signal.Poll:
+	case message.Poll:
 		f.poll(from, m)
-	case signal.Lineup:
+	case message.Lineup:
 		f.lineup(m)
 	}
 }
@@ -407,10 +407,10 @@
 
 // beat tells the others of the core how this machine is.
 func (f *Frame) beat() {
-	m := signal.Message{Kind: signal.Beat, OK: f.rec.Whole && f.next.Whole, Ill: f.sick() || !f.hears(),
+	m := message.Message{Kind: message.Beat, OK: f.rec.Whole && f.next.Whole, Ill: f.sick() || !f.hears(),
 		ID: f.rec.ID, Generation: f.rec.Generation, Joint: len(f.rec.Former) > 0, Leaving: f.leaving,
 		Misses: f.misses(), Beat: f.beatsSent.next(f.now),
-		List: &signal.List{Epoch: f.list.Epoch, Seq: f.list.Seq}}
+		List: &message.List{Epoch: f.list.Epoch, Seq: f.list.Seq}}
 	if f.beatsSent.sent%membersEach == 0 {
 		m.Members = f.own()
 	}
@@ -440,12 +440,12 @@
 // hears reports whether this machine hears a quorum, or may yet after its start. One that doesn't is of no
 // use to those who hear it.
 func (f *Frame) hears() bool {
-	return f.now <= f.begun+deadAfter || quorate(func(m signal.Machine) bool {
+	return f.now <= f.begun+deadAfter || quorate(func(m message.Machine) bool {
 		return f.is(m) && (m.Addr == f.self || f.now < f.peers[m.Addr].heard+deadAfter)
 	}, f.rec.voters()...)
 }
 
-func (f *Frame) beaten(from string, m *signal.Message) {
+func (f *Frame) beaten(from string, m *message.Message) {
 	if !f.admits(from, m) {
 		return
 	}
@@ -464,7 +464,8 @@
 		p.contact = 0
 	}
 	p.touched(m.Epoch, at)
-	late := known && f.now >= at+deadAfter // it has waited on its way, and tells how the peer was, not how it is
+	late := known &&
+		f.now >= at+deadAfter // it has waited on its way, and tells how the peer was, not how it is
 	if !late {
 		if f.now > p.heard+deadAfter {
 			p.first = f.now
@@ -492,7 +493,7 @@
 		f.epoch, f.chain = m.Epoch, nil
 		f.become(Aside)
 	case m.Epoch == f.epoch && f.state == InService:
-		f.done(&signal.Message{Epoch: m.Epoch, Version: m.Version})
+		f.done(&message.Message{Epoch: m.Epoch, Version: m.Version})
 	}
 	if p.epoch == f.epoch && !late {
 		p.along = f.now
@@ -503,7 +504,7 @@
 		f.answerPolls()
 	}
 	if f.state == InService && m.OK && m.Epoch < f.epoch && slices.Contains(f.chain, from) {
-		f.Actions.Send(from, &signal.Message{Kind: signal.Active, Epoch: f.epoch, Chain: f.chain,
+		f.Actions.Send(from, &message.Message{Kind: message.Active, Epoch: f.epoch, Chain: f.chain,
 			Version: f.committed}) // it missed the news
 	}
 	f.tellBehind(from, p)
--- a/exchange/frame/keep.go
+++ b/internal/controlplane/replica/keep.go
@@ -1,9 +1,9 @@
-package frame
+package replica
 
 import (
 	"slices"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // Who keeps the counts gives tokens away, and two who do so at once give twice what there is: the epoch of a
@@ -50,7 +50,7 @@
 			return false
 		}
 	}
-	return f.now > f.begun+keepFor || !slices.ContainsFunc(f.concerned(), func(m signal.Machine) bool {
+	return f.now > f.begun+keepFor || !slices.ContainsFunc(f.concerned(), func(m message.Machine) bool {
 		return !knows(m.Addr)
 	})
 }
@@ -58,7 +58,7 @@
 // leaseTold takes what a beat tells of leases: that of its sender, counted from the beat that it answers;
 // that the sender has heard this machine in its view, and has none of it in an earlier one any more; and
 // whether others may have one of the sender.
-func (f *Frame) leaseTold(p *peer, m *signal.Message) {
+func (f *Frame) leaseTold(p *peer, m *message.Message) {
 	sent, known := f.beatsSent.time(m.Echo)
 	if p.leased = 0; known && p.epoch == m.Epoch {
 		p.leased = sent
@@ -76,7 +76,7 @@
 
 // leased reports whether this machine has leases of a majority.
 func (f *Frame) leased() bool {
-	return f.state == InService && quorate(func(m signal.Machine) bool {
+	return f.state == InService && quorate(func(m message.Machine) bool {
 		return f.is(m) && (m.Addr == f.self || f.leases(f.peers[m.Addr]))
 	}, f.next.voters()...)
 }
--- a/exchange/frame/members.go
+++ b/internal/controlplane/replica/members.go
@@ -1,4 +1,4 @@
-package frame
+package replica
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // Times of members, each with its reason.
@@ -27,7 +27,7 @@
 // candidate is a machine with a disk that would be a member. It is a learner, without a vote, until a view
 // makes it a member.
 type candidate struct {
-	signal.Machine
+	message.Machine
 	heard time.Duration
 	asked time.Duration
 	ready bool // it has what there was on its disk
@@ -39,25 +39,28 @@
 func majority[T any](all []T) int { return len(all)/2 + 1 }
 
 // at reports whether a registry has a member at an address.
-func at(registry []signal.Machine, addr string) bool {
-	return slices.ContainsFunc(registry, func(m signal.Machine) bool { return m.Addr == addr })
+func at(registry []message.Machine, addr string) bool {
+	return slices.ContainsFunc(registry, func(m message.Machine) bool { return m.Addr == addr })
 }
 
 // among returns the members at some addresses.
-func among(registry []signal.Machine, addrs []string) []signal.Machine {
-	return slices.DeleteFunc(slices.Clone(registry), func(m signal.Machine) bool {
+func among(registry []message.Machine, addrs []string) []message.Machine {
+	return slices.DeleteFunc(slices.Clone(registry), func(m message.Machine) bool {
 		return !slices.Contains(addrs, m.Addr)
 	})
 }
 
 // without returns the members but the one at an address.
-func without(registry []signal.Machine, addr string) []signal.Machine {
-	return slices.DeleteFunc(slices.Clone(registry), func(m signal.Machine) bool { return m.Addr == addr })
+func without(registry []message.Machine, addr string) []message.Machine {
+	return slices.DeleteFunc(slices.Clone(registry), func(m message.Machine) bool { return m.Addr == addr })
 }
 
 // has reports whether a machine is a member: the same disk at the same address.
-func has(registry []signal.Machine, m signal.Machine) bool {
-	return slices.ContainsFunc(registry, func(r signal.Machine) bool { return r.Addr == m.Addr && r.ID == m.ID })
+func has(registry []message.Machine, m message.Machine) bool {
+	return slices.ContainsFunc(
+		registry,
+		func(r message.Machine) bool { return r.Addr == m.Addr && r.ID == m.ID },
+	)
 }
 
 // quorate reports whether those that a condition holds for are a majority of each of some electorates:
@@ -78,8 +81,8 @@
 }
 
 // seated gives a registry without seats some, by its order.
-func seated(registry []signal.Machine) []signal.Machine {
-	if slices.ContainsFunc(registry, func(m signal.Machine) bool { return m.Seat != 0 }) {
+func seated(registry []message.Machine) []message.Machine {
+	if slices.ContainsFunc(registry, func(m message.Machine) bool { return m.Seat != 0 }) {
 		return registry
 	}
 	registry = slices.Clone(registry)
@@ -90,7 +93,7 @@
 }
 
 // byAddr is the agreed order of a registry.
-func byAddr(a, b signal.Machine) int { return strings.Compare(a.Addr, b.Addr) }
+func byAddr(a, b message.Machine) int { return strings.Compare(a.Addr, b.Addr) }
 
 // identify gives a store that has just been made its id. That of an earlier program goes by the one that it
 // has in its registry.
@@ -115,7 +118,7 @@
 }
 
 // is reports whether the machine that is heard at a member's address, or this one, is that member.
-func (f *Frame) is(m signal.Machine) bool {
+func (f *Frame) is(m message.Machine) bool {
 	if m.Addr == f.self {
 		return m.ID == f.rec.ID
 	}
@@ -124,21 +127,21 @@
 }
 
 // me is this machine with its present store.
-func (f *Frame) me() signal.Machine {
-	return signal.Machine{Addr: f.self, Zone: f.Self.Zone, ID: f.next.ID}
+func (f *Frame) me() message.Machine {
+	return message.Machine{Addr: f.self, Zone: f.Self.Zone, ID: f.next.ID}
 }
 
 // voters returns the registries of which a majority each has to agree: the one before, too, while a change
 // is not known to be complete.
-func (r *Record) voters() [][]signal.Machine {
+func (r *Record) voters() [][]message.Machine {
 	if len(r.Former) > 0 {
-		return [][]signal.Machine{r.Registry, r.Former}
+		return [][]message.Machine{r.Registry, r.Former}
 	}
-	return [][]signal.Machine{r.Registry}
+	return [][]message.Machine{r.Registry}
 }
 
 // concerned returns the members, and those before a change that is not known to be complete.
-func (f *Frame) concerned() []signal.Machine {
+func (f *Frame) concerned() []message.Machine {
 	list := f.rec.Registry
 	for _, m := range f.rec.Former {
 		if !at(f.rec.Registry, m.Addr) {
@@ -149,24 +152,24 @@
 }
 
 // Roll returns what this machine tells of the core.
-func (f *Frame) Roll() *signal.Message {
-	return &signal.Message{Kind: signal.Roll, Registry: f.rec.Registry, Generation: f.rec.Generation,
+func (f *Frame) Roll() *message.Message {
+	return &message.Message{Kind: message.Roll, Registry: f.rec.Registry, Generation: f.rec.Generation,
 		Former: f.rec.Former, Removed: f.rec.Removed}
 }
 
 // admits reports whether a beat is a member's. One that was removed is told so, and who knows of a newer
 // registry is asked for it.
-func (f *Frame) admits(from string, m *signal.Message) bool {
+func (f *Frame) admits(from string, m *message.Message) bool {
 	if m.Generation > f.rec.Generation ||
 		m.Generation == f.rec.Generation && len(f.rec.Former) > 0 && !m.Joint {
-		f.Actions.Send(from, &signal.Message{Kind: signal.Hello, Zone: f.Self.Zone})
+		f.Actions.Send(from, &message.Message{Kind: message.Hello, Zone: f.Self.Zone})
 	}
-	if has(f.concerned(), signal.Machine{Addr: from, ID: m.ID}) {
+	if has(f.concerned(), message.Machine{Addr: from, ID: m.ID}) {
 		return true
 	}
 	if m.Generation < f.rec.Generation || m.Joint && len(f.rec.Former) == 0 {
 		r := f.Roll()
-		r.Kind = signal.Notice
+		r.Kind = message.Notice
 		f.Actions.Send(from, r)
 	}
 	return false
@@ -174,7 +177,7 @@
 
 // told takes what another machine says of the members. A machine without a vote waits until a change is
 // known to be complete.
-func (f *Frame) told(m *signal.Message) {
+func (f *Frame) told(m *message.Message) {
 	switch {
 	case len(m.Registry) == 0:
 	case f.next.Whole:
@@ -186,7 +189,7 @@
 
 // register notes the members on a machine without a vote. Whoever stands in the registry of the first start
 // with this very disk has had all that was acknowledged since: it is whole. Others are mended by a view.
-func (f *Frame) register(m *signal.Message, mine bool) {
+func (f *Frame) register(m *message.Message, mine bool) {
 	if !mine {
 		f.next.Registry, f.next.Former, f.next.Generation = nil, nil, 0
 		return
@@ -206,7 +209,7 @@
 
 // adopt takes a newer registry, if it is one. It may be of a change that is not known to be complete: then
 // both registries have to agree from here on. A machine that is in neither was removed.
-func (f *Frame) adopt(m *signal.Message) {
+func (f *Frame) adopt(m *message.Message) {
 	known := m.Generation == f.next.Generation && (len(f.next.Former) == 0 || len(m.Former) > 0)
 	if m.Generation < f.next.Generation || known {
 		return
@@ -226,7 +229,7 @@
 // retire gives up this machine's membership, for ever: it was removed. What it holds counts no more, and it
 // may come back as another member, with another id; if staff have removed it, by them alone. What it has
 // promised stays.
-func (f *Frame) retire(generation uint64, removed []signal.Machine) {
+func (f *Frame) retire(generation uint64, removed []message.Machine) {
 	barred := has(removed, f.me())
 	f.Actions.Log(events.Retired, "generation", generation, "barred", barred)
 	f.retired++
@@ -237,27 +240,27 @@
 }
 
 // Hello notes a machine with a disk that would be a member.
-func (f *Frame) Hello(now time.Duration, from string, m *signal.Message) {
+func (f *Frame) Hello(now time.Duration, from string, m *message.Message) {
 	f.now = now
-	if from == f.self || has(f.rec.Registry, signal.Machine{Addr: from, ID: m.ID}) {
+	if from == f.self || has(f.rec.Registry, message.Machine{Addr: from, ID: m.ID}) {
 		return
 	}
 	c := f.candidates[from]
 	if c == nil || c.ID != m.ID {
-		c = &candidate{Machine: signal.Machine{Addr: from, Zone: m.Zone, ID: m.ID}}
+		c = &candidate{Machine: message.Machine{Addr: from, Zone: m.Zone, ID: m.ID}}
 		f.candidates[from] = c
 	}
 	c.heard, c.barred = now, m.Barred
 	if f.state == InService && !c.ready && f.first() == f.self && (c.asked == 0 || now >= c.asked+learnEvery) {
 		c.asked = now
-		f.Actions.Send(from, &signal.Message{Kind: signal.Learn, ID: c.ID, Stamp: f.rec.Stamp,
-			Version: f.rec.Version, Past: f.rec.last(), Taken: signal.Pack(f.rec.numbers(), 0, nil),
-			Config: signal.Pack(f.rec.Config, 0, nil)})
+		f.Actions.Send(from, &message.Message{Kind: message.Learn, ID: c.ID, Stamp: f.rec.Stamp,
+			Version: f.rec.Version, Past: f.rec.last(), Taken: message.Pack(f.rec.numbers(), 0, nil),
+			Config: message.Pack(f.rec.Config, 0, nil)})
 	}
 }
 
 // learn takes what there is, as a machine without a vote: a view that makes it a member finds it there.
-func (f *Frame) learn(from string, m *signal.Message) {
+func (f *Frame) learn(from string, m *message.Message) {
 	if f.state != Blank || f.next.Whole || m.ID != f.rec.ID || f.sick() {
 		return
 	}
@@ -267,11 +270,11 @@
 	}
 	f.next.Content = learnt
 	f.save(func() {
-		f.Actions.Send(from, &signal.Message{Kind: signal.Learned, ID: m.ID, Version: m.Version})
+		f.Actions.Send(from, &message.Message{Kind: message.Learned, ID: m.ID, Version: m.Version})
 	})
 }
 
-func (f *Frame) learned(from string, m *signal.Message) {
+func (f *Frame) learned(from string, m *message.Message) {
 	if c := f.candidates[from]; c != nil && c.ID == m.ID {
 		c.ready, c.heard = true, f.now
 	}
@@ -279,7 +282,7 @@
 
 // change is the registry that there should be next; nil: the present one. It is asked for while a view
 // serves well, so one change follows the other.
-func (f *Frame) change() []signal.Machine {
+func (f *Frame) change() []message.Machine {
 	if len(f.rec.Former) > 0 || len(f.next.Former) > 0 || f.first() != f.self || !f.Fresh() {
 		return nil
 	}
@@ -326,7 +329,7 @@
 
 // ready returns the machines that may become members of themselves: they have caught up, and staff have not
 // removed them.
-func (f *Frame) ready() (list []signal.Machine) {
+func (f *Frame) ready() (list []message.Machine) {
 	for _, c := range f.candidates {
 		if c.ready && !c.barred {
 			list = append(list, c.Machine)
@@ -357,9 +360,9 @@
 
 // replaced is the registry with a machine in place of another, or, where that is empty, besides all; nil:
 // there is no seat for it.
-func (f *Frame) replaced(old string, fresh signal.Machine) []signal.Machine {
+func (f *Frame) replaced(old string, fresh message.Machine) []message.Machine {
 	taken := map[uint64]bool{}
-	var list []signal.Machine
+	var list []message.Machine
 	for _, m := range f.rec.Registry {
 		if taken[m.Seat] = true; m.Addr != old {
 			list = append(list, m)
@@ -385,7 +388,7 @@
 
 // reform takes an order by hand at the head, or tells the members where nothing is to be changed. An order
 // that comes again is the same one, and is answered when it is done.
-func (f *Frame) reform(from string, m *signal.Message) {
+func (f *Frame) reform(from string, m *message.Message) {
 	if f.place() != 0 || !f.Fresh() {
 		f.sendOn(from, m)
 		return
@@ -413,7 +416,7 @@
 
 // reformed answers an order: it is done, or why it is not.
 func (f *Frame) reformed(o *order, why string) {
-	m := &signal.Message{Kind: signal.Reformed, Life: o.life, Call: o.call, OK: why == "", Text: why,
+	m := &message.Message{Kind: message.Reformed, Life: o.life, Call: o.call, OK: why == "", Text: why,
 		Registry: f.rec.Registry, Generation: f.rec.Generation, Chain: f.chain, Spare: uint64(f.Spare()),
 		Lacks: f.Lacks()}
 	for _, c := range f.candidates {
@@ -427,7 +430,7 @@
 
 // removed returns the members that staff have removed, once another registry is in force. As they are part of
 // it, who is told of one is told of the other.
-func (f *Frame) removed(next []signal.Machine) []signal.Machine {
+func (f *Frame) removed(next []message.Machine) []message.Machine {
 	if f.order == nil || at(next, f.order.remove) {
 		return f.rec.Removed
 	}
@@ -449,8 +452,8 @@
 }
 
 // ordered is the registry that an order asks for, or why there is none.
-func (f *Frame) ordered(add, remove string) (next []signal.Machine, why string) {
-	var fresh signal.Machine
+func (f *Frame) ordered(add, remove string) (next []message.Machine, why string) {
+	var fresh message.Machine
 	if add != "" {
 		c := f.candidates[add]
 		switch {
@@ -484,12 +487,17 @@
 		return nil, fmt.Sprintf("%d members would be left: the loss of %d could not be borne", len(next),
 			f.Survive.Machines)
 	case votes < majority(next):
-		return nil, fmt.Sprintf("no quorum would be left: of the %d members, %d are heard and have a vote, and %d "+
-			"have to", len(next), votes, majority(next))
+		return nil, fmt.Sprintf(
+			"no quorum would be left: of the %d members, %d are heard and have a vote, and %d "+
+				"have to",
+			len(next),
+			votes,
+			majority(next),
+		)
 	}
 	if t := f.Survive; t.byDomain() {
 		well := f.well()
-		stay := slices.DeleteFunc(slices.Clone(next), func(m signal.Machine) bool {
+		stay := slices.DeleteFunc(slices.Clone(next), func(m message.Machine) bool {
 			return m.Addr != add && !has(well, m)
 		})
 		if why := t.lacks(stay, next); why != "" && t.lacks(well, f.rec.Registry) == "" {
@@ -536,11 +544,11 @@
 
 // well returns the members of the view that can be counted on: heard, whole, in service in it, with the last
 // change noted as complete; none on a machine that does not know that a view serves.
-func (f *Frame) well() []signal.Machine {
+func (f *Frame) well() []message.Machine {
 	if !f.Fresh() || len(f.rec.Former) > 0 {
 		return nil
 	}
-	return slices.DeleteFunc(among(f.rec.Registry, f.chain), func(m signal.Machine) bool {
+	return slices.DeleteFunc(among(f.rec.Registry, f.chain), func(m message.Machine) bool {
 		p := f.peers[m.Addr]
 		return !(m.Addr == f.self && !f.sick() || p != nil && f.live(m.Addr) && p.whole && p.epoch == f.epoch &&
 			p.generation == f.rec.Generation && !p.joint)
--- a/exchange/frame/news.go
+++ b/internal/controlplane/replica/news.go
@@ -1,4 +1,4 @@
-package frame
+package replica
 
 import (
 	"cmp"
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // poll is a question for news that waits for some.
 type poll struct {
-	signal.Message
+	message.Message
 	due time.Duration
 }
 
@@ -29,7 +29,7 @@
 const gatherFor = 1250 * time.Millisecond
 
 type member struct {
-	signal.Machine
+	message.Machine
 	renewed time.Duration
 	here    time.Duration // when it last renewed its lease at this machine
 }
@@ -37,10 +37,10 @@
 // poll takes a question for news, which renews the lease of who asks. The lease counts from when that was
 // sent, by what it says of the answer before: one that waited on its way, or comes again, is as old as it is.
 // A first question names none, and the next one follows at once.
-func (f *Frame) poll(from string, m *signal.Message) {
+func (f *Frame) poll(from string, m *message.Message) {
 	if t, ok := f.answered[from]; ok && t.life == m.Life && t.call == m.Echo {
 		sent := min(f.now, t.at+time.Duration(m.Held)*time.Millisecond)
-		f.lease(signal.Machine{Addr: from, Zone: m.Zone, Age: uint64((f.now - sent).Milliseconds())}, true)
+		f.lease(message.Machine{Addr: from, Zone: m.Zone, Age: uint64((f.now - sent).Milliseconds())}, true)
 	}
 	wait := min(time.Duration(m.Wait)*time.Millisecond, leaseTime/2)
 	if old, waits := f.polls[from]; waits && old.Life == m.Life && old.Call >= m.Call {
@@ -93,7 +93,7 @@
 // answer answers a poll, if there is news for it or it has waited long enough.
 func (f *Frame) answer(to string, now bool) {
 	p := f.polls[to]
-	m := &signal.Message{Kind: signal.News, Life: p.Life, Call: p.Call, OK: f.tells() && p.Epoch <= f.epoch,
+	m := &message.Message{Kind: message.News, Life: p.Life, Call: p.Call, OK: f.tells() && p.Epoch <= f.epoch,
 		Epoch: p.Epoch}
 	if !m.OK && !f.mending() {
 		now = true
@@ -117,7 +117,7 @@
 }
 
 // lease notes that a member's lease was renewed.
-func (f *Frame) lease(x signal.Machine, own bool) {
+func (f *Frame) lease(x message.Machine, own bool) {
 	renewed := f.now - time.Duration(x.Age)*time.Millisecond
 	old, known := f.members[x.Addr]
 	if renewed < f.now-leaseTime || known && old.renewed > renewed {
@@ -127,7 +127,7 @@
 	if own {
 		here = max(here, renewed)
 	}
-	f.members[x.Addr] = member{signal.Machine{Addr: x.Addr, Zone: x.Zone}, renewed, here}
+	f.members[x.Addr] = member{message.Machine{Addr: x.Addr, Zone: x.Zone}, renewed, here}
 	if !known {
 		f.count()
 	}
@@ -166,18 +166,18 @@
 }
 
 // all returns the members in an agreed order.
-func (f *Frame) all() []signal.Machine {
-	list := make([]signal.Machine, 0, len(f.members))
+func (f *Frame) all() []message.Machine {
+	list := make([]message.Machine, 0, len(f.members))
 	for _, m := range f.members {
 		list = append(list, m.Machine)
 	}
-	slices.SortFunc(list, func(a, b signal.Machine) int { return cmp.Compare(a.Addr, b.Addr) })
+	slices.SortFunc(list, func(a, b message.Machine) int { return cmp.Compare(a.Addr, b.Addr) })
 	return list
 }
 
 // own returns the members that renew their leases here, with how long ago they did.
-func (f *Frame) own() []signal.Machine {
-	var list []signal.Machine
+func (f *Frame) own() []message.Machine {
+	var list []message.Machine
 	for _, addr := range slices.Sorted(maps.Keys(f.members)) {
 		m := f.members[addr]
 		if m.here != 0 && f.now <= m.here+leaseTime {
@@ -221,7 +221,7 @@
 // List takes the list of servers as this machine has read it by its duty, and the epoch under which it held
 // that when it began to read: the list's fencing token. A reading that was held up while another view came is
 // older than what the next holder has told by then, and is dropped.
-func (f *Frame) List(now time.Duration, began uint64, servers []signal.Server) {
+func (f *Frame) List(now time.Duration, began uint64, servers []message.Server) {
 	epoch, ok := f.Holds(now, ReadServers)
 	if !ok || began != epoch {
 		return
@@ -234,7 +234,7 @@
 	if f.list.Epoch == epoch {
 		seq = f.list.Seq + 1
 	}
-	f.list = signal.List{Epoch: epoch, Seq: seq, Servers: servers}
+	f.list = message.List{Epoch: epoch, Seq: seq, Servers: servers}
 	f.tellList()
 	f.news()
 }
@@ -248,7 +248,7 @@
 		}
 		p.listEpoch, p.listN = f.list.Epoch, f.list.Seq // until its beat says otherwise
 		l := f.list
-		f.Actions.Send(to, &signal.Message{Kind: signal.Lineup, List: &l})
+		f.Actions.Send(to, &message.Message{Kind: message.Lineup, List: &l})
 	}
 }
 
@@ -259,16 +259,16 @@
 	holder := Holder(f.chain, ReadServers)
 	if f.state != InService || f.now < f.since+unreadFor || f.list.Epoch == f.epoch ||
 		holder != f.self && holder != to || !slices.Contains(f.chain, to) ||
-		!newer(&f.list, &signal.List{Epoch: p.listEpoch, Seq: p.listN}) {
+		!newer(&f.list, &message.List{Epoch: p.listEpoch, Seq: p.listN}) {
 		return
 	}
 	p.listEpoch, p.listN = f.list.Epoch, f.list.Seq // until its beat says otherwise
 	l := f.list
-	f.Actions.Send(to, &signal.Message{Kind: signal.Lineup, List: &l})
+	f.Actions.Send(to, &message.Message{Kind: message.Lineup, List: &l})
 }
 
 // lineup takes the list of servers from the machine that reads it.
-func (f *Frame) lineup(m *signal.Message) {
+func (f *Frame) lineup(m *message.Message) {
 	l := m.List
 	if l == nil || !newer(l, &f.list) {
 		return
@@ -278,6 +278,6 @@
 }
 
 // newer reports whether a list is newer than another, which may be none.
-func newer(a, b *signal.List) bool {
+func newer(a, b *message.List) bool {
 	return b == nil || a.Epoch > b.Epoch || a.Epoch == b.Epoch && a.Seq > b.Seq
 }
--- a/exchange/frame/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -1,11 +1,11 @@
-package frame
+package replica
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // What is long is told as a snapshot, in parts that are asked for one after the other, so that no answer
@@ -21,13 +21,13 @@
 // version names what a snapshot was made of: a list by epoch and number, a configuration by its number and
 // that of its base, the members by their digest.
 type version struct {
-	table signal.Table
+	table message.Table
 	of    [2]uint64
 }
 
 // snapshot is a table as it is told, encoded once for all who lack the same.
 type snapshot struct {
-	whole  *signal.Message
+	whole  *message.Message
 	bytes  []byte
 	digest uint64
 	asked  time.Duration
@@ -40,15 +40,15 @@
 }
 
 // of returns the snapshot of a version, which is made if there is none.
-func (s *snapshots) of(now time.Duration, v version, tell func() *signal.Message) *snapshot {
+func (s *snapshots) of(now time.Duration, v version, tell func() *message.Message) *snapshot {
 	x := s.made[v]
 	if x == nil {
 		if s.made == nil {
 			s.made, s.pulls = map[version]*snapshot{}, map[string]time.Duration{}
 		}
 		x = &snapshot{whole: tell()}
-		x.bytes = signal.Encode(nil, x.whole)
-		x.digest = signal.Digest(x.bytes)
+		x.bytes = message.Encode(nil, x.whole)
+		x.digest = message.Digest(x.bytes)
 		s.made[v] = x
 	}
 	x.asked = now
@@ -65,15 +65,15 @@
 // share of all that may be on its way. The bound is what admission control would be: nobody is turned away,
 // and all get less.
 func (s *snapshots) room(p *poll) int {
-	room := uint64(signal.RoomFirst)
+	room := uint64(message.RoomFirst)
 	if p.Room != 0 {
-		room = min(p.Room, signal.RoomMost)
+		room = min(p.Room, message.RoomMost)
 	}
-	return int(min(room, uint64(max(signal.RoomLeast, roomAll/max(1, len(s.pulls))))))
+	return int(min(room, uint64(max(message.RoomLeast, roomAll/max(1, len(s.pulls))))))
 }
 
 // tables puts into an answer what the caller lacks, and reports whether that is news for it.
-func (f *Frame) tables(to string, p *poll, m *signal.Message) (news bool) {
+func (f *Frame) tables(to string, p *poll, m *message.Message) (news bool) {
 	s := &f.snapshots
 	room := s.room(p)
 	tell := func(x *snapshot, v version, stale bool) {
@@ -81,8 +81,8 @@
 			add(m, x.whole)
 			return
 		}
-		part := signal.Part{Table: v.table, Digest: x.digest, Size: uint64(len(x.bytes)), Stale: stale}
-		if v.table == signal.ConfigTable {
+		part := message.Part{Table: v.table, Digest: x.digest, Size: uint64(len(x.bytes)), Stale: stale}
+		if v.table == message.ConfigTable {
 			part.Version, part.Base = v.of[0], v.of[1]
 		}
 		if held := partOf(p.Parts, v.table); held != nil && held.Digest == x.digest {
@@ -100,17 +100,17 @@
 		news = true
 	}
 	if f.list.Epoch != 0 && newer(&f.list, p.List) {
-		v := version{signal.ServerTable, [2]uint64{f.list.Epoch, f.list.Seq}}
-		tell(s.of(f.now, v, func() *signal.Message {
+		v := version{message.ServerTable, [2]uint64{f.list.Epoch, f.list.Seq}}
+		tell(s.of(f.now, v, func() *message.Message {
 			l := f.list // not the frame's own, which changes: this process asks, too
-			return &signal.Message{List: &l}
+			return &message.Message{List: &l}
 		}), v, false)
 		news = true
 	}
 	if f.roster != p.Roster && (p.Roster == 0 || f.gathered()) {
-		v := version{signal.MemberTable, [2]uint64{f.roster}}
-		tell(s.of(f.now, v, func() *signal.Message {
-			return &signal.Message{Members: f.all(), Roster: f.roster}
+		v := version{message.MemberTable, [2]uint64{f.roster}}
+		tell(s.of(f.now, v, func() *message.Message {
+			return &message.Message{Members: f.all(), Roster: f.roster}
 		}), v, false)
 	}
 	return news || len(p.Parts) > 0 && len(m.Parts) > 0
@@ -120,7 +120,7 @@
 // on while the newest can be told as a change of that: otherwise who has a slow link would begin anew with
 // each change, and never come to an end.
 func (f *Frame) configuration(p *poll) (v version, x *snapshot, stale bool) {
-	if held := partOf(p.Parts, signal.ConfigTable); held != nil && held.Version > max(p.Version, p.Base) {
+	if held := partOf(p.Parts, message.ConfigTable); held != nil && held.Version > max(p.Version, p.Base) {
 		known := held.Base == 0 || f.keeps(held.Base) && (held.Base == p.Version || held.Base == p.Base)
 		if known && f.keeps(held.Version) {
 			if v, x = f.packedAs(held.Version, held.Base); x.digest == held.Digest {
@@ -141,10 +141,10 @@
 
 // packedAs is the snapshot of one of the configurations that are kept, as a change of another; 0: of none.
 func (f *Frame) packedAs(number, base uint64) (version, *snapshot) {
-	v := version{signal.ConfigTable, [2]uint64{number, base}}
-	return v, f.snapshots.of(f.now, v, func() *signal.Message {
+	v := version{message.ConfigTable, [2]uint64{number, base}}
+	return v, f.snapshots.of(f.now, v, func() *message.Message {
 		i := slices.IndexFunc(f.texts, func(t text) bool { return t.version == number })
-		return &signal.Message{Version: number, Config: f.packed(f.texts[i], base, true)}
+		return &message.Message{Version: number, Config: f.packed(f.texts[i], base, true)}
 	})
 }
 
@@ -154,7 +154,7 @@
 }
 
 // add puts a table's whole into an answer.
-func add(m, table *signal.Message) {
+func add(m, table *message.Message) {
 	switch {
 	case table.Config != nil:
 		m.Version, m.Config = table.Version, table.Config
@@ -165,8 +165,8 @@
 	}
 }
 
-func partOf(parts []signal.Part, t signal.Table) *signal.Part {
-	if i := slices.IndexFunc(parts, func(p signal.Part) bool { return p.Table == t }); i >= 0 {
+func partOf(parts []message.Part, t message.Table) *message.Part {
+	if i := slices.IndexFunc(parts, func(p message.Part) bool { return p.Table == t }); i >= 0 {
 		return &parts[i]
 	}
 	return nil
--- a/exchange/frame/survive.go
+++ b/internal/controlplane/replica/survive.go
@@ -1,4 +1,4 @@
-package frame
+package replica
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // Tolerance is what may be lost at once with nothing acknowledged lost and a quorum left: so many machines of
@@ -21,14 +21,14 @@
 type kind struct {
 	name string
 	lost int
-	of   func(m signal.Machine) string
+	of   func(m message.Machine) string
 }
 
 // kinds are those of which any may be lost; machines always, since a chain has at least one.
 func (t Tolerance) kinds() []kind {
-	list := []kind{{"machine", t.Machines, func(m signal.Machine) string { return m.Addr }}}
+	list := []kind{{"machine", t.Machines, func(m message.Machine) string { return m.Addr }}}
 	if t.Zones > 0 {
-		list = append(list, kind{"zone", t.Zones, func(m signal.Machine) string { return m.Zone }})
+		list = append(list, kind{"zone", t.Zones, func(m message.Machine) string { return m.Zone }})
 	}
 	if t.Regions > 0 {
 		list = append(list, kind{"region", t.Regions, t.region})
@@ -36,7 +36,7 @@
 	return list
 }
 
-func (t Tolerance) region(m signal.Machine) string { return t.Region[m.Zone] }
+func (t Tolerance) region(m message.Machine) string { return t.Region[m.Zone] }
 
 // none reports whether nothing has to be borne.
 func (t Tolerance) none() bool { return t.Machines == 0 && !t.byDomain() }
@@ -51,7 +51,7 @@
 }
 
 // domains are those of some machines, the smallest first.
-func (k kind) domains(list []signal.Machine) (all []domain) {
+func (k kind) domains(list []message.Machine) (all []domain) {
 	for _, m := range list {
 		i := slices.IndexFunc(all, func(d domain) bool { return d.name == k.of(m) })
 		if i < 0 {
@@ -66,7 +66,7 @@
 }
 
 // left is how many of some machines are left after the loss of so many domains at worst, and which those are.
-func (k kind) left(list []signal.Machine, lost int) (n int, names []string) {
+func (k kind) left(list []message.Machine, lost int) (n int, names []string) {
 	all := k.domains(list)
 	n = len(list)
 	for _, d := range all[max(0, len(all)-lost):] {
@@ -78,12 +78,12 @@
 
 // covers is the fewest domains over which a chain has to be spread, so that no loss of what may be lost
 // covers it; of a registry that is all covered, all that it has.
-func (k kind) covers(registry []signal.Machine) int {
+func (k kind) covers(registry []message.Machine) int {
 	return min(k.lost+1, len(k.domains(registry)))
 }
 
 // suffices reports whether a chain may serve: what it acknowledges outlives any loss of what may be lost.
-func (t Tolerance) suffices(chain, registry []signal.Machine) bool {
+func (t Tolerance) suffices(chain, registry []message.Machine) bool {
 	for _, k := range t.kinds() {
 		if len(k.domains(chain)) < k.covers(registry) {
 			return false
@@ -93,12 +93,12 @@
 }
 
 // need is how many members have to be left after a loss: a quorum, and enough for a chain.
-func (t Tolerance) need(registry []signal.Machine) int {
+func (t Tolerance) need(registry []message.Machine) int {
 	return max(majority(registry), min(t.Machines+1, len(registry)))
 }
 
 // spare is how many single machines may be lost of those that are well, so that the others serve.
-func (t Tolerance) spare(well, registry []signal.Machine) int {
+func (t Tolerance) spare(well, registry []message.Machine) int {
 	n := len(well) - t.need(registry)
 	for _, k := range t.kinds()[1:] {
 		// The smallest domains, machine by machine, until too few are left to be spread over.
@@ -113,7 +113,7 @@
 
 // lacks tells why not all that may be lost at once can be lost of those that are well; "": it can. In a
 // registry that can bear it, no permitted loss holds a quorum, so that none covers a chain.
-func (t Tolerance) lacks(well, registry []signal.Machine) string {
+func (t Tolerance) lacks(well, registry []message.Machine) string {
 	need := t.need(registry)
 	for _, k := range t.kinds() {
 		if n, names := k.left(well, k.lost); n < need && k.lost > 0 {
@@ -125,7 +125,7 @@
 }
 
 // missing is how many losses fewer can be borne by a registry than may come, all kinds together.
-func (t Tolerance) missing(registry []signal.Machine) (n int) {
+func (t Tolerance) missing(registry []message.Machine) (n int) {
 	need := t.need(registry)
 	for _, k := range t.kinds() {
 		for lost := k.lost; lost > 0; lost-- {
@@ -140,7 +140,7 @@
 
 // uneven is how badly a registry is spread, to be compared: by what it can't bear, then by the squares of its
 // domains, so that the domain that lacks members is filled first.
-func (t Tolerance) uneven(registry []signal.Machine) []int {
+func (t Tolerance) uneven(registry []message.Machine) []int {
 	by := []int{t.missing(registry)}
 	for _, k := range slices.Backward(t.kinds()[1:]) {
 		squares := 0
@@ -154,7 +154,7 @@
 
 // pick is the one of some machines that a registry is best spread with; of alike ones the first of a zone,
 // else the first.
-func (t Tolerance) pick(registry, fresh []signal.Machine, zone string) (best int) {
+func (t Tolerance) pick(registry, fresh []message.Machine, zone string) (best int) {
 	var least []int
 	for i, m := range fresh {
 		by := t.uneven(append(slices.Clip(registry), m))
@@ -170,7 +170,7 @@
 
 // better is a change by which more can be borne: a machine that comes besides the members or, where none
 // helps so, takes the place of one in a domain that has too many. It is the first of a row of such changes.
-func (t Tolerance) better(registry, fresh []signal.Machine) (old string, i int, ok bool) {
+func (t Tolerance) better(registry, fresh []message.Machine) (old string, i int, ok bool) {
 	switch {
 	case len(fresh) == 0 || t.missing(registry) == 0:
 		return "", 0, false
@@ -184,7 +184,7 @@
 }
 
 // row is the first of a row of changes after which more can be borne, if there is one.
-func (t Tolerance) row(registry, fresh []signal.Machine, swaps bool) (old string, i int, ok bool) {
+func (t Tolerance) row(registry, fresh []message.Machine, swaps bool) (old string, i int, ok bool) {
 	missing := t.missing(registry)
 	for step := 0; len(fresh) > 0; step++ {
 		out, in := "", t.pick(registry, fresh, "")
@@ -208,7 +208,7 @@
 
 // shed is the member to go without a successor, of a domain that has too many, the first of a row after which
 // more can be borne; "": none.
-func (t Tolerance) shed(registry []signal.Machine) (first string) {
+func (t Tolerance) shed(registry []message.Machine) (first string) {
 	missing := t.missing(registry)
 	for missing > 0 && len(registry) > 2*t.Machines+1 {
 		var least []int
@@ -227,7 +227,7 @@
 }
 
 // swap is the member whose place one of some machines takes best, and that machine.
-func (t Tolerance) swap(registry, fresh []signal.Machine) (old string, best int) {
+func (t Tolerance) swap(registry, fresh []message.Machine) (old string, best int) {
 	var least []int
 	seen := map[string]bool{} // a zone's members are alike
 	for _, m := range registry {
@@ -246,7 +246,7 @@
 
 // found is the core that some machines make: all of them, or, where a domain has too many, the most that can
 // bear what may be lost; ok is false where none can, and it is all.
-func (t Tolerance) found(all []signal.Machine) (core []signal.Machine, ok bool) {
+func (t Tolerance) found(all []message.Machine) (core []message.Machine, ok bool) {
 	if t.missing(all) == 0 {
 		return all, true
 	}
@@ -269,7 +269,7 @@
 
 // atMost is some machines with at most so many of each zone and of each region; a region's zones give theirs
 // in turn.
-func (t Tolerance) atMost(all []signal.Machine, ofZone, ofRegion int) (list []signal.Machine) {
+func (t Tolerance) atMost(all []message.Machine, ofZone, ofRegion int) (list []message.Machine) {
 	region := map[string]int{}
 	for turn := range ofZone {
 		zone := map[string]int{}
--- a/exchange/frame/survive_test.go
+++ b/internal/controlplane/replica/survive_test.go
@@ -1,11 +1,11 @@
-package frame
+package replica
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // The checks below go through sets of machines one by one, where the code counts. A set is the bits of a
@@ -13,16 +13,16 @@
 
 // small calls do with all small sets of machines over three regions of which one has two zones, and with all
 // that may be lost of them.
-func small(most int, do func(t Tolerance, all []signal.Machine)) {
+func small(most int, do func(t Tolerance, all []message.Machine)) {
 	region := map[string]string{"a": "r1", "b": "r1", "c": "r2", "d": "r3"}
 	for layout := range 4 * 4 * 4 * 4 {
 		if a, b, c, d := layout%4, layout>>2%4, layout>>4%4, layout>>6; a < b || c < d {
 			continue // as another one, but for the names
 		}
-		var all []signal.Machine
+		var all []message.Machine
 		for i, zone := range []string{"a", "b", "c", "d"} {
 			for j := range layout >> (2 * i) % 4 {
-				all = append(all, signal.Machine{Addr: fmt.Sprint(zone, j), Zone: zone})
+				all = append(all, message.Machine{Addr: fmt.Sprint(zone, j), Zone: zone})
 			}
 		}
 		for what := range 3 * 3 * 2 {
@@ -35,7 +35,7 @@
 }
 
 // losses are all sets of so many domains of one kind.
-func losses(all []signal.Machine, most int, of func(m signal.Machine) string) (list []int) {
+func losses(all []message.Machine, most int, of func(m message.Machine) string) (list []int) {
 	bits := map[string]int{}
 	for i, m := range all {
 		bits[of(m)] |= 1 << i
@@ -60,7 +60,7 @@
 
 // serves reports whether a set of members may be a chain: a quorum that no permitted loss covers, as far as
 // the members themselves are not covered.
-func serves(t Tolerance, all []signal.Machine, chain int) bool {
+func serves(t Tolerance, all []message.Machine, chain int) bool {
 	for _, k := range t.kinds() {
 		for _, lost := range losses(all, min(k.lost, len(k.domains(all))-1), k.of) {
 			if chain&^lost == 0 {
@@ -72,7 +72,7 @@
 }
 
 // bears reports whether a set of members serves after every permitted loss.
-func bears(t Tolerance, all []signal.Machine, well int) bool {
+func bears(t Tolerance, all []message.Machine, well int) bool {
 	for _, k := range t.kinds() {
 		for _, lost := range losses(all, k.lost, k.of) {
 			if !serves(t, all, well&^lost) {
@@ -83,7 +83,7 @@
 	return true
 }
 
-func members(all []signal.Machine, set int) (list []signal.Machine) {
+func members(all []message.Machine, set int) (list []message.Machine) {
 	for i, m := range all {
 		if set>>i&1 == 1 {
 			list = append(list, m)
@@ -95,11 +95,11 @@
 // Given all small registries and what may be lost, when any members are well, then whether they may serve,
 // whether they bear what may be lost, and how many machines are to spare, is what going through all says.
 func TestWhatMembersBearIsWhatEveryLossSays(t *testing.T) {
-	small(5, func(o Tolerance, all []signal.Machine) {
+	small(5, func(o Tolerance, all []message.Machine) {
 		for well := range 1 << len(all) {
 			list := members(all, well)
 			spare := -1
-			for _, lost := range losses(all, len(all), func(m signal.Machine) string { return m.Addr }) {
+			for _, lost := range losses(all, len(all), func(m message.Machine) string { return m.Addr }) {
 				n := len(members(all, lost))
 				if lost&^well == 0 && (spare < 0 || n <= spare) && !serves(o, all, well&^lost) {
 					spare = n - 1
@@ -122,7 +122,7 @@
 // Given all small sets of machines, when a core is named of them, or grows by them, then it bears what may be
 // lost wherever some of them do.
 func TestACoreIsFoundWhereThereIsOne(t *testing.T) {
-	small(7, func(o Tolerance, all []signal.Machine) {
+	small(7, func(o Tolerance, all []message.Machine) {
 		some := false
 		for set := 1; set < 1<<len(all) && !some; set++ {
 			list := members(all, set)
@@ -142,7 +142,7 @@
 // missing in the end wherever any of them mend that, and none is taken in, or in a member's place, for
 // nothing.
 func TestMembersComeWhereTheyHelp(t *testing.T) {
-	small(5, func(o Tolerance, all []signal.Machine) {
+	small(5, func(o Tolerance, all []message.Machine) {
 		for set := 1; set < 1<<len(all); set++ {
 			registry, fresh := members(all, set), members(all, 1<<len(all)-1&^set)
 			grows, swaps, sheds := false, false, false
@@ -170,9 +170,9 @@
 // Given a place that is free, then the zone that lacks members is first, and after that the zone of who left;
 // where nothing but machines is counted, the zone alone decides.
 func TestTheNewcomerOfTheZoneThatLacksMembers(t *testing.T) {
-	all := func(zones string) (list []signal.Machine) {
+	all := func(zones string) (list []message.Machine) {
 		for i, z := range zones {
-			list = append(list, signal.Machine{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
+			list = append(list, message.Machine{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
 		}
 		return list
 	}
@@ -190,7 +190,15 @@
 	} {
 		fresh := all(c.fresh)
 		if got := fresh[c.t.pick(all(c.registry), fresh, c.of)].Zone; got != c.want {
-			t.Errorf("%+v: %s and one of %s for one of %s: %s, want %s", c.t, c.registry, c.fresh, c.of, got, c.want)
+			t.Errorf(
+				"%+v: %s and one of %s for one of %s: %s, want %s",
+				c.t,
+				c.registry,
+				c.fresh,
+				c.of,
+				got,
+				c.want,
+			)
 		}
 	}
 }
--- a/exchange/frame/view.go
+++ b/internal/controlplane/replica/view.go
@@ -1,41 +1,41 @@
-package frame
+package replica
 
 import (
 	"slices"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // round is a proposal under way: first promises are gathered, then the view is handed out.
 type round struct {
 	epoch    uint64
 	chain    []string
-	registry []signal.Machine
-	former   []signal.Machine // of a change: the registry that it replaces
-	removed  []signal.Machine // by staff, as part of the registry
+	registry []message.Machine
+	former   []message.Machine // of a change: the registry that it replaces
+	removed  []message.Machine // by staff, as part of the registry
 	gen      uint64
-	must     [][]signal.Machine // a majority of each has to promise
-	leavers  []string           // live members of former alone: they install, and are in no chain
-	fresh    string             // the machine that the change makes a member
+	must     [][]message.Machine // a majority of each has to promise
+	leavers  []string            // live members of former alone: they install, and are in no chain
+	fresh    string              // the machine that the change makes a member
 	began    time.Duration
 	sent     time.Duration // when the phase's message went out last
 	promised map[string]bool
 	ids      map[string]uint64 // by which of its stores a machine has promised
 	has      map[string]bool
 	newest   Content // that was told
-	install  *signal.Message
-	whole    *signal.Packed     // its configuration, once anyone needs all of it
+	install  *message.Message
+	whole    *message.Packed    // its configuration, once anyone needs all of it
 	holds    map[string]holding // what those who promised have
 }
 
 // holding is what a machine told of the text that it has.
 type holding struct {
 	version uint64
-	last    []signal.Taken // its number, with the digest
-	outline []byte         // unless it has what the proposer has
-	taken   []byte         // outline of the numbers taken
+	last    []message.Taken // its number, with the digest
+	outline []byte          // unless it has what the proposer has
+	taken   []byte          // outline of the numbers taken
 }
 
 // epochStep leaves each machine of the core epochs of its own, so that no two propose under the same.
@@ -136,7 +136,7 @@
 			want = append(want, m.Addr)
 		}
 	}
-	votes := func(m signal.Machine) bool {
+	votes := func(m message.Machine) bool {
 		return f.votes(m) && (slices.Contains(want, m.Addr) || !at(f.rec.Registry, m.Addr))
 	}
 	if !quorate(votes, f.rec.voters()...) || !f.Survive.suffices(among(f.rec.Registry, want), f.rec.Registry) {
@@ -152,7 +152,7 @@
 }
 
 // votes reports whether a member is heard, and has a vote.
-func (f *Frame) votes(m signal.Machine) bool {
+func (f *Frame) votes(m message.Machine) bool {
 	if m.Addr == f.self {
 		return f.is(m) && f.live(m.Addr) && f.rec.Whole
 	}
@@ -162,8 +162,8 @@
 // propose asks for promises of a view. With other members, those before have to promise, and a majority of
 // both has to have the view on disk before it is in service. A change that may be in service, or not, is gone
 // on with.
-func (f *Frame) propose(want []string, change []signal.Machine) {
-	i := slices.IndexFunc(f.rec.Registry, func(m signal.Machine) bool { return m.Addr == f.self })
+func (f *Frame) propose(want []string, change []message.Machine) {
+	i := slices.IndexFunc(f.rec.Registry, func(m message.Machine) bool { return m.Addr == f.self })
 	if i < 0 || f.next.Generation != f.rec.Generation || len(f.next.Former) != len(f.rec.Former) {
 		return // another registry is being saved
 	}
@@ -215,11 +215,11 @@
 	r := f.round
 	again := r.sent != 0
 	r.sent = f.now
-	m, has := &signal.Message{Kind: signal.Prepare, Epoch: r.epoch, Stamp: f.rec.Stamp,
+	m, has := &message.Message{Kind: message.Prepare, Epoch: r.epoch, Stamp: f.rec.Stamp,
 		Version: f.rec.Version, Past: f.rec.last(), Generation: f.rec.Generation}, r.promised
 	if f.took == 0 && !again { // it was just started: others may have a newer one
-		m.Outline = signal.Outline(f.rec.Config, signal.Ranges)
-		m.TakenOutline = signal.Outline(f.rec.numbers(), signal.TakenChunks)
+		m.Outline = message.Outline(f.rec.Config, message.Ranges)
+		m.TakenOutline = message.Outline(f.rec.numbers(), message.TakenChunks)
 	}
 	if f.state == Installing {
 		has = r.has
@@ -236,26 +236,26 @@
 }
 
 // installFor is the view for one machine, with the configuration as far as that has not told that it has it.
-func (r *round) installFor(to string, whole bool) *signal.Message {
+func (r *round) installFor(to string, whole bool) *message.Message {
 	m, h := *r.install, r.holds[to]
 	if whole {
 		h = holding{}
 	}
-	m.Taken = signal.PackOver(r.newest.numbers(), h.version, h.taken, signal.TakenChunks)
+	m.Taken = message.PackOver(r.newest.numbers(), h.version, h.taken, message.TakenChunks)
 	switch {
 	case len(h.last) > 0 && r.newest.same(h.last[len(h.last)-1]):
 	case len(h.outline) > 0:
-		m.Config = signal.PackOver(r.newest.Config, h.version, h.outline, signal.Ranges)
+		m.Config = message.PackOver(r.newest.Config, h.version, h.outline, message.Ranges)
 	default:
 		if r.whole == nil {
-			r.whole = signal.Pack(r.newest.Config, 0, nil)
+			r.whole = message.Pack(r.newest.Config, 0, nil)
 		}
 		m.Config = r.whole
 	}
 	return &m
 }
 
-func (f *Frame) prepare(from string, m *signal.Message) {
+func (f *Frame) prepare(from string, m *message.Message) {
 	if !f.rec.Whole || !f.next.Whole || f.sick() {
 		return
 	}
@@ -290,33 +290,33 @@
 // refuse tells why nothing is promised: by the epoch that was, and the registry.
 func (f *Frame) refuse(to string, life uint64) {
 	m := f.Roll()
-	m.Kind, m.Life, m.Epoch = signal.Refuse, life, f.next.Promised
+	m.Kind, m.Life, m.Epoch = message.Refuse, life, f.next.Promised
 	f.Actions.Send(to, m)
 }
 
-func (f *Frame) answerPrepare(from string, m *signal.Message) {
-	p := &signal.Message{Kind: signal.Promise, Life: m.Life, Epoch: m.Epoch, Stamp: f.rec.Stamp,
+func (f *Frame) answerPrepare(from string, m *message.Message) {
+	p := &message.Message{Kind: message.Promise, Life: m.Life, Epoch: m.Epoch, Stamp: f.rec.Stamp,
 		Version: f.rec.Version, ID: f.rec.ID, Past: f.rec.last(),
-		TakenOutline: signal.Outline(f.rec.numbers(), signal.TakenChunks)}
+		TakenOutline: message.Outline(f.rec.numbers(), message.TakenChunks)}
 	same := len(m.Past) > 0 && f.rec.same(m.Past[len(m.Past)-1])
 	newer := f.rec.newer(m.Stamp, m.Version)
 	if newer {
-		p.Taken = signal.PackOver(f.rec.numbers(), m.Version, m.TakenOutline, signal.TakenChunks)
+		p.Taken = message.PackOver(f.rec.numbers(), m.Version, m.TakenOutline, message.TakenChunks)
 	}
 	switch {
 	case same:
 	case newer:
-		p.Config = signal.PackOver(f.rec.Config, m.Version, m.Outline, signal.Ranges)
+		p.Config = message.PackOver(f.rec.Config, m.Version, m.Outline, message.Ranges)
 	default:
-		p.Outline = signal.Outline(f.rec.Config, signal.Ranges)
+		p.Outline = message.Outline(f.rec.Config, message.Ranges)
 	}
 	f.Actions.Send(from, p)
 }
 
-func (f *Frame) promised(from string, m *signal.Message) {
+func (f *Frame) promised(from string, m *message.Message) {
 	r := f.round
 	if r == nil || r.epoch != m.Epoch || f.state != Proposing ||
-		!has(slices.Concat(r.must...), signal.Machine{Addr: from, ID: m.ID}) {
+		!has(slices.Concat(r.must...), message.Machine{Addr: from, ID: m.ID}) {
 		return
 	}
 	r.holds[from] = holding{m.Version, m.Past, m.Outline, m.TakenOutline}
@@ -345,7 +345,7 @@
 }
 
 // hasPromised reports whether a member has, and not another disk at its address.
-func (r *round) hasPromised(m signal.Machine) bool {
+func (r *round) hasPromised(m message.Machine) bool {
 	return r.promised[m.Addr] && r.ids[m.Addr] == m.ID
 }
 
@@ -357,8 +357,8 @@
 		return !r.promised[addr] && addr != f.self && addr != r.fresh && (p == nil || p.whole)
 	})
 	r.leavers = slices.DeleteFunc(r.leavers, func(addr string) bool { return !r.promised[addr] })
-	serves := func(m signal.Machine) bool { return slices.Contains(r.chain, m.Addr) }
-	installs := func(m signal.Machine) bool {
+	serves := func(m message.Machine) bool { return slices.Contains(r.chain, m.Addr) }
+	installs := func(m message.Machine) bool {
 		return slices.Contains(r.leavers, m.Addr) || has(r.registry, m) && serves(m)
 	}
 	if !quorate(r.hasPromised, r.must...) || !quorate(serves, r.registry) ||
@@ -370,52 +370,52 @@
 	f.become(Installing)
 	r.began = f.now
 	f.round = r
-	r.install = &signal.Message{Kind: signal.Install, Epoch: r.epoch, Chain: r.chain, Registry: r.registry,
+	r.install = &message.Message{Kind: message.Install, Epoch: r.epoch, Chain: r.chain, Registry: r.registry,
 		Former: r.former, Generation: r.gen, Removed: r.removed,
 		Version: r.newest.Version, Past: r.newest.last()}
 	r.sent = 0
 	f.sendRound()
-	f.take(r.install, r.newest, func() { f.installed(f.self, &signal.Message{Epoch: r.epoch}) })
+	f.take(r.install, r.newest, func() { f.installed(f.self, &message.Message{Epoch: r.epoch}) })
 }
 
 // content returns the content that a message tells, with this machine's own text if that is the same.
-func (f *Frame) content(m *signal.Message) (c Content, err error) {
+func (f *Frame) content(m *message.Message) (c Content, err error) {
 	c.Stamp, c.Version = m.Stamp, m.Version
 	switch {
 	case m.Version == 0:
 		return c, nil
 	case len(m.Past) != 1 || m.Taken == nil:
-		return c, signal.ErrBase
+		return c, message.ErrBase
 	}
 	numbers, err := m.Taken.Unpack(f.next.Version, f.next.numbers())
 	if err != nil {
 		return c, err
 	}
-	if c.Past, err = signal.DecodeTaken(numbers); err != nil {
+	if c.Past, err = message.DecodeTaken(numbers); err != nil {
 		return c, err
 	}
 	if !c.same(m.Past[0]) {
-		return c, signal.ErrDigest
+		return c, message.ErrDigest
 	}
 	switch {
 	case f.next.same(m.Past[0]):
 		c.Config = f.next.Config
 		return c, nil
 	case m.Config == nil:
-		return c, signal.ErrBase
+		return c, message.ErrBase
 	}
 	if c.Config, err = m.Config.Unpack(f.next.Version, f.next.Config); err != nil {
 		return c, err
 	}
-	if signal.SumOf(c.Config) != m.Past[0].Digest {
-		return c, signal.ErrDigest
+	if message.SumOf(c.Config) != m.Past[0].Digest {
+		return c, message.ErrDigest
 	}
 	return c, nil
 }
 
 // take saves a view, and what it begins with, under its epoch. Whatever else was on the disk is dropped: it
 // was never acknowledged.
-func (f *Frame) take(m *signal.Message, begins Content, then func()) {
+func (f *Frame) take(m *message.Message, begins Content, then func()) {
 	f.next.Epoch, f.next.Chain, f.next.Promised, f.next.Whole = m.Epoch, m.Chain, m.Epoch, true
 	f.next.Registry, f.next.Former, f.next.Generation = m.Registry, m.Former, m.Generation
 	f.next.Removed, f.next.Barred = m.Removed, false
@@ -428,13 +428,13 @@
 	})
 }
 
-func (f *Frame) install(from string, m *signal.Message) {
+func (f *Frame) install(from string, m *message.Message) {
 	if m.Epoch < f.next.Promised || m.Generation < f.next.Generation || f.sick() ||
 		!has(m.Registry, f.me()) && !has(m.Former, f.me()) { // it may be for another disk at this address
 		return
 	}
 	if f.took == m.Epoch { // its answer was lost
-		f.Actions.Send(from, &signal.Message{Kind: signal.Installed, Life: m.Life, Epoch: m.Epoch})
+		f.Actions.Send(from, &message.Message{Kind: message.Installed, Life: m.Life, Epoch: m.Epoch})
 		return
 	}
 	if f.next.Epoch == m.Epoch {
@@ -450,12 +450,12 @@
 	f.become(Aside)
 	f.take(m, begins, func() {
 		if f.next.Promised == m.Epoch {
-			f.Actions.Send(from, &signal.Message{Kind: signal.Installed, Life: m.Life, Epoch: m.Epoch})
+			f.Actions.Send(from, &message.Message{Kind: message.Installed, Life: m.Life, Epoch: m.Epoch})
 		}
 	})
 }
 
-func (f *Frame) installed(from string, m *signal.Message) {
+func (f *Frame) installed(from string, m *message.Message) {
 	r := f.round
 	if r == nil || r.epoch != m.Epoch || f.state != Installing {
 		return
@@ -466,7 +466,7 @@
 			return
 		}
 	}
-	m = &signal.Message{Kind: signal.Active, Epoch: r.epoch, Chain: r.chain, Version: r.newest.Version,
+	m = &message.Message{Kind: message.Active, Epoch: r.epoch, Chain: r.chain, Version: r.newest.Version,
 		Leavers: r.leavers}
 	for _, addr := range r.all() {
 		if addr != f.self {
@@ -479,7 +479,7 @@
 // activate puts a view into service that all its machines have on disk: what it began with is committed. A
 // machine that was started again since takes no part in the view that it finds on its disk: what it told
 // under the epoch, such as lists by their numbers, is not on the disk. It comes back by another view.
-func (f *Frame) activate(m *signal.Message) {
+func (f *Frame) activate(m *message.Message) {
 	if f.took != m.Epoch || f.next.Promised != m.Epoch || f.epoch > m.Epoch ||
 		f.state == InService && f.epoch == m.Epoch {
 		return
@@ -517,7 +517,7 @@
 }
 
 // refused ends a proposal that came too late, or by members that are so no longer.
-func (f *Frame) refused(m *signal.Message) {
+func (f *Frame) refused(m *message.Message) {
 	if f.next.Whole && len(m.Registry) > 0 {
 		f.adopt(m)
 	}
--- a/exchange/rehearsal/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -1,11 +1,11 @@
-package rehearsal
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // Given a change of members that only the newcomer has on its disk, and a member that has heard of it and is
@@ -25,7 +25,11 @@
 		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
 		a.SetSync(430 * time.Millisecond)
 		a.office.Leave(s.Now)
-		s.then("the other has promised", time.Second, func() bool { return a.Frame().State() == frame.Installing })
+		s.then(
+			"the other has promised",
+			time.Second,
+			func() bool { return a.Frame().State() == replica.Installing },
+		)
 		b.Kill()
 		s.then("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
 			return len(c.record.Former) > 0
@@ -34,8 +38,8 @@
 			t.Fatal("the others have it, or it is out of touch already")
 		}
 		if defect {
-			s.Tamper = func(to *Machine, m *signal.Message) {
-				if to == asker && m.Kind == signal.News {
+			s.Tamper = func(to *Machine, m *message.Message) {
+				if to == asker && m.Kind == message.News {
 					m.Former = nil
 				}
 			}
@@ -105,15 +109,15 @@
 	a, b, c := s.Named("z1-1"), s.Named("z2-1"), s.Named("z3-1")
 	w := watched(s.Exchange)
 	watching, proposed := s.Told, false
-	s.Told = func(from *Machine, to string, m *signal.Message) {
-		if from == b && m.Kind == signal.Prepare { // for a moment it is heard
+	s.Told = func(from *Machine, to string, m *message.Message) {
+		if from == b && m.Kind == message.Prepare { // for a moment it is heard
 			s.HealAll()
 			proposed = true
 		}
 		watching(from, to, m)
 	}
-	s.Wire = func(_, to string, m *signal.Message) []Delivery {
-		if m.Kind == signal.Promise && to == a.self.Addr {
+	s.Wire = func(_, to string, m *message.Message) []Delivery {
+		if m.Kind == message.Promise && to == a.self.Addr {
 			return nil
 		}
 		return []Delivery{{To: to, Message: m}}
--- a/exchange/rehearsal/calls_test.go
+++ b/internal/controlplane/simulation/calls_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"math/rand/v2"
@@ -6,35 +6,35 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // tape keeps answers that a machine gets, and plays them to a later life of it, which is cut off.
 type tape struct {
 	*story
 	m     *Machine
-	kinds []signal.Kind
-	hold  []signal.Kind // answers that the earlier life does not get
+	kinds []message.Kind
+	hold  []message.Kind // answers that the earlier life does not get
 	kept  []letter
 	cut   bool
-	free  []signal.Kind     // pass all the same
-	sent  []*signal.Message // by the life that is cut off
+	free  []message.Kind     // pass all the same
+	sent  []*message.Message // by the life that is cut off
 }
 
 type letter struct {
 	from string
-	m    *signal.Message
+	m    *message.Message
 }
 
 // tape has all go over the tape from now on.
-func (s *story) tape(name string, kinds ...signal.Kind) *tape {
+func (s *story) tape(name string, kinds ...message.Kind) *tape {
 	t := &tape{story: s, m: s.Named(name), kinds: kinds}
 	s.Wire = t.wire
 	return t
 }
 
-func (t *tape) wire(from, to string, m *signal.Message) []Delivery {
+func (t *tape) wire(from, to string, m *message.Message) []Delivery {
 	own := t.m.self.Addr
 	switch {
 	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Kind):
@@ -68,7 +68,7 @@
 }
 
 // lie makes a kept answer one that an earlier program would have taken.
-type lie func(t *tape, m *signal.Message)
+type lie func(t *tape, m *message.Message)
 
 // play has what was kept come again and again for two seconds, and reports whether it did something.
 func (t *tape) play(did func() bool, l lie) bool {
@@ -90,13 +90,13 @@
 }
 
 // life has an answer say the life that gets it: as if lives were not told apart.
-func life(t *tape, m *signal.Message) { m.Life = t.m.own }
+func life(t *tape, m *message.Message) { m.Life = t.m.own }
 
 // and the epoch or the ballot of what that asked last.
-func lifeAndEpoch(t *tape, m *signal.Message) {
+func lifeAndEpoch(t *tape, m *message.Message) {
 	life(t, m)
 	for _, q := range t.sent {
-		if slices.Contains(signal.Questions[q.Kind], m.Kind) {
+		if slices.Contains(message.Questions[q.Kind], m.Kind) {
 			m.Epoch = q.Epoch
 		}
 	}
@@ -106,31 +106,31 @@
 // something with it. That life may as well be another machine that has the address now: it knows as little.
 var lateAnswers = []struct {
 	name  string
-	kinds []signal.Kind
+	kinds []message.Kind
 	lie   lie // that is found
 	play  func(t *tape, l lie) bool
 }{
-	{"News", []signal.Kind{signal.News}, life, func(t *tape, l lie) bool {
-		t.free = []signal.Kind{signal.Hello, signal.Roll}
+	{"News", []message.Kind{message.News}, life, func(t *tape, l lie) bool {
+		t.free = []message.Kind{message.Hello, message.Roll}
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
 		return t.play(func() bool { return t.m.version != 0 }, l)
 	}},
-	{"Roll", []signal.Kind{signal.Roll}, life, func(t *tape, l lie) bool {
+	{"Roll", []message.Kind{message.Roll}, life, func(t *tape, l lie) bool {
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
 		return t.play(func() bool { return len(t.m.office.Registry()) > 0 }, l)
 	}},
-	{"Done", []signal.Kind{signal.Done}, life, func(t *tape, l lie) bool {
+	{"Done", []message.Kind{message.Done}, life, func(t *tape, l lie) bool {
 		t.change(t.m)
 		t.cut = true
 		t.anew()
 		c := t.Put(t.m, t.version+3)
 		return t.play(func() bool { return c.Acked }, l)
 	}},
-	{"Conflict", []signal.Kind{signal.Conflict}, life, func(t *tape, l lie) bool {
+	{"Conflict", []message.Kind{message.Conflict}, life, func(t *tape, l lie) bool {
 		c := t.PutText(t.m, t.version, "another")
 		t.then("that is a conflict", time.Second, func() bool { return c.Conflict })
 		t.cut = true
@@ -138,7 +138,7 @@
 		c = t.Put(t.m, t.version+3)
 		return t.play(func() bool { return c.Conflict }, l)
 	}},
-	{"Copy", []signal.Kind{signal.Copy}, life, func(t *tape, l lie) bool {
+	{"Copy", []message.Kind{message.Copy}, life, func(t *tape, l lie) bool {
 		c := t.Read(t.m)
 		t.then("it is read", time.Second, func() bool { return c.Acked })
 		t.cut = true
@@ -146,7 +146,7 @@
 		c = t.Read(t.m)
 		return t.play(func() bool { return c.Acked }, l)
 	}},
-	{"Reformed", []signal.Kind{signal.Reformed}, life, func(t *tape, l lie) bool {
+	{"Reformed", []message.Kind{message.Reformed}, life, func(t *tape, l lie) bool {
 		t.Reform(t.m, "", "")
 		t.Run(time.Second)
 		t.cut = true
@@ -154,18 +154,18 @@
 		o := t.Reform(t.m, "", "")
 		return t.play(func() bool { return o.Answer != nil }, l)
 	}},
-	{"Refuse", []signal.Kind{signal.Refuse}, life, func(t *tape, l lie) bool {
-		t.hold = []signal.Kind{signal.News} // it doesn't know the head
+	{"Refuse", []message.Kind{message.Refuse}, life, func(t *tape, l lie) bool {
+		t.hold = []message.Kind{message.News} // it doesn't know the head
 		t.Put(t.m, t.version+3)
 		t.Run(time.Second)
-		t.free = []signal.Kind{signal.Hello, signal.Roll}
+		t.free = []message.Kind{message.Hello, message.Roll}
 		t.cut = true
 		t.anew()
 		t.Put(t.m, t.version+3)
 		return t.play(func() bool { return t.m.epoch != 0 }, l)
 	}},
 	// A tail that is cut off would count what it was told before as a quorum, and read what is old.
-	{"Confirmed", []signal.Kind{signal.Confirmed}, lifeAndEpoch, func(t *tape, l lie) bool {
+	{"Confirmed", []message.Kind{message.Confirmed}, lifeAndEpoch, func(t *tape, l lie) bool {
 		t.serves("z3-1")
 		t.reads(t.m)
 		t.anew()
@@ -176,7 +176,7 @@
 		return t.play(func() bool { return c.Acked }, l)
 	}},
 	// A machine alone would put a view into service.
-	{"Promise and Installed", []signal.Kind{signal.Promise, signal.Installed}, lifeAndEpoch, func(t *tape,
+	{"Promise and Installed", []message.Kind{message.Promise, message.Installed}, lifeAndEpoch, func(t *tape,
 		l lie) bool {
 		t.serves("z1-1")
 		b, c := t.Named("z2-1"), t.Named("z3-1") // they serve nothing: it is the one to propose a view
@@ -185,10 +185,10 @@
 			m.Kill()
 			m.Start()
 		}
-		t.free = []signal.Kind{signal.Beat}
+		t.free = []message.Kind{message.Beat}
 		t.cut = true
 		t.anew()
-		return t.play(func() bool { return t.m.Frame().State() == frame.InService }, l)
+		return t.play(func() bool { return t.m.Frame().State() == replica.InService }, l)
 	}},
 }
 
@@ -201,18 +201,18 @@
 }
 
 // taped is an exchange in which a machine has just been started again, with its answers on tape.
-func taped(t *testing.T, kinds []signal.Kind) *tape {
+func taped(t *testing.T, kinds []message.Kind) *tape {
 	s := given(t, 1)
 	name := "z1-2"
 	switch kinds[0] {
-	case signal.Confirmed:
+	case message.Confirmed:
 		name = "z3-1"
-	case signal.Promise:
+	case message.Promise:
 		name = "z1-1"
 	}
 	s.Run(2 * time.Second)
 	tape := s.tape(name, kinds...)
-	if kinds[0] == signal.Promise { // all at once: otherwise those who serve take it in
+	if kinds[0] == message.Promise { // all at once: otherwise those who serve take it in
 		s.restartAll()
 	}
 	tape.anew()
@@ -222,8 +222,8 @@
 // Given a process that was started again, or another one that has its address, when answers to its earlier
 // life come late under the same calls, then they do nothing. Were lives not told apart, each would.
 func TestAnswersToAnEarlierLifeDoNothing(t *testing.T) {
-	tried := []signal.Kind{signal.Pledged, signal.Drafted, // see the next test
-		signal.Grant} // is the meter's: see its tests
+	tried := []message.Kind{message.Pledged, message.Drafted, // see the next test
+		message.Grant} // is the meter's: see its tests
 	for _, c := range lateAnswers {
 		tried = append(tried, c.kinds...)
 		t.Run(c.name, func(t *testing.T) {
@@ -235,7 +235,7 @@
 			}
 		})
 	}
-	for asks, kinds := range signal.Questions {
+	for asks, kinds := range message.Questions {
 		for _, k := range kinds {
 			if !slices.Contains(tried, k) {
 				t.Errorf("%d, an answer to %d, is not tried", k, asks)
@@ -250,17 +250,20 @@
 func TestVotesForAnEarlierLifeNameNoCore(t *testing.T) {
 	play := func(l lie) (drafts, named bool) {
 		s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: 7}), t, 0}
-		tape := s.tape("z1-1", signal.Pledged, signal.Drafted)
-		tape.hold = []signal.Kind{signal.Drafted}
+		tape := s.tape("z1-1", message.Pledged, message.Drafted)
+		tape.hold = []message.Kind{message.Drafted}
 		tape.m.SetSync(2 * time.Second)
 		s.StartAll()
 		s.then("two seeds have the draft", 3*time.Second, func() bool { return len(tape.kept) == 4 })
-		tape.free = []signal.Kind{signal.Hello}
+		tape.free = []message.Kind{message.Hello}
 		tape.cut = true
 		tape.m.SetSync(tape.Sync) // it says that it is there once its disk's id is on it
 		tape.first()              // its disk had nothing yet
 		named = tape.play(func() bool { return len(tape.m.office.Registry()) > 0 }, l)
-		return slices.ContainsFunc(tape.sent, func(m *signal.Message) bool { return m.Kind == signal.Draft }), named
+		return slices.ContainsFunc(
+			tape.sent,
+			func(m *message.Message) bool { return m.Kind == message.Draft },
+		), named
 	}
 	if drafts, named := play(nil); drafts || named {
 		t.Errorf("drafts %v, named %v by votes for an earlier life", drafts, named)
@@ -287,8 +290,8 @@
 	s := given(t, 1)
 	m := s.Named("z2-1")
 	var views []letter
-	s.Wire = func(from, to string, x *signal.Message) []Delivery {
-		if x.Kind == signal.Install && to == m.self.Addr {
+	s.Wire = func(from, to string, x *message.Message) []Delivery {
+		if x.Kind == message.Install && to == m.self.Addr {
 			views = append(views, letter{from, x})
 		}
 		return []Delivery{{To: to, Message: x}}
@@ -298,7 +301,15 @@
 	s.then("it is in a view again", 6*time.Second, func() bool {
 		return m.Frame().Fresh() && len(s.Chain()) == 3
 	})
-	before, taken := signal.Pack(m.record.Config, 0, nil), signal.Pack(signal.EncodeTaken(m.record.Past), 0, nil)
+	before, taken := message.Pack(
+		m.record.Config,
+		0,
+		nil,
+	), message.Pack(
+		message.EncodeTaken(m.record.Past),
+		0,
+		nil,
+	)
 	s.change(s.Named("z1-2"))
 	m.Kill()
 	m.Start()
@@ -313,11 +324,11 @@
 
 // noise has messages overtaken, come twice, some of them seconds late, and answers come to others, too. Blind
 // plays a program that doesn't tell whose answer it is: it takes those for its own.
-func noise(seed uint64, blind bool) func(from, to string, m *signal.Message) []Delivery {
+func noise(seed uint64, blind bool) func(from, to string, m *message.Message) []Delivery {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var addrs []string
 	lives := map[string]uint64{}
-	return func(from, to string, m *signal.Message) []Delivery {
+	return func(from, to string, m *message.Message) []Delivery {
 		if !slices.Contains(addrs, to) {
 			addrs = append(addrs, to)
 		}
@@ -326,7 +337,7 @@
 		}
 		all := []Delivery{{To: to, Message: m}}
 		late := 4 * time.Second
-		if m.Kind == signal.Beat { // nobody would be missed
+		if m.Kind == message.Beat { // nobody would be missed
 			late = 200 * time.Millisecond
 		}
 		switch rng.IntN(10) {
@@ -384,11 +395,11 @@
 		m := s.Named("z3-1")
 		var told []letter
 		alone := false
-		s.Wire = func(from, to string, x *signal.Message) []Delivery {
-			if to == m.self.Addr && x.Kind == signal.Active {
+		s.Wire = func(from, to string, x *message.Message) []Delivery {
+			if to == m.self.Addr && x.Kind == message.Active {
 				told = append(told, letter{from, x})
 			}
-			if blind && alone && to == m.self.Addr && x.Kind == signal.Beat {
+			if blind && alone && to == m.self.Addr && x.Kind == message.Beat {
 				x.Epoch = 0
 			}
 			return []Delivery{{To: to, Message: x}}
@@ -408,7 +419,7 @@
 		s.Run(5 * time.Millisecond)
 		epoch, _ := m.Frame().View()
 		serving, _ := s.Named("z1-1").Frame().View()
-		return m.Frame().State() == frame.InService && epoch < serving
+		return m.Frame().State() == replica.InService && epoch < serving
 	}
 	if back(false) {
 		t.Error("it is in service in a view that is over")
@@ -426,9 +437,9 @@
 		m := s.Named("z1-2")
 		s.Run(4 * time.Second)
 		home := m.office.Asks()
-		s.Wire = func(from, to string, x *signal.Message) []Delivery {
+		s.Wire = func(from, to string, x *message.Message) []Delivery {
 			all := []Delivery{{To: to, Message: x}}
-			if x.Kind == signal.Poll && from == m.self.Addr {
+			if x.Kind == message.Poll && from == m.self.Addr {
 				if s.At(to).self.Addr != *home+":7" {
 					n++
 				}
--- a/exchange/rehearsal/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // few is how many items a short text has. Each change is of one of them.
@@ -28,18 +28,18 @@
 
 // absence is a machine of the core that comes back to what went on without it.
 type absence struct {
-	name   string              // of the machine
-	items  int                 // of the texts
-	before int                 // changes before it goes; 0: five
-	missed int                 // and without it
-	disk   func(*frame.Record) // what became of its disk; nil: it is as it was
-	took   time.Duration       // until it serves with all the others, and has the newest
-	bytes  int                 // that were sent meanwhile, beyond those of quiet times
-	found  string              // what went wrong
+	name   string                // of the machine
+	items  int                   // of the texts
+	before int                   // changes before it goes; 0: five
+	missed int                   // and without it
+	disk   func(*replica.Record) // what became of its disk; nil: it is as it was
+	took   time.Duration         // until it serves with all the others, and has the newest
+	bytes  int                   // that were sent meanwhile, beyond those of quiet times
+	found  string                // what went wrong
 
 	// What is done to messages and to disks, as in an Exchange.
-	tamper func(to *Machine, m *signal.Message)
-	spoil  func(m *Machine, r *frame.Record)
+	tamper func(to *Machine, m *message.Message)
+	spoil  func(m *Machine, r *replica.Record)
 }
 
 // play lets the machine miss the changes, and come back.
@@ -84,10 +84,10 @@
 	began, from := s.Now, s.Bytes
 	ok := s.Until(func() bool {
 		f := m.Frame()
-		if f.State() == frame.InService && f.Record().Version < uint64(version) && a.found == "" {
+		if f.State() == replica.InService && f.Record().Version < uint64(version) && a.found == "" {
 			a.found = fmt.Sprintf("it is in service with r%d, the newest is r%d", f.Record().Version, version)
 		}
-		return f.State() == frame.InService && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
+		return f.State() == replica.InService && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
 			a.found != "" || len(s.Broken()) > 0
 	}, 10*time.Second)
 	a.took, a.bytes = s.Now-began, s.Bytes-from-int(float64(quiet)*(s.Now-began).Seconds())
@@ -116,9 +116,9 @@
 
 // The states that a disk may come back in. One whose record has another digest than it was written with
 // counts as empty: see vault.Damaged.
-var disks = map[string]func(*frame.Record){
+var disks = map[string]func(*replica.Record){
 	"old":            nil,
-	"torn, or empty": func(r *frame.Record) { *r = frame.Record{} },
+	"torn, or empty": func(r *replica.Record) { *r = replica.Record{} },
 }
 
 // Given a core under changes, when a machine was away for one, two hundred or a thousand of them, and its
@@ -127,7 +127,7 @@
 func TestAMachineThatWasAwayCatchesUp(t *testing.T) {
 	t.Parallel()
 	const numbers = 512 * 26 // the numbers taken last, with their digests
-	text := len(signal.Encode(nil, signal.Pack([]byte(textOf(100, few)), 0, nil)))
+	text := len(message.Encode(nil, message.Pack([]byte(textOf(100, few)), 0, nil)))
 	for _, c := range []struct {
 		name   string // the head, one between, the tail
 		missed []int
@@ -153,7 +153,7 @@
 // machine it is, and the only whole text is the news for its own line; an empty disk is sent more of them.
 func TestAMachineThatIsBehindIsSentWhatDiffers(t *testing.T) {
 	t.Parallel()
-	whole := len(signal.Encode(nil, signal.Pack([]byte(textOf(15, 2000)), 0, nil)))
+	whole := len(message.Encode(nil, message.Pack([]byte(textOf(15, 2000)), 0, nil)))
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for disk, alter := range disks {
 			a := &absence{name: name, items: 2000, missed: 10, disk: alter}
@@ -177,16 +177,16 @@
 	for _, name := range []string{"z1-1", "z3-1"} {
 		for what, a := range map[string]absence{
 			"old disk": {},
-			"another entry on it": {disk: func(r *frame.Record) {
+			"another entry on it": {disk: func(r *replica.Record) {
 				r.Past = slices.Clone(r.Past)
 				r.Past[100].Digest[0]++
 			}},
-			"another outline": {disk: func(r *frame.Record) {
+			"another outline": {disk: func(r *replica.Record) {
 				r.Past = slices.Clone(r.Past)
 				r.Past[100].Digest[0]++
-			}, tamper: func(_ *Machine, m *signal.Message) {
-				if m.Kind == signal.Promise {
-					m.TakenOutline = signal.Outline(signal.EncodeTaken(numbersUpTo(601)), signal.TakenChunks)
+			}, tamper: func(_ *Machine, m *message.Message) {
+				if m.Kind == message.Promise {
+					m.TakenOutline = message.Outline(message.EncodeTaken(numbersUpTo(601)), message.TakenChunks)
 				}
 			}},
 		} {
@@ -201,10 +201,10 @@
 }
 
 // numbersUpTo are the numbers that are remembered with a text of few items in force.
-func numbersUpTo(version int) (list []signal.Taken) {
+func numbersUpTo(version int) (list []message.Taken) {
 	for v := 1; v <= version; v++ {
-		sum := signal.SumOf([]byte(textOf(v, few)))
-		list = frame.Remember(list, signal.Taken{Version: uint64(v), Digest: sum})
+		sum := message.SumOf([]byte(textOf(v, few)))
+		list = replica.Remember(list, message.Taken{Version: uint64(v), Digest: sum})
 	}
 	return list
 }
@@ -215,13 +215,13 @@
 // told.
 func TestAMachineThatWasAwayFinds(t *testing.T) {
 	for name, a := range map[string]absence{
-		"stamped anew": {missed: 20, disk: func(r *frame.Record) { r.Stamp = 1 << 40 }},
-		"numbers lost": {missed: 20, spoil: func(m *Machine, r *frame.Record) {
+		"stamped anew": {missed: 20, disk: func(r *replica.Record) { r.Stamp = 1 << 40 }},
+		"numbers lost": {missed: 20, spoil: func(m *Machine, r *replica.Record) {
 			if m.Name == "z1-1" {
 				r.Past = r.Past[max(0, len(r.Past)-1):]
 			}
 		}},
-		"no outline": {before: 600, missed: 1, tamper: func(_ *Machine, m *signal.Message) {
+		"no outline": {before: 600, missed: 1, tamper: func(_ *Machine, m *message.Message) {
 			m.TakenOutline = nil
 		}},
 	} {
--- a/exchange/rehearsal/keeper_test.go
+++ b/internal/controlplane/simulation/keeper_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // ingress asks every machine of the core for tokens all the time, each under the epoch that this one knows,
@@ -25,8 +25,8 @@
 // asking begins to ask.
 func (s *story) asking() *ingress {
 	g := &ingress{s: s, last: s.Now}
-	s.Told = func(from *Machine, _ string, m *signal.Message) {
-		if m.Kind == signal.Grant && m.OK {
+	s.Told = func(from *Machine, _ string, m *message.Message) {
+		if m.Kind == message.Grant && m.OK {
 			g.granted(from, m.Epoch)
 		}
 	}
@@ -37,7 +37,7 @@
 			if m.up {
 				epoch, _ := m.Frame().View()
 				s.deliver("client", Delivery{To: m.self.Addr,
-					Message: &signal.Message{Kind: signal.Ask, Life: 1, Call: g.calls, Epoch: epoch}})
+					Message: &message.Message{Kind: message.Ask, Life: 1, Call: g.calls, Epoch: epoch}})
 			}
 		}
 		s.at(10*time.Millisecond, ask)
@@ -57,7 +57,7 @@
 
 // keeper is the machine that keeps the counts; nil: none does.
 func (x *Exchange) keeper() *Machine {
-	return x.At(frame.Holder(x.Chain(), frame.KeepTolls))
+	return x.At(replica.Holder(x.Chain(), replica.KeepTolls))
 }
 
 // halves are troubles in which a machine is in touch with some of the core and not with others: one that
@@ -89,7 +89,7 @@
 
 // keepers draws a history in which machines of the core, mostly the one that keeps the counts, get into
 // trouble, some in the middle of a change of the view, and returns the ingress that asked all the while.
-func keepers(t *testing.T, seed uint64, tamper func(*Machine, *signal.Message)) *ingress {
+func keepers(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *ingress {
 	survive := 1 + int(seed%2)
 	s := &story{New(Options{Zones: 3, Disks: survive, Others: 1, Survive: survive, Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 21))
@@ -128,7 +128,7 @@
 		if g := keepers(t, seed, nil); len(g.twice) > 0 {
 			t.Errorf("seed %d: %d grants, the first: %s", seed, len(g.twice), g.twice[0])
 		}
-		g := keepers(t, seed, func(_ *Machine, m *signal.Message) { m.Quiet = m.Kind == signal.Beat })
+		g := keepers(t, seed, func(_ *Machine, m *message.Message) { m.Quiet = m.Kind == message.Beat })
 		found += min(1, len(g.twice))
 	}
 	if found == 0 {
@@ -188,15 +188,15 @@
 
 // heldUp has an ingress's questions for news wait for a while on their way, or come again after it, and ends
 // its process; it returns for how long the others count it as a member.
-func heldUp(t *testing.T, again bool, tamper func(*Machine, *signal.Message)) time.Duration {
+func heldUp(t *testing.T, again bool, tamper func(*Machine, *message.Message)) time.Duration {
 	s := given(t, 2)
 	s.Tamper = tamper
 	m, other := s.Named("z1-2"), s.Named("z2-2")
 	s.then("all are members", 5*time.Second, func() bool { return other.Members() == len(s.Machines) })
-	s.Wire = func(from, to string, x *signal.Message) []Delivery {
+	s.Wire = func(from, to string, x *message.Message) []Delivery {
 		late := Delivery{To: to, Message: x, After: 2500 * time.Millisecond}
 		switch {
-		case x.Kind != signal.Poll || from != m.self.Addr:
+		case x.Kind != message.Poll || from != m.self.Addr:
 			late.After = 0
 		case again:
 			return []Delivery{{To: to, Message: x}, late}
@@ -225,8 +225,8 @@
 			t.Errorf("again %v: a member for %v after its end", again, took)
 		}
 	}
-	if took := heldUp(t, false, func(_ *Machine, m *signal.Message) {
-		if m.Kind == signal.Poll {
+	if took := heldUp(t, false, func(_ *Machine, m *message.Message) {
+		if m.Kind == message.Poll {
 			m.Held = 1 << 30
 		}
 	}); took <= most {
--- a/exchange/rehearsal/members.go
+++ b/internal/controlplane/simulation/members.go
@@ -1,12 +1,12 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // identity is who a member is: its address, and the id of its store.
@@ -17,14 +17,14 @@
 
 // registries are all that were written on disks, by their generations.
 type registries struct {
-	written map[uint64][]signal.Machine
-	removed map[uint64][]signal.Machine // by staff, as it goes with the registry
-	settled map[uint64][]signal.Machine // the change to it was told as complete
-	held    map[identity]uint64         // the highest generation that a disk has had
+	written map[uint64][]message.Machine
+	removed map[uint64][]message.Machine // by staff, as it goes with the registry
+	settled map[uint64][]message.Machine // the change to it was told as complete
+	held    map[identity]uint64          // the highest generation that a disk has had
 }
 
 func newRegistries() registries {
-	none := func() map[uint64][]signal.Machine { return map[uint64][]signal.Machine{} }
+	none := func() map[uint64][]message.Machine { return map[uint64][]message.Machine{} }
 	return registries{none(), none(), none(), map[identity]uint64{}}
 }
 
@@ -32,7 +32,7 @@
 // a disk says that the change to one is complete, a majority of its members, and a majority of those of the
 // one before, have had it, or a later one, on their disks. So whoever goes by the one before, and asks a
 // majority of it, hears of the newer one; no two registries are ever gone by at once.
-func (x *Exchange) sequence(m *Machine, r *frame.Record) {
+func (x *Exchange) sequence(m *Machine, r *replica.Record) {
 	if len(r.Registry) == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // meets holds a majority of a registry to having had a generation, or a later one, on disk.
-func (x *Exchange) meets(registry []signal.Machine, generation uint64) {
+func (x *Exchange) meets(registry []message.Machine, generation uint64) {
 	n := 0
 	for _, r := range registry {
 		if x.cores.held[identity{r.Addr, r.ID}] >= generation {
@@ -97,7 +97,7 @@
 		}
 	}
 	m := &Machine{Name: fmt.Sprintf("n%d", x.added), disk: true, has: true, x: x, sync: x.Sync,
-		self: signal.Machine{Addr: fmt.Sprintf("10.9.%d.1:7", x.added), Zone: zone}}
+		self: message.Machine{Addr: fmt.Sprintf("10.9.%d.1:7", x.added), Zone: zone}}
 	x.Machines = append(x.Machines, m)
 	return m
 }
@@ -105,14 +105,14 @@
 // Order is a change of members by hand.
 type Order struct {
 	Ended  bool
-	Answer *signal.Message // nil: there was none in time
+	Answer *message.Message // nil: there was none in time
 }
 
 // Reform has a machine pass on a change of members by hand; without addresses it asks who they are.
 func (x *Exchange) Reform(m *Machine, add, remove string) *Order {
 	o := &Order{}
 	m.act(m.life, func() {
-		m.office.Reform(x.Now, add, remove, func(answer *signal.Message) { o.Ended, o.Answer = true, answer })
+		m.office.Reform(x.Now, add, remove, func(answer *message.Message) { o.Ended, o.Answer = true, answer })
 	})
 	return o
 }
--- a/exchange/rehearsal/members_domains_test.go
+++ b/internal/controlplane/simulation/members_domains_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
--- a/exchange/rehearsal/members_test.go
+++ b/internal/controlplane/simulation/members_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // member reports whether a machine is a member, with a vote, in a view that serves.
@@ -426,7 +426,7 @@
 // dismissed plays a member that staff remove while it runs, or while it is cut off from the members and hears
 // of it from a seed without a disk; it is started again, and so are all. It returns whether that is a member
 // again, though nobody has added it.
-func dismissed(t *testing.T, cut bool, spoil func(*Machine, *frame.Record)) (s *story, m *Machine,
+func dismissed(t *testing.T, cut bool, spoil func(*Machine, *replica.Record)) (s *story, m *Machine,
 	back bool) {
 	t.Helper()
 	s = given(t, 1)
@@ -476,7 +476,7 @@
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
 		s.ends("after that")
-		if _, _, back := dismissed(t, cut, func(_ *Machine, r *frame.Record) { r.Barred = false }); !back {
+		if _, _, back := dismissed(t, cut, func(_ *Machine, r *replica.Record) { r.Barred = false }); !back {
 			t.Errorf("cut %v: the seeded defect is not found", cut)
 		}
 	}
@@ -564,8 +564,8 @@
 
 // Given what must not be done as members change, when it is done, then it is told; and without it nothing is.
 func TestSeededDefectsOfMembersAreFound(t *testing.T) {
-	of := func(kind signal.Kind, to *Machine, do func(m *signal.Message)) func(*Machine, *signal.Message) {
-		return func(at *Machine, m *signal.Message) {
+	of := func(kind message.Kind, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
+		return func(at *Machine, m *message.Message) {
 			if at == to && m.Kind == kind {
 				do(m)
 			}
@@ -580,18 +580,18 @@
 	}
 	for name, wrong := range map[string]string{
 		"a change agreed by the new members alone": handedOver(t, func(s *story, _ *Machine) {
-			s.Spoil = func(_ *Machine, r *frame.Record) { r.Former = nil }
+			s.Spoil = func(_ *Machine, r *replica.Record) { r.Former = nil }
 		}),
 		"a newcomer that votes before it is caught up": handedOver(t, func(s *story, fresh *Machine) {
-			s.Spoil = func(m *Machine, r *frame.Record) {
+			s.Spoil = func(m *Machine, r *replica.Record) {
 				if m == fresh {
-					r.Content = frame.Content{}
+					r.Content = replica.Content{}
 				}
 			}
 		}),
 		"a member that leaves before its successor has the state": handedOver(t,
 			func(s *story, fresh *Machine) {
-				s.Tamper = of(signal.Install, fresh, func(m *signal.Message) {
+				s.Tamper = of(message.Install, fresh, func(m *message.Message) {
 					m.Version, m.Config, m.Past = 0, nil, nil
 				})
 			}),
@@ -608,7 +608,7 @@
 			b.Kill()
 			was := b.record
 			b.Wipe()
-			b.record = frame.Record{Whole: true, ID: was.ID, Registry: was.Registry}
+			b.record = replica.Record{Whole: true, ID: was.ID, Registry: was.Registry}
 			b.Start()
 			c.Start()
 			s.Run(4 * time.Second)
@@ -654,13 +654,13 @@
 	if wrong := forgetful(nil); wrong != "" {
 		t.Error(wrong)
 	}
-	if forgetful(func(m *Machine, r *frame.Record) { r.Founding.Sure = true }) == "" {
+	if forgetful(func(m *Machine, r *replica.Record) { r.Founding.Sure = true }) == "" {
 		t.Error("the seeded defect is not found")
 	}
 }
 
 // forgetful plays that, and returns what went wrong.
-func forgetful(spoil func(*Machine, *frame.Record)) (wrong string) {
+func forgetful(spoil func(*Machine, *replica.Record)) (wrong string) {
 	x := New(Options{Zones: 3, Disks: 2, Survive: 1, Seed: 3})
 	a, known, b, c := x.Named("z1-1"), x.Named("z1-2"), x.Named("z2-1"), x.Named("z3-1")
 	x.Cut(a, x.Named("z2-2"), true)
@@ -811,7 +811,11 @@
 				t.Errorf("%s hears nothing of %q: held up for %v of 4 s, %d changes", name, from, held, n)
 			}
 			s.HealAll()
-			s.then("it is back", 4*time.Second, func() bool { return s.Spare() == 1 && deaf.Version() == s.version })
+			s.then(
+				"it is back",
+				4*time.Second,
+				func() bool { return s.Spare() == 1 && deaf.Version() == s.version },
+			)
 		}
 	}
 }
@@ -820,12 +824,12 @@
 // at its address, then the change is not complete before that second one has it: the vote of the new disk
 // is not the old one's. Counted as that, it is found.
 func TestAnotherDiskIsNotTheMemberBefore(t *testing.T) {
-	play := func(spoil func(*Machine, *frame.Record)) (complete bool, wrong string) {
+	play := func(spoil func(*Machine, *replica.Record)) (complete bool, wrong string) {
 		s := given(t, 1)
 		s.Spoil = spoil
 		lost, third := s.Named("z1-1"), s.Named("z3-1")
-		s.Wire = func(_, to string, m *signal.Message) []Delivery {
-			if to == third.self.Addr && m.Kind == signal.Install && len(m.Former) > 0 {
+		s.Wire = func(_, to string, m *message.Message) []Delivery {
+			if to == third.self.Addr && m.Kind == message.Install && len(m.Former) > 0 {
 				return nil
 			}
 			return []Delivery{{To: to, Message: m}}
@@ -848,7 +852,7 @@
 	if complete, wrong := play(nil); complete || wrong != "" {
 		t.Errorf("complete without the third: %v; %s", complete, wrong)
 	}
-	byAddress := func(_ *Machine, r *frame.Record) {
+	byAddress := func(_ *Machine, r *replica.Record) {
 		r.Former = slices.Clone(r.Former)
 		for i := range r.Former {
 			for _, m := range r.Registry {
--- a/exchange/rehearsal/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/extension"
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/client"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // The bounds of the rules, by their names on the users' pages.
@@ -26,11 +26,11 @@
 // Given the times that the program goes by, then what follows from them keeps within the rules.
 func TestTheBoundsOfWhatIsToldOutOfTouch(t *testing.T) {
 	for what, c := range map[string]struct{ got, most time.Duration }{
-		"who asks a silent machine asks the next": {extension.TurnMost, applyWithin},
-		"who asks one out of touch asks the next": {frame.SilentMost + extension.NextAfter, applyWithin},
+		"who asks a silent machine asks the next": {client.TurnMost, applyWithin},
+		"who asks one out of touch asks the next": {replica.SilentMost + client.NextAfter, applyWithin},
 		"an older configuration comes into force": {OldInForce, applyWithin},
-		"all have left a machine out of touch":    {frame.SilentMost + extension.TurnMost, quietFor},
-		"a call is answered":                      {extension.CallLimit, callerWaits - wayBack},
+		"all have left a machine out of touch":    {replica.SilentMost + client.TurnMost, quietFor},
+		"a call is answered":                      {client.CallLimit, callerWaits - wayBack},
 	} {
 		if c.got > c.most {
 			t.Errorf("%s after %v, %v is allowed", what, c.got, c.most)
@@ -45,7 +45,7 @@
 	views  map[uint64]began // by epoch
 	newest uint64           // of these
 	last   map[word]time.Duration
-	lists  map[process]signal.List // that was told last
+	lists  map[process]message.List // that was told last
 	wrong  []string
 }
 
@@ -67,18 +67,18 @@
 
 type word struct {
 	from *Machine
-	kind signal.Kind
+	kind message.Kind
 }
 
 func watched(x *Exchange) *watch {
 	w := &watch{x: x, polls: map[poll]uint64{}, views: map[uint64]began{}, last: map[word]time.Duration{},
-		lists: map[process]signal.List{}}
+		lists: map[process]message.List{}}
 	x.Told = w.told
 	return w
 }
 
 // serial tells the platform's lists apart: each has one server, named by its number.
-func serial(list []signal.Server) int {
+func serial(list []message.Server) int {
 	if len(list) == 0 {
 		return 0
 	}
@@ -88,7 +88,7 @@
 
 // change has the platform tell another list.
 func (w *watch) change() {
-	w.x.Servers = []signal.Server{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
+	w.x.Servers = []message.Server{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
 }
 
 func (w *watch) breaks(from *Machine, format string, args ...any) {
@@ -96,38 +96,38 @@
 }
 
 // told takes a word of a machine.
-func (w *watch) told(from *Machine, to string, m *signal.Message) {
+func (w *watch) told(from *Machine, to string, m *message.Message) {
 	switch m.Kind {
-	case signal.Beat:
+	case message.Beat:
 		if _, known := w.views[m.Epoch]; m.Epoch > 0 && !known {
 			w.views[m.Epoch] = began{w.x.Now, serial(w.x.Servers)}
 			w.newest = max(w.newest, m.Epoch)
 		}
 		return
-	case signal.Poll:
+	case message.Poll:
 		w.polls[poll{from.self.Addr, m.Life, m.Call}] = m.Version
 		return
-	case signal.News:
+	case message.News:
 		w.news(from, to, m)
-	case signal.Grant:
+	case message.Grant:
 		w.inForce(from, "grants tokens", m.Epoch, m.OK)
-	case signal.Lineup:
+	case message.Lineup:
 		w.read(from, m.List)
 		return
 	}
-	if m.OK || m.Kind == signal.Conflict {
+	if m.OK || m.Kind == message.Conflict {
 		w.last[word{from, m.Kind}] = w.x.Now
 	}
 }
 
 // inForce holds a word that is told under an epoch to the views that were in service more than the bound ago.
 func (w *watch) inForce(from *Machine, what string, epoch uint64, ok bool) {
-	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+frame.OldMost {
+	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.OldMost {
 		w.breaks(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
 	}
 }
 
-func (w *watch) news(from *Machine, to string, m *signal.Message) {
+func (w *watch) news(from *Machine, to string, m *message.Message) {
 	version, known := w.polls[poll{to, m.Life, m.Call}]
 	delete(w.polls, poll{to, m.Life, m.Call})
 	if !m.OK || !known { // asked before the watch began
@@ -139,12 +139,12 @@
 	}
 	stale := false // it tells bytes, and not that they are the newest
 	for _, p := range m.Parts {
-		if p.Table == signal.ConfigTable {
+		if p.Table == message.ConfigTable {
 			version, stale = p.Version, p.Stale
 		}
 	}
 	for _, c := range w.x.Calls {
-		if !stale && c.Acked && !c.Read && c.Version > version && w.x.Now > c.At+frame.OldMost {
+		if !stale && c.Acked && !c.Read && c.Version > version && w.x.Now > c.At+replica.OldMost {
 			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.At)
 		}
 	}
@@ -154,7 +154,7 @@
 }
 
 // read holds a list to its token: it was read when that epoch's view was in service, and tokens only rise.
-func (w *watch) read(from *Machine, l *signal.List) {
+func (w *watch) read(from *Machine, l *message.List) {
 	of := process{from, from.life}
 	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Seq < old.Seq {
 		w.breaks(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Seq, old.Epoch, old.Seq)
@@ -235,7 +235,7 @@
 }
 
 // counts are the kinds of words that claim to be the newest, or to be held by a majority.
-var counts = []signal.Kind{signal.News, signal.Done, signal.Conflict, signal.Copy, signal.Grant}
+var counts = []message.Kind{message.News, message.Done, message.Conflict, message.Copy, message.Grant}
 
 // twentySeconds has a machine of the core in trouble for that long, while operators go on at the others and
 // at this one, and the platform's list changes. It returns the longest that a change took.
@@ -295,8 +295,8 @@
 					t.Errorf("a change took %v at the others", took)
 				}
 				for _, kind := range counts {
-					most := frame.SilentMost
-					if kind != signal.News && kind != signal.Grant {
+					most := replica.SilentMost
+					if kind != message.News && kind != message.Grant {
 						most += tr.late
 					}
 					if at := w.last[word{m, kind}]; tr.mute && at > began+most {
@@ -346,8 +346,8 @@
 	}{
 		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
 			func(x *Exchange) {
-				x.Tamper = func(_ *Machine, m *signal.Message) {
-					if m.Kind == signal.Beat {
+				x.Tamper = func(_ *Machine, m *message.Message) {
+					if m.Kind == message.Beat {
 						m.Held = uint64(time.Hour.Milliseconds())
 					}
 				}
@@ -356,7 +356,7 @@
 			func(x *Exchange) { x.lateToken = true }},
 		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
 			func(x *Exchange) {
-				x.Tamper = func(_ *Machine, m *signal.Message) { m.Ill = m.Ill && m.Kind != signal.Beat }
+				x.Tamper = func(_ *Machine, m *message.Message) { m.Ill = m.Ill && m.Kind != message.Beat }
 			}},
 		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
 			func(x *Exchange) { x.alone = true }},
@@ -418,8 +418,8 @@
 func TestAMachineThatIsNotToldWhatIsDone(t *testing.T) {
 	s := given(t, 2)
 	w := watched(s.Exchange)
-	s.Tamper = func(to *Machine, m *signal.Message) {
-		if to.Name == "z2-1" && (m.Kind == signal.Beat || m.Kind == signal.Done) {
+	s.Tamper = func(to *Machine, m *message.Message) {
+		if to.Name == "z2-1" && (m.Kind == message.Beat || m.Kind == message.Done) {
 			m.Version = 0
 		}
 	}
@@ -438,8 +438,8 @@
 func TestNewsThatWasHeldUpIsNotTaken(t *testing.T) {
 	s := given(t, 1)
 	m := s.Named("z1-2")
-	s.Told = func(_ *Machine, to string, told *signal.Message) {
-		if to == m.self.Addr && told.Kind == signal.News && told.Config != nil {
+	s.Told = func(_ *Machine, to string, told *message.Message) {
+		if to == m.self.Addr && told.Kind == message.News && told.Config != nil {
 			m.Freeze()
 		}
 	}
@@ -461,9 +461,9 @@
 func TestAListThatComesLateIsNotTaken(t *testing.T) {
 	s := given(t, 2)
 	w := watched(s.Exchange)
-	s.Wire = func(_, to string, m *signal.Message) []Delivery {
+	s.Wire = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
-		if m.Kind == signal.Lineup && to == s.Named("z2-1").self.Addr && serial(m.List.Servers) == 1 {
+		if m.Kind == message.Lineup && to == s.Named("z2-1").self.Addr && serial(m.List.Servers) == 1 {
 			late = 3 * time.Second
 		}
 		return []Delivery{{to, late, m}}
--- a/exchange/rehearsal/register_test.go
+++ b/internal/controlplane/simulation/register_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // register is what operators are promised: one text a number, and the highest number is read. Its state lists
@@ -97,8 +97,8 @@
 
 // twoUnderOneNumber plays an order that is left on a head which is cut off, and another one under its number
 // that is acknowledged by the others; then all are killed, the cut ends, and they start again.
-func twoUnderOneNumber(t *testing.T, tamper func(*Machine, *signal.Message),
-	spoil func(*Machine, *frame.Record)) *story {
+func twoUnderOneNumber(t *testing.T, tamper func(*Machine, *message.Message),
+	spoil func(*Machine, *replica.Record)) *story {
 	t.Helper()
 	s := given(t, 2)
 	s.Spoil = spoil
@@ -155,20 +155,20 @@
 func TestSeededDefectsOfTheRegisterAreFound(t *testing.T) {
 	for name, s := range map[string]*story{
 		"what is newest is told by the number alone": twoUnderOneNumber(t, nil,
-			func(_ *Machine, r *frame.Record) { r.Stamp = 0 }),
-		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *signal.Message) {
-			if m.Kind == signal.Conflict {
-				m.Kind = signal.Done
+			func(_ *Machine, r *replica.Record) { r.Stamp = 0 }),
+		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *message.Message) {
+			if m.Kind == message.Conflict {
+				m.Kind = message.Done
 			}
 		}, nil),
 		"what was taken is refused when it is sent again": twoUnderOneNumber(t,
-			func(_ *Machine, m *signal.Message) {
-				if m.Kind == signal.Done && m.Call != 0 {
-					m.Kind = signal.Conflict
+			func(_ *Machine, m *message.Message) {
+				if m.Kind == message.Done && m.Call != 0 {
+					m.Kind = message.Conflict
 				}
 			}, nil),
 		"past numbers are forgotten by a restart": pastNumbers(t,
-			func(_ *Machine, r *frame.Record) { r.Past = nil }),
+			func(_ *Machine, r *replica.Record) { r.Past = nil }),
 	} {
 		if s.consistent() == "" {
 			t.Errorf("not found: %s", name)
@@ -177,7 +177,7 @@
 }
 
 // pastNumbers plays orders that are sent again when later ones stand.
-func pastNumbers(t *testing.T, spoil func(*Machine, *frame.Record)) *story {
+func pastNumbers(t *testing.T, spoil func(*Machine, *replica.Record)) *story {
 	t.Helper()
 	s := given(t, 1)
 	s.Spoil = spoil
--- a/exchange/rehearsal/rehearsal.go
+++ b/internal/controlplane/simulation/rehearsal.go
@@ -2,7 +2,7 @@
 // program, and links, disks and clocks of its own that fail when told to. It checks the promises all the
 // while: a configuration in force never goes back within a life, one version means one content, and what is
 // acknowledged is what is read. It runs thousands of times faster than real time, and repeats by its seed.
-package rehearsal
+package simulation
 
 import (
 	"container/heap"
@@ -11,17 +11,17 @@
 	"slices"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/extension"
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/office"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
+	"dunespoke/internal/controlplane/client"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/node"
+	"dunespoke/internal/controlplane/replica"
+	"dunespoke/internal/events"
+	"dunespoke/internal/ratelimit"
 )
 
 // OldInForce is how long after an acknowledgement an older configuration may come into force at most: what a
 // machine tells is as old as it may be, and is taken for as long as its answer is awaited.
-const OldInForce = frame.OldMost + extension.AnswerMost
+const OldInForce = replica.OldMost + client.AnswerMost
 
 // Options say what an exchange is made of.
 type Options struct {
@@ -37,7 +37,7 @@
 	Sync    time.Duration // of a disk
 	Trace   func(line string)
 	// Wire says what becomes of a message on its way between two machines; nil: it comes once.
-	Wire  func(from, to string, m *signal.Message) []Delivery
+	Wire  func(from, to string, m *message.Message) []Delivery
 	Probe Probe                       // may be nil
 	Text  func(version uint64) []byte // of the configurations that are sent; nil: short ones
 }
@@ -45,7 +45,7 @@
 // Probe measures what machines do.
 type Probe interface {
 	// Sent is told of each message from one machine's address to another, and of its bytes without the frame.
-	Sent(from, to string, m *signal.Message, size int)
+	Sent(from, to string, m *message.Message, size int)
 	// Run runs a piece of the work of the machine at an address: it calls do, once. What comes is decoded in the
 	// midst of the sender's work, and is the receiver's.
 	Run(addr string, do func())
@@ -54,18 +54,18 @@
 // Machine is one machine of the exchange.
 type Machine struct {
 	Name string
-	self signal.Machine
+	self message.Machine
 	disk bool
 	gone bool // for good
 
 	x      *Exchange
-	office *office.Office
+	office *node.Office
 	life   int
 	own    uint64 // the life's number among those of all machines
 	up     bool
 	frozen bool
 	held   []func() // what came while it was frozen
-	record frame.Record
+	record replica.Record
 	has    bool // it has been started before
 	saved  time.Duration
 	sync   time.Duration
@@ -76,7 +76,7 @@
 
 	version uint64
 	config  string
-	servers []signal.Server
+	servers []message.Server
 	members int
 	epoch   uint64 // of the view that it goes by
 	reads   bool
@@ -87,19 +87,19 @@
 	Options
 	Now      time.Duration
 	Machines []*Machine
-	Servers  []signal.Server // as the platform lists them
-	Messages int             // sent so far, those that got lost among them
-	Bytes    int             // of these, without their frames
-	Calls    []*Call         // of operators, in the order in which they began
+	Servers  []message.Server // as the platform lists them
+	Messages int              // sent so far, those that got lost among them
+	Bytes    int              // of these, without their frames
+	Calls    []*Call          // of operators, in the order in which they began
 	// ReadTime is how long the platform takes for its list; PlatformDown: for ever.
 	ReadTime     time.Duration
 	PlatformDown bool
 	// Told is called with each message that a machine sends, before it may get lost; it may be nil.
-	Told func(from *Machine, to string, m *signal.Message)
+	Told func(from *Machine, to string, m *message.Message)
 	// Tamper changes what a machine is about to take, and Spoil what a disk is about to hold: a test that plays
 	// a defect shows what finds it. Both may be nil.
-	Tamper func(to *Machine, m *signal.Message)
-	Spoil  func(m *Machine, r *frame.Record)
+	Tamper func(to *Machine, m *message.Message)
+	Spoil  func(m *Machine, r *replica.Record)
 
 	rng    *rand.Rand
 	events eventQueue
@@ -125,7 +125,7 @@
 type Delivery struct {
 	To      string
 	After   time.Duration
-	Message *signal.Message
+	Message *message.Message
 }
 
 type event struct {
@@ -155,8 +155,15 @@
 
 // New makes an exchange whose machines are all off.
 func New(o Options) *Exchange {
-	x := &Exchange{Options: o, Now: time.Hour, rng: rand.New(rand.NewPCG(o.Seed, 1)), cuts: map[[2]string]bool{},
-		slow: map[[2]string]time.Duration{}, texts: map[uint64]string{}, cores: newRegistries()}
+	x := &Exchange{
+		Options: o,
+		Now:     time.Hour,
+		rng:     rand.New(rand.NewPCG(o.Seed, 1)),
+		cuts:    map[[2]string]bool{},
+		slow:    map[[2]string]time.Duration{},
+		texts:   map[uint64]string{},
+		cores:   newRegistries(),
+	}
 	if x.Latency == 0 {
 		x.Latency = 2 * time.Millisecond
 	}
@@ -166,7 +173,7 @@
 	for z := range o.Zones {
 		for i := range o.Disks + o.Others {
 			m := &Machine{Name: fmt.Sprintf("z%d-%d", z+1, i+1), disk: i < o.Disks, x: x, sync: x.Sync,
-				self: signal.Machine{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
+				self: message.Machine{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
 			x.Machines = append(x.Machines, m)
 			if i == 0 && len(x.seeds) < 3 {
 				x.seeds = append(x.seeds, m.self.Addr)
@@ -178,11 +185,11 @@
 }
 
 // tolerance is what every process is told of what may be lost at once.
-func (x *Exchange) tolerance() frame.Tolerance {
+func (x *Exchange) tolerance() replica.Tolerance {
 	if x.countsAlone {
-		return frame.Tolerance{Machines: x.Survive}
+		return replica.Tolerance{Machines: x.Survive}
 	}
-	t := frame.Tolerance{Machines: x.Survive, Zones: x.SurviveZones, Regions: x.SurviveRegions,
+	t := replica.Tolerance{Machines: x.Survive, Zones: x.SurviveZones, Regions: x.SurviveRegions,
 		Region: map[string]string{}}
 	for z := range x.Zones {
 		t.Region[fmt.Sprintf("z%d", z+1)] = fmt.Sprintf("r%d", z/max(1, x.ZonesARegion)+1)
@@ -296,15 +303,15 @@
 	m.saved = 0
 	m.x.lives++
 	m.own = 1<<61 + m.x.lives // as long as the program's numbers are
-	o := office.Options{Self: m.self, Seeds: m.x.seeds, Survive: m.x.tolerance(), First: !m.has,
+	o := node.Options{Self: m.self, Seeds: m.x.seeds, Survive: m.x.tolerance(), First: !m.has,
 		Life: m.own, Actions: &actions{m, m.life},
-		Limits: func(string) toll.Limits { return toll.Limits{} }}
+		Limits: func(string) ratelimit.Limits { return ratelimit.Limits{} }}
 	m.has = true
 	if m.disk {
 		r := m.record
 		o.Disk = &r
 	}
-	m.office = office.New(m.x.Now, o)
+	m.office = node.New(m.x.Now, o)
 	m.wake(0)
 	m.lists(m.life)
 }
@@ -313,7 +320,7 @@
 func (m *Machine) Kill() { m.up, m.office, m.held = false, nil, nil }
 
 // Wipe takes what is on the disk of a machine that is down.
-func (m *Machine) Wipe() { m.record = frame.Record{} }
+func (m *Machine) Wipe() { m.record = replica.Record{} }
 
 // Freeze has a machine stand still; Thaw lets it go on, with what came meanwhile.
 func (m *Machine) Freeze() { m.frozen = true }
@@ -345,7 +352,7 @@
 }
 
 // Frame returns the machine's frame; nil without a disk, or while it is down.
-func (m *Machine) Frame() *frame.Frame {
+func (m *Machine) Frame() *replica.Frame {
 	if !m.up {
 		return nil
 	}
@@ -362,7 +369,7 @@
 func (m *Machine) Version() uint64 { return m.version }
 
 // Servers is the list of servers that the machine goes by.
-func (m *Machine) Servers() []signal.Server { return m.servers }
+func (m *Machine) Servers() []message.Server { return m.servers }
 
 // Members is how many machines hold leases, as far as this one knows.
 func (m *Machine) Members() int { return m.members }
@@ -413,12 +420,12 @@
 			return
 		}
 		m.act(life, func() {
-			if epoch, ok := m.office.Holds(m.x.Now, frame.ReadServers); ok && !m.x.PlatformDown {
+			if epoch, ok := m.office.Holds(m.x.Now, replica.ReadServers); ok && !m.x.PlatformDown {
 				list := slices.Clone(m.x.Servers)
 				m.x.at(m.x.ReadTime, func() {
 					m.act(life, func() {
 						if m.x.lateToken {
-							epoch, _ = m.office.Holds(m.x.Now, frame.ReadServers)
+							epoch, _ = m.office.Holds(m.x.Now, replica.ReadServers)
 						}
 						m.office.Servers(m.x.Now, epoch, list)
 					})
@@ -469,10 +476,10 @@
 			c.Ended, c.At, c.Acked = true, x.Now, true
 			return
 		}
-		m.office.Put(x.Now, version, []byte(text), func(answer *signal.Message) {
+		m.office.Put(x.Now, version, []byte(text), func(answer *message.Message) {
 			c.Ended, c.At = true, x.Now
-			c.Acked = answer != nil && answer.Kind == signal.Done
-			c.Conflict = answer != nil && answer.Kind == signal.Conflict
+			c.Acked = answer != nil && answer.Kind == message.Done
+			c.Conflict = answer != nil && answer.Kind == message.Conflict
 			if c.Acked {
 				x.acked = max(x.acked, version)
 			}
@@ -548,7 +555,7 @@
 	life int
 }
 
-func (a *actions) Send(to string, m *signal.Message) {
+func (a *actions) Send(to string, m *message.Message) {
 	x := a.m.x
 	from := a.m.self.Addr
 	if x.Told != nil {
@@ -558,7 +565,7 @@
 		x.at(0, func() { a.m.act(a.life, func() { a.m.office.Handle(x.Now, from, m) }) })
 		return
 	}
-	b := signal.Encode(nil, m)
+	b := message.Encode(nil, m)
 	x.Messages, x.Bytes = x.Messages+1, x.Bytes+len(b)
 	if x.Probe != nil {
 		x.Probe.Sent(from, to, m, len(b))
@@ -566,9 +573,9 @@
 	if x.cuts[[2]string{from, to}] {
 		return
 	}
-	copied := new(signal.Message)
+	copied := new(message.Message)
 	var err error
-	x.run(to, func() { err = signal.Decode(b, copied) })
+	x.run(to, func() { err = message.Decode(b, copied) })
 	if err != nil {
 		x.breaks("%s sent what can't be read: %v", a.m.Name, err)
 		return
@@ -600,7 +607,7 @@
 	})
 }
 
-func (a *actions) Save(token uint64, r frame.Record) {
+func (a *actions) Save(token uint64, r replica.Record) {
 	m := a.m
 	m.saved = max(m.saved, m.x.Now) + m.sync
 	done := func() {
@@ -649,8 +656,8 @@
 	}
 }
 
-func (a *actions) Servers(list []signal.Server) { a.m.servers = list }
+func (a *actions) Servers(list []message.Server) { a.m.servers = list }
 
-func (a *actions) Members(list []signal.Machine) { a.m.members = len(list) }
+func (a *actions) Members(list []message.Machine) { a.m.members = len(list) }
 
 func (a *actions) View(epoch uint64, _ []string) { a.m.epoch = epoch }
--- a/exchange/rehearsal/rehearsal_test.go
+++ b/internal/controlplane/simulation/rehearsal_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // story is a test told as given, when, then, over an exchange in memory.
@@ -252,12 +252,12 @@
 			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return len(m.Servers()) != n })
 		}
 	}
-	s.Servers = []signal.Server{{ID: "a"}, {ID: "b"}}
+	s.Servers = []message.Server{{ID: "a"}, {ID: "b"}}
 	s.then("all know two", 2*time.Second, all(2))
-	s.Servers = append(s.Servers, signal.Server{ID: "c"})
+	s.Servers = append(s.Servers, message.Server{ID: "c"})
 	s.then("all know three", 2*time.Second, all(3))
 	reader := s.Named("z3-1")
-	if epoch, ok := reader.office.Holds(s.Now, frame.ReadServers); !ok {
+	if epoch, ok := reader.office.Holds(s.Now, replica.ReadServers); !ok {
 		t.Fatalf("the tail does not read the list under %d", epoch)
 	}
 	reader.Kill()
--- a/exchange/rehearsal/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // narrow has news go by links of a width, one message after the other, and counts its bytes. Words between
@@ -25,29 +25,29 @@
 func (s *story) narrow(rate float64, to *Machine) *narrow {
 	n := &narrow{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
 	s.Wire = n.wire
-	s.Tamper = func(to *Machine, m *signal.Message) {
-		if n.whole && m.Kind == signal.News && m.Call != n.asked[to.self.Addr] {
+	s.Tamper = func(to *Machine, m *message.Message) {
+		if n.whole && m.Kind == message.News && m.Call != n.asked[to.self.Addr] {
 			m.Parts = nil
 		}
 	}
 	return n
 }
 
-func (n *narrow) wire(from, to string, m *signal.Message) []Delivery {
-	if m.Kind == signal.Poll {
+func (n *narrow) wire(from, to string, m *message.Message) []Delivery {
+	if m.Kind == message.Poll {
 		n.asked[from] = m.Call
 		if n.whole {
 			m.Room, m.Parts, m.Base = 1<<30, nil, 0
 		}
 	}
-	if m.Kind != signal.News || n.to != nil && n.to.self.Addr != to {
+	if m.Kind != message.News || n.to != nil && n.to.self.Addr != to {
 		return []Delivery{{To: to, Message: m}}
 	}
 	link := from
 	if n.to != nil {
 		link = to
 	}
-	size := len(signal.Encode(nil, m))
+	size := len(message.Encode(nil, m))
 	n.bytes += size
 	n.free[link] = max(n.free[link], n.s.Now) + time.Duration(float64(size)/n.rate*float64(time.Second))
 	return []Delivery{{to, n.late + n.free[link] - n.s.Now, m}}
@@ -58,7 +58,7 @@
 	s.t.Helper()
 	s.Text = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
 	for i := range servers {
-		s.Servers = append(s.Servers, signal.Server{ID: fmt.Sprintf("server-%06d", i), Service: "service-01",
+		s.Servers = append(s.Servers, message.Server{ID: fmt.Sprintf("server-%06d", i), Service: "service-01",
 			Addr: fmt.Sprintf("10.16.%d.%d:8080", i>>8, i&255), Zone: "z1", Capacity: 8})
 	}
 	s.change(s.Machines[0])
@@ -135,7 +135,7 @@
 			s.change(s.Named("z2-2"))
 		}
 		if c.old {
-			s.Tamper = func(_ *Machine, came *signal.Message) {
+			s.Tamper = func(_ *Machine, came *message.Message) {
 				for i := range came.Parts {
 					came.Parts[i].Stale = false
 				}
@@ -170,8 +170,8 @@
 		}
 		n.late = 3 * time.Second
 		if fresh {
-			s.Tamper = func(to *Machine, came *signal.Message) {
-				if to == m && came.Kind == signal.News {
+			s.Tamper = func(to *Machine, came *message.Message) {
+				if to == m && came.Kind == message.News {
 					came.Call = n.asked[m.self.Addr]
 				}
 			}
@@ -193,7 +193,7 @@
 		before := n.bytes
 		n.late = 0
 		s.then("it has the newest", time.Second, func() bool { return m.Version() == s.version })
-		whole := len(signal.Encode(nil, signal.Pack(s.Text(s.version), 0, nil)))
+		whole := len(message.Encode(nil, message.Pack(s.Text(s.version), 0, nil)))
 		if got := n.bytes - before; got > whole/4 {
 			t.Errorf("%d bytes were sent again, the whole has %d", got, whole)
 		}
--- a/exchange/vault/changes_test.go
+++ b/internal/controlplane/storage/changes_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -13,21 +13,21 @@
 
 	"github.com/cockroachdb/pebble/v2"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // history is a configuration under changes, each of which changes one item.
 type history struct {
 	rng   *rand.Rand
 	items [][]byte
-	r     frame.Record
+	r     replica.Record
 }
 
 func newHistory(routes int) *history {
 	h := &history{rng: rand.New(rand.NewPCG(7, 7)), items: make([][]byte, routes),
-		r: frame.Record{Whole: true, Registry: []signal.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
-			Promised: 64, Epoch: 64, Chain: []string{"a", "b", "c"}, Content: frame.Content{Stamp: 64}}}
+		r: replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
+			Promised: 64, Epoch: 64, Chain: []string{"a", "b", "c"}, Content: replica.Content{Stamp: 64}}}
 	for i := range h.items {
 		h.items[i] = h.route(i)
 	}
@@ -43,15 +43,15 @@
 }
 
 // next changes items, and returns the record to be saved.
-func (h *history) next(items int) frame.Record {
+func (h *history) next(items int) replica.Record {
 	for range items {
 		at := h.rng.IntN(len(h.items))
 		h.items[at] = h.route(at)
 	}
 	h.r.Version++
 	h.r.Config = bytes.Join(h.items, nil)
-	taken := signal.Taken{Version: h.r.Version, Digest: signal.SumOf(h.r.Config)}
-	h.r.Past = frame.Remember(h.r.Past, taken)
+	taken := message.Taken{Version: h.r.Version, Digest: message.SumOf(h.r.Config)}
+	h.r.Past = replica.Remember(h.r.Past, taken)
 	return h.r
 }
 
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var last frame.Record
+	var last replica.Record
 	for i := range n {
 		if last = h.next(each); !v.save(last) {
 			t.Fatal("not saved")
@@ -116,7 +116,9 @@
 	}
 }
 
-// BenchmarkChanges is the measurement at size: go test -bench Changes -benchtime 10000x ./exchange/vault
+// BenchmarkChanges is the measurement at size:
+//
+//	go test -bench Changes -benchtime 10000x ./internal/controlplane/storage
 func BenchmarkChanges(b *testing.B) {
 	for _, c := range []struct{ routes, each int }{{1_400, 1}, {14_000, 1}, {14_000, 14_000}} {
 		b.Run(fmt.Sprintf("%d-of-%d", c.each, c.routes), func(b *testing.B) {
@@ -148,16 +150,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r frame.Record
+	var r replica.Record
 	for r.Version < 700 {
 		r.Version++
-		r.Past = frame.Remember(r.Past, signal.Taken{Version: r.Version, Digest: signal.Sum{byte(r.Version)}})
+		r.Past = replica.Remember(r.Past, message.Taken{Version: r.Version, Digest: message.Sum{byte(r.Version)}})
 		if !v.save(r) {
 			t.Fatal("not saved")
 		}
 	}
 	v.Close(time.Minute)
-	if n := len(r.Past); n < 512 || n >= 512+signal.TakenChunk {
+	if n := len(r.Past); n < 512 || n >= 512+message.TakenChunk {
 		t.Errorf("%d numbers are remembered", n)
 	}
 	return most
@@ -173,7 +175,7 @@
 		t.Errorf("%d bytes", most)
 	}
 	// Seeded defect: they are written whole.
-	defer func(cut signal.Cut) { numbersText.cut = cut }(numbersText.cut)
+	defer func(cut message.Cut) { numbersText.cut = cut }(numbersText.cut)
 	numbersText.cut = func(text []byte, f func([]byte)) { f(text) }
 	if most = dearest(t); most <= bound {
 		t.Errorf("whole: %d bytes", most)
--- a/exchange/vault/closing_test.go
+++ b/internal/controlplane/storage/closing_test.go
@@ -1,10 +1,10 @@
-package vault
+package storage
 
 import (
 	"testing"
 	"time"
 
-	"dunespoke/exchange/frame"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // Given a vault that is being closed, when more saves come, as they do on a machine of the core that was told
@@ -17,11 +17,11 @@
 		t.Fatal(err)
 	}
 	told := make(chan bool, 2)
-	v.Save(frame.Record{Whole: true, Promised: 64}, func(ok bool) { told <- ok })
+	v.Save(replica.Record{Whole: true, Promised: 64}, func(ok bool) { told <- ok })
 	if err := v.Close(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	v.Save(frame.Record{Whole: true, Promised: 128}, func(ok bool) { told <- ok })
+	v.Save(replica.Record{Whole: true, Promised: 128}, func(ok bool) { told <- ok })
 	if first, second := <-told, <-told; !first || second {
 		t.Errorf("before it closed: %v, after: %v", first, second)
 	}
