--- a/exchange/vault/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -21,8 +21,8 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // disk is a disk in memory whose power can be cut, and that refuses what it is told to.
@@ -96,45 +96,50 @@
 // record is the i-th that is saved, i from 1. All share the first ranges of their configurations, which come
 // to lie in tables, and no two of them the rest. Of the numbers taken, each has 24 more than the one before,
 // and the same chunks but for the first and the last.
-func record(i int) frame.Record {
+func record(i int) replica.Record {
 	rng := rand.New(rand.NewPCG(uint64(i), 3))
 	var config []byte
 	for n := range 100 {
 		config = fmt.Appendf(config, `{"item_kind":"routes","metadata":{"name":"shared-%d"},"desired":{}},`, n)
 	}
 	for n := range 20 + rng.IntN(100) {
-		config = fmt.Appendf(config, `{"item_kind":"routes","metadata":{"name":"%d-%d"},"desired":{"x":"%x"}},`, i,
-			n, rng.Uint64())
+		config = fmt.Appendf(
+			config,
+			`{"item_kind":"routes","metadata":{"name":"%d-%d"},"desired":{"x":"%x"}},`,
+			i,
+			n,
+			rng.Uint64(),
+		)
 	}
 	if i%3 == 0 { // as the one before, but for its epoch
 		r := record(i - 1)
 		r.Promised, r.Epoch = uint64(64*i), uint64(64*i)
 		return r
 	}
-	return frame.Record{Whole: true, Registry: []signal.Machine{{Addr: "a", Zone: "z"}},
+	return replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}},
 		Promised: uint64(64 * i), Epoch: uint64(64 * i), Chain: []string{"a", "b"},
-		Content: frame.Content{Stamp: uint64(64 * i), Version: uint64(i), Config: config, Past: past(24 * i)}}
+		Content: replica.Content{Stamp: uint64(64 * i), Version: uint64(i), Config: config, Past: past(24 * i)}}
 }
 
 // past are the numbers up to one: 64 of them, and what is dropped with the next chunk.
-func past(last int) (list []signal.Taken) {
-	for n := max(0, last-64) / signal.TakenChunk * signal.TakenChunk; n < last; n++ {
-		sum := signal.SumOf([]byte{byte(n), byte(n >> 8)})
-		list = append(list, signal.Taken{Version: uint64(n + 1), Digest: sum})
+func past(last int) (list []message.Taken) {
+	for n := max(0, last-64) / message.TakenChunk * message.TakenChunk; n < last; n++ {
+		sum := message.SumOf([]byte{byte(n), byte(n >> 8)})
+		list = append(list, message.Taken{Version: uint64(n + 1), Digest: sum})
 	}
 	return list
 }
 
 // number tells which record one is; -1: none that was ever saved.
-func number(r frame.Record) int {
+func number(r replica.Record) int {
 	i := int(r.Promised / 64)
-	if i == 0 && reflect.DeepEqual(r, frame.Record{}) || i > 0 && reflect.DeepEqual(r, record(i)) {
+	if i == 0 && reflect.DeepEqual(r, replica.Record{}) || i > 0 && reflect.DeepEqual(r, record(i)) {
 		return i
 	}
 	return -1
 }
 
-func (v *Vault) save(r frame.Record) bool {
+func (v *Vault) save(r replica.Record) bool {
 	told := make(chan bool)
 	v.Save(r, func(ok bool) { told <- ok })
 	return <-told
@@ -414,7 +419,14 @@
 			}
 			v, r, err := open("data", d.ways())
 			if err != nil || v.Damaged() != nil || number(r) != saves {
-				t.Fatalf("%d saves, full from change %d on: record %d, %v, %v", saves, at, number(r), err, v.Damaged())
+				t.Fatalf(
+					"%d saves, full from change %d on: record %d, %v, %v",
+					saves,
+					at,
+					number(r),
+					err,
+					v.Damaged(),
+				)
 			}
 			d.mu.Lock()
 			opened := d.n < at
@@ -532,7 +544,7 @@
 	switch {
 	case v.Damaged() == nil && number(r) < 0:
 		return fmt.Sprintf("it serves what was never saved: stamp %d, version %d", r.Stamp, r.Version)
-	case v.Damaged() != nil && !reflect.DeepEqual(r, frame.Record{}):
+	case v.Damaged() != nil && !reflect.DeepEqual(r, replica.Record{}):
 		return "it is told as damaged, and served"
 	}
 	for n := 0; !v.save(record(50)); n++ { // the damage may show only now
@@ -605,7 +617,7 @@
 	found := map[string]string{}
 	altered(t, func(key string, d *disk) {
 		w := d.ways()
-		w.same = func(signal.Sum, []byte) bool { return true }
+		w.same = func(message.Sum, []byte) bool { return true }
 		if f := damages(d, w); f != "" {
 			kind, _, _ := strings.Cut(key, "/")
 			found[kind] = fmt.Sprintf("%q: %s", key, f)
--- a/exchange/vault/disk.go
+++ b/internal/controlplane/storage/disk.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"errors"
--- a/exchange/vault/golden_test.go
+++ b/internal/controlplane/storage/golden_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -13,59 +13,65 @@
 
 	"github.com/cockroachdb/pebble/v2"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 var update = flag.Bool("update", false, "write the golden stores anew, for a new form only")
 
 // goldenRecord is what the golden stores hold; the two earlier forms hold a part of it.
-func goldenRecord() frame.Record {
+func goldenRecord() replica.Record {
 	config := []byte(`{"version":"r7","items_of":[` +
 		`{"item_kind":"routes","metadata":{"name":"a"},"desired":{"domain":"a.example"}},` +
 		`{"item_kind":"limits","metadata":{},"desired":{"idle_s":15}}]}`)
-	members := []signal.Machine{{Addr: "10.1.0.1:7560", Zone: "z1", ID: 11, Seat: 1},
+	members := []message.Machine{{Addr: "10.1.0.1:7560", Zone: "z1", ID: 11, Seat: 1},
 		{Addr: "10.2.0.1:7560", Zone: "z2", ID: 12, Seat: 2}}
-	return frame.Record{Whole: true, ID: 11, Registry: members, Generation: 130,
-		Former:  []signal.Machine{{Addr: "10.3.0.1:7560", Zone: "z3", ID: 13, Seat: 3}},
-		Removed: []signal.Machine{{Addr: "10.4.0.1:7560", Zone: "z4", ID: 14, Seat: 4}}, Barred: true,
+	return replica.Record{Whole: true, ID: 11, Registry: members, Generation: 130,
+		Former:  []message.Machine{{Addr: "10.3.0.1:7560", Zone: "z3", ID: 13, Seat: 3}},
+		Removed: []message.Machine{{Addr: "10.4.0.1:7560", Zone: "z4", ID: 14, Seat: 4}}, Barred: true,
 		Promised: 258, Epoch: 193, Chain: []string{"10.1.0.1:7560", "10.2.0.1:7560"},
-		Content: frame.Content{Stamp: 193, Version: 7, Config: config,
-			Past: []signal.Taken{{Version: 5, Digest: signal.SumOf([]byte("five"))},
-				{Version: 7, Digest: signal.SumOf(config)}}},
-		Founding: frame.Founding{Sure: true, Seeds: []string{"10.1.0.1:7560"}, Pledged: 65, Ballot: 64,
+		Content: replica.Content{Stamp: 193, Version: 7, Config: config,
+			Past: []message.Taken{{Version: 5, Digest: message.SumOf([]byte("five"))},
+				{Version: 7, Digest: message.SumOf(config)}}},
+		Founding: replica.Founding{Sure: true, Seeds: []string{"10.1.0.1:7560"}, Pledged: 65, Ballot: 64,
 			Draft: members}}
 }
 
 // goldenForms are the forms of a store that are read, with the record that each holds. The first two are
 // written by no program any more: their keys are set by hand.
 func goldenForms() map[string]struct {
-	want frame.Record
+	want replica.Record
 	keys map[string][]byte
 } {
 	want := goldenRecord()
-	first := frame.Record{Whole: true, Registry: want.Registry, Promised: want.Promised, Epoch: want.Epoch,
-		Chain: want.Chain, Content: frame.Content{Version: 7, Config: want.Config}}
+	first := replica.Record{Whole: true, Registry: want.Registry, Promised: want.Promised, Epoch: want.Epoch,
+		Chain: want.Chain, Content: replica.Content{Version: 7, Config: want.Config}}
 	second := want
-	h := head{Whole: true, Registry: want.Registry, Promised: want.Promised, Epoch: want.Epoch, Chain: want.Chain,
-		Version: 7}
+	h := head{
+		Whole:    true,
+		Registry: want.Registry,
+		Promised: want.Promised,
+		Epoch:    want.Epoch,
+		Chain:    want.Chain,
+		Version:  7,
+	}
 	sum := func(text []byte) []byte {
-		s := signal.SumOf(text)
+		s := message.SumOf(text)
 		return s[:]
 	}
-	numbers, list := signal.Encode(nil, &earlierPast{want.Past}), sum(want.Config)
+	numbers, list := message.Encode(nil, &earlierPast{want.Past}), sum(want.Config)
 	h2 := h
 	h2.Stamp, h2.ID, h2.Generation, h2.Former = want.Stamp, want.ID, want.Generation, want.Former
 	h2.Removed, h2.Barred, h2.Sure, h2.Seeds = want.Removed, true, true, want.Founding.Seeds
 	h2.Pledged, h2.Ballot, h2.Draft = 65, 64, want.Founding.Draft
 	h2.Ranges, h2.Past = sum(list), sum(numbers)
-	text := signal.Encode(nil, &h2)
+	text := message.Encode(nil, &h2)
 	return map[string]struct {
-		want frame.Record
+		want replica.Record
 		keys map[string][]byte
 	}{
-		"record": {first, map[string][]byte{"record": signal.Encode(nil, &h),
-			"config": signal.Encode(nil, &earlierConfig{7, want.Config})}},
+		"record": {first, map[string][]byte{"record": message.Encode(nil, &h),
+			"config": message.Encode(nil, &earlierConfig{7, want.Config})}},
 		"past": {second, map[string][]byte{"head": append(sum(text), text...), "ranges": list,
 			"range/" + string(list): want.Config, "past": numbers}},
 		"head": {want, nil},
@@ -91,7 +97,7 @@
 	return out.Bytes()
 }
 
-func writeGolden(t *testing.T, dir string, want frame.Record, keys map[string][]byte) {
+func writeGolden(t *testing.T, dir string, want replica.Record, keys map[string][]byte) {
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
--- a/exchange/vault/snapshot.go
+++ b/internal/controlplane/storage/snapshot.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"crypto/sha256"
@@ -13,8 +13,8 @@
 
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // Snapshot is what a stopped machine's store holds, as a document that staff can keep and look at. The
@@ -95,7 +95,7 @@
 // Found makes the store of one machine of a core that is founded anew from a snapshot. All machines named
 // must get the same, and none of the old core may be started again with its old store. The folder must hold
 // no store; the error is a trace.AlreadyExists otherwise.
-func Found(dir string, s *Snapshot, core []signal.Machine) error {
+func Found(dir string, s *Snapshot, core []message.Machine) error {
 	if len(core) == 0 {
 		return trace.BadParameter("a core needs machines")
 	}
@@ -106,7 +106,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	core = slices.Clone(core)
-	slices.SortFunc(core, func(a, b signal.Machine) int { return strings.Compare(a.Addr, b.Addr) })
+	slices.SortFunc(core, func(a, b message.Machine) int { return strings.Compare(a.Addr, b.Addr) })
 	v, _, err := Open(dir)
 	if err != nil {
 		return trace.Wrap(err)
@@ -115,7 +115,7 @@
 	for i := range core { // the same on all of them, and of no store before
 		core[i].ID = epoch
 	}
-	err = v.write(frame.Record{Whole: true, Registry: core, Generation: epoch, Promised: epoch, Epoch: epoch,
-		Content: frame.Content{Version: s.Version, Config: []byte(s.Config)}})
+	err = v.write(replica.Record{Whole: true, Registry: core, Generation: epoch, Promised: epoch, Epoch: epoch,
+		Content: replica.Content{Version: s.Version, Config: []byte(s.Config)}})
 	return trace.NewAggregate(err, v.Close(closeWait))
 }
--- a/exchange/vault/store.go
+++ b/internal/controlplane/storage/store.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // ErrDamaged tells of a store that is not as it was written.
@@ -31,8 +31,8 @@
 // is read is what was written together, or is told as damaged.
 var (
 	keyHead     = []byte("head") // the digest of what follows, and a head
-	configText  = partedText{[]byte("ranges"), "range/", signal.Ranges}
-	numbersText = partedText{[]byte("numbers"), "chunk/", signal.TakenChunks}
+	configText  = partedText{[]byte("ranges"), "range/", message.Ranges}
+	numbersText = partedText{[]byte("numbers"), "chunk/", message.TakenChunks}
 
 	// Of earlier forms: the numbers taken as a whole; and before that a head without digests, and the
 	// configuration.
@@ -46,42 +46,42 @@
 type partedText struct {
 	list []byte // key of the digests of its parts, in order
 	part string // and of a part, before its digest
-	cut  signal.Cut
+	cut  message.Cut
 }
 
 func (t *partedText) key(sum []byte) []byte { return append([]byte(t.part), sum...) }
 
 // head is a record as it is written, without the configuration and the numbers taken.
 type head struct {
-	Whole    bool             `pb:"1"`
-	Registry []signal.Machine `pb:"2"`
-	Promised uint64           `pb:"3"`
-	Epoch    uint64           `pb:"4"`
-	Chain    []string         `pb:"5"`
-	Version  uint64           `pb:"6"`
-	Pledged  uint64           `pb:"7"` // of a first start
-	Ballot   uint64           `pb:"8"`
-	Draft    []signal.Machine `pb:"9"`
-	Stamp    uint64           `pb:"10"` // epoch under which the configuration was accepted
-	Ranges   []byte           `pb:"11"` // digest of the list of ranges
-	Past     []byte           `pb:"12"` // of an earlier form: digest of the numbers taken
-	Numbers  []byte           `pb:"13"` // digest of the list of their chunks
-
-	ID         uint64           `pb:"30"` // of this store
-	Generation uint64           `pb:"31"`
-	Former     []signal.Machine `pb:"32"`
-	Removed    []signal.Machine `pb:"35"`
-	Barred     bool             `pb:"36"`
-	Sure       bool             `pb:"33"` // of a first start: all that was promised in it is here
-	Seeds      []string         `pb:"34"` // of it
+	Whole    bool              `pb:"1"`
+	Registry []message.Machine `pb:"2"`
+	Promised uint64            `pb:"3"`
+	Epoch    uint64            `pb:"4"`
+	Chain    []string          `pb:"5"`
+	Version  uint64            `pb:"6"`
+	Pledged  uint64            `pb:"7"` // of a first start
+	Ballot   uint64            `pb:"8"`
+	Draft    []message.Machine `pb:"9"`
+	Stamp    uint64            `pb:"10"` // epoch under which the configuration was accepted
+	Ranges   []byte            `pb:"11"` // digest of the list of ranges
+	Past     []byte            `pb:"12"` // of an earlier form: digest of the numbers taken
+	Numbers  []byte            `pb:"13"` // digest of the list of their chunks
+
+	ID         uint64            `pb:"30"` // of this store
+	Generation uint64            `pb:"31"`
+	Former     []message.Machine `pb:"32"`
+	Removed    []message.Machine `pb:"35"`
+	Barred     bool              `pb:"36"`
+	Sure       bool              `pb:"33"` // of a first start: all that was promised in it is here
+	Seeds      []string          `pb:"34"` // of it
 }
 
 // record is the record of a head, with what it holds.
-func (h *head) record(c frame.Content) frame.Record {
-	return frame.Record{Whole: h.Whole, Registry: h.Registry, Promised: h.Promised, Epoch: h.Epoch,
+func (h *head) record(c replica.Content) replica.Record {
+	return replica.Record{Whole: h.Whole, Registry: h.Registry, Promised: h.Promised, Epoch: h.Epoch,
 		Chain: h.Chain, Content: c, ID: h.ID, Generation: h.Generation, Former: h.Former,
 		Removed: h.Removed, Barred: h.Barred,
-		Founding: frame.Founding{Sure: h.Sure, Seeds: h.Seeds, Pledged: h.Pledged, Ballot: h.Ballot,
+		Founding: replica.Founding{Sure: h.Sure, Seeds: h.Seeds, Pledged: h.Pledged, Ballot: h.Ballot,
 			Draft: h.Draft}}
 }
 
@@ -91,7 +91,7 @@
 }
 
 type earlierPast struct {
-	Past []signal.Taken `pb:"1"`
+	Past []message.Taken `pb:"1"`
 }
 
 // ways are how a store gets at its disk.
@@ -102,7 +102,7 @@
 	// memory is how many bytes of changes are held before they become a table.
 	memory uint64
 	commit func(db *pebble.DB, b *pebble.Batch) error // writes all of a batch or nothing, and syncs it
-	same   func(sum signal.Sum, text []byte) bool     // holds what was read to its digest
+	same   func(sum message.Sum, text []byte) bool    // holds what was read to its digest
 	guard  func(s *store, o *pebble.Options)          // keeps errors of the disk from ending the process
 }
 
@@ -113,7 +113,7 @@
 	now:    time.Now,
 	memory: 512 << 10,
 	commit: func(db *pebble.DB, b *pebble.Batch) error { return db.Apply(b, pebble.Sync) },
-	same:   func(sum signal.Sum, text []byte) bool { return signal.SumOf(text) == sum },
+	same:   func(sum message.Sum, text []byte) bool { return message.SumOf(text) == sum },
 	guard:  fenced,
 }
 
@@ -132,9 +132,9 @@
 	ruined atomic.Bool   // what is on the disk is not what was written
 	task   chan error    // what is under way ends here; nil: nothing
 
-	found   frame.Record                  // when it was opened, until it is asked for
-	content atomic.Pointer[frame.Content] // as it is in the store; nil: not known
-	ranges  []byte                        // the lists there
+	found   replica.Record                  // when it was opened, until it is asked for
+	content atomic.Pointer[replica.Content] // as it is in the store; nil: not known
+	ranges  []byte                          // the lists there
 	chunks  []byte
 	earlier [][]byte // keys of earlier forms, until the first save
 }
@@ -225,9 +225,9 @@
 }
 
 // record returns what was found at the opening, once.
-func (s *store) record() frame.Record {
+func (s *store) record() replica.Record {
 	r := s.found
-	s.found = frame.Record{}
+	s.found = replica.Record{}
 	return r
 }
 
@@ -261,32 +261,32 @@
 		return nil, trace.Wrap(ErrDamaged, "%x is missing", key)
 	case err != nil:
 		return nil, err
-	case len(sum) != len(signal.Sum{}) || !s.same(signal.Sum(sum), b):
+	case len(sum) != len(message.Sum{}) || !s.same(message.Sum(sum), b):
 		return nil, trace.Wrap(ErrDamaged, "%x has another digest", key)
 	}
 	return b, nil
 }
 
 // read reads the record; the zero one from an empty store.
-func (s *store) read() (frame.Record, error) {
+func (s *store) read() (replica.Record, error) {
 	b, err := s.get(keyHead)
 	if errors.Is(err, pebble.ErrNotFound) {
 		return s.readEarlier()
 	}
 	if err != nil {
-		return frame.Record{}, err
+		return replica.Record{}, err
 	}
-	const size = len(signal.Sum{})
+	const size = len(message.Sum{})
 	var h head
-	if len(b) < size || !s.same(signal.Sum(b[:size]), b[size:]) || signal.Decode(b[size:], &h) != nil {
-		return frame.Record{}, trace.Wrap(ErrDamaged, "the head has another digest")
+	if len(b) < size || !s.same(message.Sum(b[:size]), b[size:]) || message.Decode(b[size:], &h) != nil {
+		return replica.Record{}, trace.Wrap(ErrDamaged, "the head has another digest")
 	}
-	var c frame.Content
+	var c replica.Content
 	if c.Config, s.ranges, err = s.readText(&configText, h.Ranges); err != nil {
-		return frame.Record{}, err
+		return replica.Record{}, err
 	}
 	if c.Past, err = s.readNumbers(&h); err != nil {
-		return frame.Record{}, err
+		return replica.Record{}, err
 	}
 	c.Stamp, c.Version = h.Stamp, h.Version
 	s.content.Store(&c)
@@ -298,7 +298,7 @@
 	if list, err = s.part(t.list, sum); err != nil {
 		return nil, nil, err
 	}
-	for sum := range slices.Chunk(list, len(signal.Sum{})) {
+	for sum := range slices.Chunk(list, len(message.Sum{})) {
 		part, err := s.part(t.key(sum), sum)
 		if err != nil {
 			return nil, nil, err
@@ -309,11 +309,11 @@
 }
 
 // readNumbers reads the numbers taken. Those of the earlier form are written anew with the first save.
-func (s *store) readNumbers(h *head) (past []signal.Taken, err error) {
+func (s *store) readNumbers(h *head) (past []message.Taken, err error) {
 	if len(h.Numbers) == 0 {
 		var p earlierPast
 		b, err := s.part(keyPast, h.Past)
-		if err == nil && signal.Decode(b, &p) != nil {
+		if err == nil && message.Decode(b, &p) != nil {
 			err = trace.Wrap(ErrDamaged, "the numbers taken")
 		}
 		s.earlier = append(s.earlier, keyPast)
@@ -324,7 +324,7 @@
 		return nil, err
 	}
 	s.chunks = chunks
-	if past, err = signal.DecodeTaken(b); err != nil {
+	if past, err = message.DecodeTaken(b); err != nil {
 		err = trace.Wrap(ErrDamaged, "the numbers taken")
 	}
 	return past, err
@@ -332,7 +332,7 @@
 
 // readEarlier reads a record of the earlier form; the zero one from an empty store. The first save writes all
 // of it anew.
-func (s *store) readEarlier() (frame.Record, error) {
+func (s *store) readEarlier() (replica.Record, error) {
 	var h head
 	var c earlierConfig
 	for key, into := range map[*[]byte]any{&keyEarlier: &h, &keyEarlierConfig: &c} {
@@ -341,20 +341,20 @@
 		case errors.Is(err, pebble.ErrNotFound):
 			continue
 		case err != nil:
-			return frame.Record{}, err
-		case signal.Decode(b, into) != nil:
-			return frame.Record{}, trace.Wrap(ErrDamaged, "%s can't be read", *key)
+			return replica.Record{}, err
+		case message.Decode(b, into) != nil:
+			return replica.Record{}, trace.Wrap(ErrDamaged, "%s can't be read", *key)
 		}
 		s.earlier = append(s.earlier, *key)
 	}
-	return h.record(frame.Content{Version: c.Version, Config: c.Config}), nil
+	return h.record(replica.Content{Version: c.Version, Config: c.Config}), nil
 }
 
 // write writes a record and syncs it: what differs from the one that is there, in one batch. After an error
 // it is unknown whether the record is there; unless that is errRefused, the store is to be given up.
-func (s *store) write(r frame.Record) error { return s.do(func() error { return s.change(r) }) }
+func (s *store) write(r replica.Record) error { return s.do(func() error { return s.change(r) }) }
 
-func (s *store) change(r frame.Record) error {
+func (s *store) change(r replica.Record) error {
 	b := s.db.NewBatch()
 	defer b.Close()
 	var failed error
@@ -364,18 +364,21 @@
 		ranges = setText(b, &configText, r.Config, s.ranges, set)
 	}
 	if there == nil || len(s.earlier) > 0 || !slices.Equal(r.Past, there.Past) {
-		chunks = setText(b, &numbersText, signal.EncodeTaken(r.Past), s.chunks, set)
+		chunks = setText(b, &numbersText, message.EncodeTaken(r.Past), s.chunks, set)
 	}
 	for _, key := range s.earlier {
 		b.Delete(key, nil)
 	}
-	rangesSum, chunksSum := signal.SumOf(ranges), signal.SumOf(chunks)
-	text := signal.Encode(nil, &head{Whole: r.Whole, Registry: r.Registry, Promised: r.Promised, Epoch: r.Epoch,
-		Chain: r.Chain, Version: r.Version, Pledged: r.Founding.Pledged, Ballot: r.Founding.Ballot,
-		Draft: r.Founding.Draft, Stamp: r.Stamp, Ranges: rangesSum[:], Numbers: chunksSum[:],
-		ID: r.ID, Generation: r.Generation, Former: r.Former, Removed: r.Removed, Barred: r.Barred,
-		Sure: r.Founding.Sure, Seeds: r.Founding.Seeds})
-	sum := signal.SumOf(text)
+	rangesSum, chunksSum := message.SumOf(ranges), message.SumOf(chunks)
+	text := message.Encode(
+		nil,
+		&head{Whole: r.Whole, Registry: r.Registry, Promised: r.Promised, Epoch: r.Epoch,
+			Chain: r.Chain, Version: r.Version, Pledged: r.Founding.Pledged, Ballot: r.Founding.Ballot,
+			Draft: r.Founding.Draft, Stamp: r.Stamp, Ranges: rangesSum[:], Numbers: chunksSum[:],
+			ID: r.ID, Generation: r.Generation, Former: r.Former, Removed: r.Removed, Barred: r.Barred,
+			Sure: r.Founding.Sure, Seeds: r.Founding.Seeds},
+	)
+	sum := message.SumOf(text)
 	set(keyHead, append(sum[:], text...))
 	if failed != nil {
 		return trace.Wrap(failed)
@@ -392,12 +395,12 @@
 // list of its parts.
 func setText(b *pebble.Batch, t *partedText, now, before []byte, set func(key, value []byte)) []byte {
 	gone := map[string]bool{}
-	for sum := range slices.Chunk(before, len(signal.Sum{})) {
+	for sum := range slices.Chunk(before, len(message.Sum{})) {
 		gone[string(sum)] = true
 	}
 	list, there := []byte{}, map[string]bool{}
 	t.cut(now, func(part []byte) {
-		sum := signal.SumOf(part)
+		sum := message.SumOf(part)
 		list = append(list, sum[:]...)
 		key := string(sum[:])
 		if !gone[key] && !there[key] {
--- a/exchange/vault/vault.go
+++ b/internal/controlplane/storage/vault.go
@@ -1,7 +1,7 @@
 // Package vault keeps a frame's record on disk, in a pebble store. Saves are done in order by one goroutine,
 // each synced before it is told as done. A disk that refuses something ends neither the process nor the
 // vault: the save is told as failed, and goes on when the disk is well, before the next.
-package vault
+package storage
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/frame"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // errResting tells that a store was given up a moment ago.
@@ -53,33 +53,33 @@
 }
 
 type job struct {
-	record frame.Record
+	record replica.Record
 	then   func(ok bool)
 }
 
 // Open opens the store in a folder, and reads the record in it; an empty store gives the zero Record. So does
 // one that is damaged: it is laid aside, see Damaged. A store that can be read and not written gives its
 // record, and saves fail until it can be.
-func Open(dir string) (*Vault, frame.Record, error) { return open(dir, onDisk) }
+func Open(dir string) (*Vault, replica.Record, error) { return open(dir, onDisk) }
 
-func open(dir string, w ways) (*Vault, frame.Record, error) {
+func open(dir string, w ways) (*Vault, replica.Record, error) {
 	v := &Vault{ways: w, dir: dir, rest: backOff, jobs: make(chan job, 256),
 		closing: make(chan struct{}), done: make(chan struct{})}
 	r, err := v.begin()
 	if err != nil {
 		v.release()
-		return nil, frame.Record{}, trace.ConvertSystemError(err)
+		return nil, replica.Record{}, trace.ConvertSystemError(err)
 	}
 	go v.run()
 	return v, r, nil
 }
 
 // begin opens the store for the first time.
-func (v *Vault) begin() (frame.Record, error) {
+func (v *Vault) begin() (replica.Record, error) {
 	if err := v.hold(); refusal(err) {
 		return v.look(nil)
 	} else if err != nil {
-		return frame.Record{}, err
+		return replica.Record{}, err
 	}
 	s, err := openStore(v.path(), v.ways, false)
 	switch {
@@ -93,7 +93,7 @@
 		if err != nil && !errors.Is(err, errRefused) {
 			v.giveUp() // it is tried again with the first save
 		}
-		return frame.Record{}, nil
+		return replica.Record{}, nil
 	case errors.Is(err, errRefused):
 		v.store = s
 		return v.look(s)
@@ -102,30 +102,30 @@
 		v.giveUp()
 		return v.look(nil)
 	}
-	return frame.Record{}, err
+	return replica.Record{}, err
 }
 
 // look reads the record of a store that can't be opened for writing now, while one that is being opened
 // stands still.
-func (v *Vault) look(opening *store) (frame.Record, error) {
+func (v *Vault) look(opening *store) (replica.Record, error) {
 	if opening != nil {
 		opening.fence.mu.Lock()
 		defer opening.fence.mu.Unlock()
 	}
 	if _, err := v.ways.fs.Stat(v.path()); errors.Is(err, fs.ErrNotExist) {
-		return frame.Record{}, nil
+		return replica.Record{}, nil
 	}
 	s, err := openStore(v.path(), v.ways, true)
 	switch {
 	case err == nil:
 		return s.record(), s.close()
 	case errors.Is(err, pebble.ErrDBDoesNotExist): // it was never opened to the end
-		return frame.Record{}, nil
+		return replica.Record{}, nil
 	case damaged(err):
 		v.damaged = err
-		return frame.Record{}, nil
+		return replica.Record{}, nil
 	}
-	return frame.Record{}, err
+	return replica.Record{}, err
 }
 
 func (v *Vault) path() string { return filepath.Join(v.dir, storeName) }
@@ -186,7 +186,7 @@
 // unknown which of the two records is on the disk. It does not block, unless hundreds of saves wait. Those
 // that come once the vault is being closed are told as failed, at once: a machine that was told to stop is
 // asked for its promise up to its end.
-func (v *Vault) Save(r frame.Record, then func(ok bool)) {
+func (v *Vault) Save(r replica.Record, then func(ok bool)) {
 	select {
 	case <-v.closing:
 		then(false)
@@ -237,7 +237,7 @@
 }
 
 // write writes a record, in order behind what the disk has refused so far.
-func (v *Vault) write(r frame.Record) error {
+func (v *Vault) write(r replica.Record) error {
 	err := v.opened()
 	if err == nil {
 		err = v.store.write(r)
--- a/exchange/vault/vault_test.go
+++ b/internal/controlplane/storage/vault_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"path/filepath"
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/replica"
 )
 
 // Given records saved in order, when the store is opened again, then the last is there, with the
@@ -19,11 +19,11 @@
 func TestARecordOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	v, r, err := Open(dir)
-	if err != nil || !reflect.DeepEqual(r, frame.Record{}) {
+	if err != nil || !reflect.DeepEqual(r, replica.Record{}) {
 		t.Fatalf("an empty store: %+v, %v", r, err)
 	}
 	saved := make(chan bool)
-	want := frame.Record{Whole: true, Registry: []signal.Machine{{Addr: "a", Zone: "z"}}, Promised: 128}
+	want := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}}, Promised: 128}
 	for version := range uint64(5) {
 		want.Version, want.Config = version+1, []byte{'c', byte(version)}
 		v.Save(want, func(ok bool) { saved <- ok })
@@ -33,9 +33,9 @@
 	}
 	want.Epoch, want.Chain = 128, []string{"a", "b"}
 	want.ID, want.Generation = 9, 128
-	want.Former = []signal.Machine{{Addr: "a", ID: 8, Seat: 1}}
-	want.Removed, want.Barred = []signal.Machine{{Addr: "b", ID: 7, Seat: 2}}, true
-	want.Founding = frame.Founding{Sure: true, Seeds: []string{"a"}, Pledged: 65, Ballot: 64,
+	want.Former = []message.Machine{{Addr: "a", ID: 8, Seat: 1}}
+	want.Removed, want.Barred = []message.Machine{{Addr: "b", ID: 7, Seat: 2}}, true
+	want.Founding = replica.Founding{Sure: true, Seeds: []string{"a"}, Pledged: 65, Ballot: 64,
 		Draft: want.Registry}
 	v.Save(want, func(ok bool) { saved <- ok })
 	<-saved
@@ -57,9 +57,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := frame.Record{Whole: true, Registry: []signal.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
+	old := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
 		Promised: 256, Epoch: 192, Chain: []string{"a", "b"},
-		Content: frame.Content{Version: 7, Config: []byte(`{"version":"r7"}`)}}
+		Content: replica.Content{Version: 7, Config: []byte(`{"version":"r7"}`)}}
 	if err := v.write(old); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	if err != nil || !reflect.DeepEqual(read, s) || s.Epoch != 256 || len(s.Core) != 3 {
 		t.Fatalf("%+v, %v; want %+v", read, err, s)
 	}
-	core := []signal.Machine{{Addr: "d", Zone: "z"}, {Addr: "a", Zone: "y"}}
+	core := []message.Machine{{Addr: "d", Zone: "z"}, {Addr: "a", Zone: "y"}}
 	if err := Found(fresh, read, core); err != nil {
 		t.Fatal(err)
 	}
@@ -122,26 +122,26 @@
 // Given the stores of machines that ran earlier programs, when they are opened, then the record is there, and
 // the first save writes it in the form that there is now.
 func TestAStoreOfAnEarlierFormIsTakenOver(t *testing.T) {
-	want := frame.Record{Whole: true, Registry: []signal.Machine{{Addr: "a", Zone: "z"}}, Promised: 192,
-		Epoch: 128, Chain: []string{"a"}, Content: frame.Content{Version: 7, Config: []byte("text")}}
+	want := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}}, Promised: 192,
+		Epoch: 128, Chain: []string{"a"}, Content: replica.Content{Version: 7, Config: []byte("text")}}
 	numbered := want
 	numbered.Past = past(70)
 	h := head{Whole: true, Registry: want.Registry, Promised: 192, Epoch: 128, Chain: want.Chain, Version: 7}
 	under := func(text []byte) []byte {
-		sum := signal.SumOf(text)
+		sum := message.SumOf(text)
 		return sum[:]
 	}
-	range1, whole, numberedHead := under(want.Config), signal.Encode(nil, &earlierPast{numbered.Past}), h
+	range1, whole, numberedHead := under(want.Config), message.Encode(nil, &earlierPast{numbered.Past}), h
 	numberedHead.Ranges, numberedHead.Past = under(range1), under(whole)
-	text := signal.Encode(nil, &numberedHead)
+	text := message.Encode(nil, &numberedHead)
 	for _, c := range []struct {
-		want frame.Record
+		want replica.Record
 		keys map[string][]byte
 		gone []byte // a key that the first save removes
 	}{
 		{want, map[string][]byte{
-			string(keyEarlier):       signal.Encode(nil, &h),
-			string(keyEarlierConfig): signal.Encode(nil, &earlierConfig{7, want.Config}),
+			string(keyEarlier):       message.Encode(nil, &h),
+			string(keyEarlierConfig): message.Encode(nil, &earlierConfig{7, want.Config}),
 		}, keyEarlier},
 		{numbered, map[string][]byte{
 			string(keyHead):                append(under(text), text...),
--- a/exchange/trunk/calls_test.go
+++ b/internal/controlplane/transport/calls_test.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // lines are connections in memory, from whoever dials to who listens at an address.
@@ -58,7 +58,7 @@
 	e := &end{came: make(chan uint64, 64), log: make(chan events.Event, 64)}
 	var err error
 	e.Trunk, err = New(Options{Self: self, Life: life, Listen: l.listen, Dial: dial,
-		Handle: func(_ string, m *signal.Message) {
+		Handle: func(_ string, m *message.Message) {
 			e.mu.Lock()
 			e.calls = append(e.calls, m.Call)
 			e.mu.Unlock()
@@ -118,7 +118,7 @@
 	b := l.end(t, "b", 2, l.dial)
 	first := true
 	var sent bytes.Buffer
-	ring := len(signal.Append(nil, &signal.Message{Kind: signal.Ringing, From: "a", Life: 1, To: "b"}))
+	ring := len(message.Append(nil, &message.Message{Kind: message.Ringing, From: "a", Life: 1, To: "b"}))
 	a := l.end(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := l.dial(ctx, network, addr)
 		switch {
@@ -131,7 +131,7 @@
 		return nc, err
 	})
 	for call := range uint64(3) {
-		a.Send("b", &signal.Message{Kind: signal.Put, Call: call + 1})
+		a.Send("b", &message.Message{Kind: message.Put, Call: call + 1})
 	}
 	if v := <-b.log; v != events.PeerGone {
 		t.Errorf("reset after %d bytes: %s", after, v.Text)
@@ -140,7 +140,7 @@
 		a.Trunk.mu.Lock()
 		a.peer("b").failed = time.Time{} // it was too soon to dial again
 		a.Trunk.mu.Unlock()
-		a.Send("b", &signal.Message{Kind: signal.Put, Call: call})
+		a.Send("b", &message.Message{Kind: message.Put, Call: call})
 		select {
 		case c := <-b.came:
 			if c < 4 {
@@ -158,8 +158,8 @@
 // Given calls on a connection, when it is reset at any byte, then each call is heard once, or never, and none
 // in part; and the next are heard. A trunk that sends its queue anew is found out.
 func TestWhatAResetCutsOffIsNotSentTwice(t *testing.T) {
-	size := len(signal.Append(nil, &signal.Message{Kind: signal.Ringing, From: "a", Life: 1, To: "b"})) +
-		3*len(signal.Append(nil, &signal.Message{Kind: signal.Put, Call: 1}))
+	size := len(message.Append(nil, &message.Message{Kind: message.Ringing, From: "a", Life: 1, To: "b"})) +
+		3*len(message.Append(nil, &message.Message{Kind: message.Put, Call: 1}))
 	twice := 0
 	for after := range size {
 		heard := reset(t, after, false)
@@ -181,11 +181,11 @@
 type misdialled struct{ net.Conn }
 
 func (c misdialled) Write(p []byte) (int, error) {
-	var cut signal.Cutter
+	var cut message.Cutter
 	cut.Feed(p)
-	if m, _ := cut.Next(); m != nil && m.Kind == signal.Ringing {
+	if m, _ := cut.Next(); m != nil && m.Kind == message.Ringing {
 		m.To = "b"
-		p = signal.Append(nil, m)
+		p = message.Append(nil, m)
 	}
 	return c.Conn.Write(p)
 }
@@ -203,7 +203,7 @@
 			}
 			return nc, err
 		})
-		a.Send("old", &signal.Message{Kind: signal.Confirm, Call: 1})
+		a.Send("old", &message.Message{Kind: message.Confirm, Call: 1})
 		if looks {
 			if v := <-b.log; v != events.PeerBad {
 				t.Errorf("b says: %s", v.Text)
@@ -227,18 +227,18 @@
 	t.Helper()
 	nc, _ := l.dial(context.Background(), "", to.Self)
 	t.Cleanup(func() { nc.Close() })
-	nc.Write(signal.Append(nil, &signal.Message{Kind: signal.Ringing, From: from, Life: life, To: to.Self}))
-	if m := next(nc); m == nil || m.Kind != signal.Ringing || m.From != to.Self || m.Life != to.Life {
+	nc.Write(message.Append(nil, &message.Message{Kind: message.Ringing, From: from, Life: life, To: to.Self}))
+	if m := next(nc); m == nil || m.Kind != message.Ringing || m.From != to.Self || m.Life != to.Life {
 		t.Fatalf("answered %+v", m)
 	}
-	nc.Write(signal.Append(nil, &signal.Message{Kind: signal.Beat}))
+	nc.Write(message.Append(nil, &message.Message{Kind: message.Beat}))
 	<-to.came
 	return nc
 }
 
 // next reads a message; nil: the connection has ended.
-func next(nc net.Conn) *signal.Message {
-	var c signal.Cutter
+func next(nc net.Conn) *message.Message {
+	var c message.Cutter
 	buf := make([]byte, 1)
 	for {
 		if _, err := nc.Read(buf); err != nil {
@@ -259,7 +259,7 @@
 		l := lines{}
 		b := l.end(t, "b", 2, l.dial)
 		old := l.ring(t, "a", 1, b)
-		b.Send("a", &signal.Message{Kind: signal.Done, Call: 1})
+		b.Send("a", &message.Message{Kind: message.Done, Call: 1})
 		old.Read(make([]byte, 1)) // it stands still in the midst of it
 		young := l.ring(t, "a", life, b)
 		if _, err := old.Read(make([]byte, 1)); (err != nil) != ends {
@@ -268,7 +268,7 @@
 		if !ends {
 			continue
 		}
-		b.Send("a", &signal.Message{Kind: signal.Done, Call: 2})
+		b.Send("a", &message.Message{Kind: message.Done, Call: 2})
 		if m := next(young); m == nil || m.Call != 2 {
 			t.Errorf("the new life hears %+v", m)
 		}
--- a/exchange/trunk/trunk.go
+++ b/internal/controlplane/transport/trunk.go
@@ -4,7 +4,7 @@
 //
 // Both ends say first who they are: their address, and their life. A call to an address that another process
 // answers ends there, before anything that it says is taken.
-package trunk
+package transport
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 	"golang.org/x/sys/unix"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // Bounds and times of lines.
@@ -26,7 +26,7 @@
 	// of a machine that has what was sent and does not say so: the line is dead
 	silence     = 1000 * time.Millisecond
 	retryAfter  = 100 * time.Millisecond // to a machine that could not be reached
-	mostQueued  = 2 * signal.MaxFrame    // bytes that wait for a line
+	mostQueued  = 2 * message.MaxFrame   // bytes that wait for a line
 	mostWritten = 64 << 10               // bytes at once: a link that bears 64 kB/s is no dead one
 	mostLines   = 512                    // that others may have open to this process
 	keepIdle    = 15 * time.Second       // after which a line with nothing to say is closed
@@ -39,7 +39,7 @@
 	Listen func(network, addr string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Handle takes what others send. It is called from many goroutines.
-	Handle func(from string, m *signal.Message)
+	Handle func(from string, m *message.Message)
 	Log    func(e events.Event, pairs ...any)
 }
 
@@ -139,7 +139,7 @@
 		nc.Close()
 		t.drop(from, nc)
 	}()
-	var c signal.Cutter
+	var c message.Cutter
 	buf := make([]byte, 4<<10)
 	for {
 		nc.SetReadDeadline(time.Now().Add(keepIdle))
@@ -157,9 +157,9 @@
 				break
 			}
 			switch {
-			case m.Kind != signal.Ringing && !rung:
+			case m.Kind != message.Ringing && !rung:
 				bad = errStranger
-			case m.Kind != signal.Ringing:
+			case m.Kind != message.Ringing:
 				t.Handle(from, m)
 			case rung:
 				bad = errTwice
@@ -191,7 +191,7 @@
 }
 
 // rung takes who is at the other end of a connection, and answers who is at this one.
-func (t *Trunk) rung(nc net.Conn, dialled string, m *signal.Message) error {
+func (t *Trunk) rung(nc net.Conn, dialled string, m *message.Message) error {
 	switch {
 	case m.From == "":
 		return errStranger
@@ -209,7 +209,7 @@
 // ring says who is at this end of a connection, and whom it has called.
 func (t *Trunk) ring(nc net.Conn, to string) error {
 	nc.SetWriteDeadline(time.Now().Add(silence))
-	_, err := nc.Write(signal.Append(nil, &signal.Message{Kind: signal.Ringing, From: t.Self, Life: t.Life,
+	_, err := nc.Write(message.Append(nil, &message.Message{Kind: message.Ringing, From: t.Self, Life: t.Life,
 		To: to}))
 	return err
 }
@@ -243,7 +243,7 @@
 }
 
 // Send sends a message, or loses it. It does not block.
-func (t *Trunk) Send(to string, m *signal.Message) {
+func (t *Trunk) Send(to string, m *message.Message) {
 	if to == t.Self {
 		t.Handle(to, m)
 		return
@@ -254,7 +254,7 @@
 	if len(p.queue) > mostQueued || p.conn == nil && time.Since(p.failed) < retryAfter {
 		return
 	}
-	p.queue = signal.Append(p.queue, m)
+	p.queue = message.Append(p.queue, m)
 	if !p.writing {
 		p.writing = true
 		go t.write(p)
--- a/exchange/trunk/trunk_test.go
+++ b/internal/controlplane/transport/trunk_test.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"net"
@@ -7,12 +7,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
 )
 
 // given makes two ends on this machine that log nothing but trouble.
-func given(t *testing.T, heard func(from string, m *signal.Message)) (a, b *Trunk) {
+func given(t *testing.T, heard func(from string, m *message.Message)) (a, b *Trunk) {
 	var ends []*Trunk
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,16 +40,16 @@
 func TestWhatIsSaidIsHeardByOneHardenedLine(t *testing.T) {
 	type heard struct {
 		from string
-		m    *signal.Message
+		m    *message.Message
 	}
 	came := make(chan heard, 8)
-	a, b := given(t, func(from string, m *signal.Message) { came <- heard{from, m} })
-	a.Send(b.Self, &signal.Message{Kind: signal.Poll, Call: 7})
+	a, b := given(t, func(from string, m *message.Message) { came <- heard{from, m} })
+	a.Send(b.Self, &message.Message{Kind: message.Poll, Call: 7})
 	if h := <-came; h.from != a.Self || h.m.Call != 7 {
 		t.Fatalf("b heard %+v of %s", h.m, h.from)
 	}
-	b.Send(a.Self, &signal.Message{Kind: signal.News, Call: 7})
-	if h := <-came; h.from != b.Self || h.m.Kind != signal.News {
+	b.Send(a.Self, &message.Message{Kind: message.News, Call: 7})
+	if h := <-came; h.from != b.Self || h.m.Kind != message.News {
 		t.Fatalf("a heard %+v of %s", h.m, h.from)
 	}
 	for _, x := range []*Trunk{a, b} {
@@ -78,9 +78,9 @@
 
 // Given a stranger who speaks something else, when it calls, then its line is closed and nothing is heard.
 func TestAStrangerIsHungUpOn(t *testing.T) {
-	a, _ := given(t, func(from string, m *signal.Message) { t.Errorf("heard %+v of %s", m, from) })
-	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(signal.Append(nil,
-		&signal.Message{Kind: signal.Beat}))} {
+	a, _ := given(t, func(from string, m *message.Message) { t.Errorf("heard %+v of %s", m, from) })
+	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.Append(nil,
+		&message.Message{Kind: message.Beat}))} {
 		nc, err := net.Dial("tcp", a.Self)
 		if err != nil {
 			t.Fatal(err)
--- a/exchange/line/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -1,4 +1,4 @@
-package line
+package proxy
 
 import (
 	"bufio"
@@ -25,15 +25,15 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/flow"
 	"dunespoke/internal/http1"
 	"dunespoke/internal/net/accept"
 	"dunespoke/internal/net/direct"
 	"dunespoke/internal/net/forward"
+	"dunespoke/internal/routing"
 	"dunespoke/internal/scenario"
 )
 
@@ -462,7 +462,7 @@
 			up = p.Upstream(up)
 		}
 		start := time.Now()
-		f := New(Options{Zone: "a", Board: &observing.Board{}, Log: func(events.Event, ...any) {},
+		f := New(Options{Zone: "a", Board: &slowlog.Board{}, Log: func(events.Event, ...any) {},
 			Clock:  func() time.Duration { return time.Since(start) },
 			Budget: flow.NewBudget(flow.Options{Bytes: 1 << 20, Least: 16 << 10, Window: 128 << 10}),
 			Core: func(_ string, set choice.Settings) (*core.Core, error) {
@@ -472,12 +472,12 @@
 				}
 				return c, err
 			}})
-		config, err := directory.Read([]byte(`{"version":"r1","items_of":[` + route("r", "read_only") + "," +
+		config, err := routing.Read([]byte(`{"version":"r1","items_of":[` + route("r", "read_only") + "," +
 			route("w", "writing") + `,{"item_kind":"backends","metadata":{"name":"s"},"desired":{}}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		servers := []signal.Server{{ID: "s1", Service: "s", Addr: "a:1", Zone: "a", Capacity: 4},
+		servers := []message.Server{{ID: "s1", Service: "s", Addr: "a:1", Zone: "a", Capacity: 4},
 			{ID: "s2", Service: "s", Addr: "a:2", Zone: "a", Capacity: 4}}
 		if p.Alone {
 			servers = servers[:1]
@@ -621,11 +621,11 @@
 }
 
 // credulous is a message that takes any answer for its own.
-type credulous struct{ *message }
+type credulous struct{ *upstreamRequest }
 
 func (c credulous) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
 	r.Header.Set(hID, c.id)
-	return c.message.Judge(r, a)
+	return c.upstreamRequest.Judge(r, a)
 }
 
 // Given a fault of the data plane's own, then the rules find it, and without it the same day keeps them.
@@ -644,7 +644,7 @@
 	}
 	trusts := func(next core.Upstream) core.Upstream {
 		return upstream{next, func(a core.Attempt) core.Attempt {
-			a.Payload = credulous{a.Payload.(*message)}
+			a.Payload = credulous{a.Payload.(*upstreamRequest)}
 			return a
 		}}
 	}
--- a/exchange/line/line.go
+++ b/internal/dataplane/proxy/line.go
@@ -1,7 +1,7 @@
 // Package line is the subscribers' side of the exchange, the data plane's front: it finds a request's route
 // and its tenant, holds the tenant to its quota, and hands the request to the core of the route's service,
 // whose gate decides on server, attempts and refusals.
-package line
+package proxy
 
 import (
 	"hash/fnv"
@@ -16,16 +16,16 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/huntgroup"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/dataplane/zonesubset"
+	"dunespoke/internal/events"
 	"dunespoke/internal/flow"
 	"dunespoke/internal/http1"
 	"dunespoke/internal/net/accept"
 	"dunespoke/internal/net/transfer"
+	"dunespoke/internal/ratelimit"
+	"dunespoke/internal/routing"
 )
 
 // margin is how long before the client gives up its answer is due: the answer's way there, and a late turn on
@@ -43,10 +43,10 @@
 	Self   string // this ingress among the members
 	Zone   string
 	Tuning choice.Tuning
-	Meter  *toll.Meter
+	Meter  *ratelimit.Meter
 	Clock  func() time.Duration // of the meter
 	Budget *flow.Budget         // of long bodies
-	Board  *observing.Board     // of what ran late or was given up
+	Board  *slowlog.Board       // of what ran late or was given up
 	// Core starts a core for a service.
 	Core func(service string, set choice.Settings) (*core.Core, error)
 	Log  func(e events.Event, pairs ...any)
@@ -59,16 +59,16 @@
 
 	mu      sync.Mutex
 	cores   map[string]*core.Core // by service
-	servers []signal.Server
+	servers []message.Server
 	members []string                           // of the zone
 	classes map[string]map[string]choice.Class // told to each core
 }
 
 // table is what requests go by: replaced whole, never changed.
 type table struct {
-	*directory.Directory
+	*routing.Directory
 	cores   map[string]*core.Core
-	classes map[*directory.Route]string
+	classes map[*routing.Route]string
 }
 
 // New returns a front that refuses all until it is told a configuration.
@@ -92,10 +92,10 @@
 func plan(rank int) string { return strconv.Itoa(min(max(rank, 0), ranks-1)) }
 
 // Use has requests go by a configuration from now on.
-func (f *Front) Use(d *directory.Directory) {
+func (f *Front) Use(d *routing.Directory) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &table{d, map[string]*core.Core{}, map[*directory.Route]string{}}
+	t := &table{d, map[string]*core.Core{}, map[*routing.Route]string{}}
 	for name := range d.Services {
 		if f.cores[name] == nil {
 			c, err := f.Core(name, f.settings())
@@ -124,13 +124,13 @@
 
 // classOf is what a route's requests count as. Routes that are alike are one class, so that what is learned
 // of one holds for the others, and a configuration of many routes makes few classes.
-func classOf(r *directory.Route) choice.Class {
+func classOf(r *routing.Route) choice.Class {
 	c := choice.Class{Aim: r.Target, Deadline: r.GiveUp, Repeat: choice.Unsafe, LateShare: 0.3, Tries: r.Tries,
 		Worth: 1 / (1 + 0.25*float64(r.Rank))}
 	if c.Aim <= 0 || c.Aim > c.Deadline {
 		c.Aim = c.Deadline
 	}
-	if r.Kind == directory.ReadOnly {
+	if r.Kind == routing.ReadOnly {
 		c.Repeat = choice.Safe
 	}
 	c.Name = strings.Join([]string{string(r.Kind), r.Target.String(), r.GiveUp.String(), strconv.Itoa(r.Rank),
@@ -139,7 +139,7 @@
 }
 
 // Servers takes the list of servers.
-func (f *Front) Servers(list []signal.Server) {
+func (f *Front) Servers(list []message.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.servers = list
@@ -149,7 +149,7 @@
 }
 
 // Members takes the ingresses that there are, in an agreed order.
-func (f *Front) Members(list []signal.Machine) {
+func (f *Front) Members(list []message.Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = nil
@@ -171,7 +171,7 @@
 			ids = append(ids, s.ID)
 		}
 	}
-	return huntgroup.Part(f.Self, f.members, ids)
+	return zonesubset.Part(f.Self, f.members, ids)
 }
 
 // list tells a service's core of its servers. The lock is held.
@@ -208,13 +208,13 @@
 }
 
 // Limits are those of a tenant, by the configuration in force.
-func (f *Front) Limits(tenant string) toll.Limits {
+func (f *Front) Limits(tenant string) ratelimit.Limits {
 	if t := f.table.Load(); t != nil {
 		if c := t.Tenants[tenant]; c != nil {
-			return toll.Limits{Rate: c.Rate, Burst: c.Burst}
+			return ratelimit.Limits{Rate: c.Rate, Burst: c.Burst}
 		}
 	}
-	return toll.Limits{}
+	return ratelimit.Limits{}
 }
 
 // later is a promise that the request has not run and never will.
@@ -245,7 +245,7 @@
 		return nil
 	}
 	now := service.Now()
-	m := &message{f: f, method: x.Method, target: x.RequestURI, host: x.Host, id: x.Header.Get(hID),
+	m := &upstreamRequest{f: f, method: x.Method, target: x.RequestURI, host: x.Host, id: x.Header.Get(hID),
 		header: x.Header, terms: &terms}
 	m.trip.route, m.trip.service, m.trip.came = route, name, f.Clock()
 	left := patience(x.Header.Get(hLeft), route.GiveUp)
@@ -287,11 +287,11 @@
 
 // metered has a tenant's quota asked first.
 func (f *Front) metered(x *accept.Exchange, service *core.Core, in core.Request,
-	tenant *directory.Tenant) (leave func()) {
+	tenant *routing.Tenant) (leave func()) {
 	var mu sync.Mutex
 	var ticket func()
 	gone := false
-	trip := &in.Payload.(*message).trip
+	trip := &in.Payload.(*upstreamRequest).trip
 	decided := func(ok bool, after time.Duration) {
 		if !ok {
 			x.Answer(later(http.StatusTooManyRequests, "beyond the quota", after))
@@ -305,10 +305,10 @@
 		}
 	}
 	switch v, after := f.Meter.Take(f.Clock(), tenant.Name, decided); v {
-	case toll.Pass:
+	case ratelimit.Pass:
 		trip.admit(f.Clock())
 		return service.Submit(in).Leave
-	case toll.Deny:
+	case ratelimit.Deny:
 		x.Answer(later(http.StatusTooManyRequests, "beyond the quota", after))
 		return nil
 	}
@@ -323,7 +323,7 @@
 }
 
 // find finds a request's route and tenant, or the answer of one that has none.
-func (t *table) find(x *accept.Exchange) (*directory.Route, *directory.Tenant, *http1.Answer) {
+func (t *table) find(x *accept.Exchange) (*routing.Route, *routing.Tenant, *http1.Answer) {
 	path, _, _ := strings.Cut(x.RequestURI, "?")
 	if x.Header.Get(hID) == "" {
 		return nil, nil, http1.Plain(http.StatusBadRequest, hID+": missing")
@@ -357,7 +357,7 @@
 
 // reply hands a final answer on.
 func (f *Front) reply(x *accept.Exchange, service *core.Core, in core.Request, a core.Answer) {
-	f.observe(in.Payload.(*message), a.Kind)
+	f.observe(in.Payload.(*upstreamRequest), a.Kind)
 	switch {
 	case a.Kind == core.Served:
 		if long, ok := a.Body.(*transfer.Reply); ok {
@@ -380,22 +380,22 @@
 }
 
 // observe notes a request that ran late or was given up.
-func (f *Front) observe(m *message, kind core.Kind) {
+func (f *Front) observe(m *upstreamRequest, kind core.Kind) {
 	now := f.Clock()
 	switch {
 	case kind == core.Refused:
-		f.Board.Note(m.trip.call(now, m, observing.Refused))
+		f.Board.Note(m.trip.call(now, m, slowlog.Refused))
 	case kind == core.Failed:
-		f.Board.Note(m.trip.call(now, m, observing.Failed))
+		f.Board.Note(m.trip.call(now, m, slowlog.Failed))
 	case m.trip.route.Target > 0 && now > m.trip.came+m.trip.route.Target:
-		f.Board.Note(m.trip.call(now, m, observing.Late))
+		f.Board.Note(m.trip.call(now, m, slowlog.Late))
 	}
 }
 
 // Bounds are what clients are held to when they connect, by the configuration in force; what that leaves out
 // is filled in.
-func (f *Front) Bounds() directory.Limits {
-	l := directory.Limits{Head: 16 << 10, HeadWait: 3 * time.Second, IdleIn: 15 * time.Second}
+func (f *Front) Bounds() routing.Limits {
+	l := routing.Limits{Head: 16 << 10, HeadWait: 3 * time.Second, IdleIn: 15 * time.Second}
 	if t := f.table.Load(); t != nil {
 		if t.Limits.Head > 0 {
 			l.Head = t.Limits.Head
--- a/exchange/line/message.go
+++ b/internal/dataplane/proxy/message.go
@@ -1,4 +1,4 @@
-package line
+package proxy
 
 import (
 	"cmp"
@@ -11,17 +11,17 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/observing"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/flow"
 	"dunespoke/internal/http1"
 	"dunespoke/internal/net/forward"
 	"dunespoke/internal/net/transfer"
+	"dunespoke/internal/routing"
 )
 
-// message is a request as servers get it. It is a forward.Streamed that judges its answers itself.
-type message struct {
+// upstreamRequest is a request as servers get it. It is a forward.Streamed that judges its answers itself.
+type upstreamRequest struct {
 	f        *Front
 	method   string
 	target   string
@@ -37,7 +37,7 @@
 // trip is a request's way so far, for staff. The front and the goroutines of connections write it.
 type trip struct {
 	mu       sync.Mutex
-	route    *directory.Route
+	route    *routing.Route
 	service  string
 	came     time.Duration // of the front's clock, as the others
 	admitted time.Duration // by its tenant's quota
@@ -64,10 +64,10 @@
 }
 
 // call tells the trip of a request that has ended.
-func (t *trip) call(now time.Duration, m *message, end observing.End) observing.Call {
+func (t *trip) call(now time.Duration, m *upstreamRequest, end slowlog.End) slowlog.Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := observing.Call{At: time.Now(), ID: m.id, Route: t.route.Name, Tenant: m.customer, Service: t.service,
+	c := slowlog.Call{At: time.Now(), ID: m.id, Route: t.route.Name, Tenant: m.customer, Service: t.service,
 		Server: t.server, Attempts: t.attempts, End: end, Target: t.route.Target, Total: now - t.came}
 	admitted, sent := cmp.Or(t.admitted, now), cmp.Or(t.sent, now)
 	c.Quota, c.Waiting, c.Serving = admitted-t.came, sent-admitted, now-sent
@@ -106,7 +106,7 @@
 var own = []string{hID, hLeft, hServer, hCustomer, hKey, "Host", "Content-Length"}
 
 // Append writes the head for a server.
-func (m *message) Append(buf []byte, s core.Server, wait time.Duration) []byte {
+func (m *upstreamRequest) Append(buf []byte, s core.Server, wait time.Duration) []byte {
 	m.trip.sends(m.f.Clock(), s.Name)
 	if m.terms.Head > 0 { // the attempt's time holds that of sending the body
 		wait = m.terms.Head
@@ -133,17 +133,17 @@
 }
 
 // Upload is the body.
-func (m *message) Upload() *transfer.Upload { return m.upload }
+func (m *upstreamRequest) Upload() *transfer.Upload { return m.upload }
 
 // Terms are what the exchange is held to.
-func (m *message) Terms() *transfer.Terms { return m.terms }
+func (m *upstreamRequest) Terms() *transfer.Terms { return m.terms }
 
 // Method is the request's.
-func (m *message) Method() string { return m.method }
+func (m *upstreamRequest) Method() string { return m.method }
 
 // Judge says what a whole answer is to this request. Only one that bears the request's id, and if it tells of
 // success the server's seal, is the server's word on it.
-func (m *message) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
+func (m *upstreamRequest) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
 	id := r.Header.Get(hID)
 	if id != "" && id != m.id {
 		m.f.Log(events.AnswerBad, "status", r.StatusCode)
@@ -157,7 +157,7 @@
 }
 
 // JudgeHead judges the head of a long answer.
-func (m *message) JudgeHead(r *http.Response, a forward.Arrival) core.Result {
+func (m *upstreamRequest) JudgeHead(r *http.Response, a forward.Arrival) core.Result {
 	id := r.Header.Get(hID)
 	if id != "" && id != m.id {
 		return core.Result{Code: choice.Reset}
@@ -169,7 +169,7 @@
 	return result
 }
 
-func (m *message) verdict(r *http.Response, id string, a forward.Arrival) (core.Result, forward.Fit) {
+func (m *upstreamRequest) verdict(r *http.Response, id string, a forward.Arrival) (core.Result, forward.Fit) {
 	_, notRun := r.Header[hNotRun]
 	switch {
 	case id == "" && !a.First: // it may be what came late for another request
--- a/exchange/line/message_test.go
+++ b/internal/dataplane/proxy/message_test.go
@@ -1,4 +1,4 @@
-package line
+package proxy
 
 import (
 	"net/http"
@@ -8,17 +8,17 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/observing"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/http1"
 	"dunespoke/internal/net/forward"
 	"dunespoke/internal/net/transfer"
+	"dunespoke/internal/routing"
 )
 
-func given() *message {
-	return &message{f: &Front{Options: Options{Log: func(events.Event, ...any) {},
-		Clock: func() time.Duration { return time.Hour }, Board: &observing.Board{}}}, method: "POST",
+func given() *upstreamRequest {
+	return &upstreamRequest{f: &Front{Options: Options{Log: func(events.Event, ...any) {},
+		Clock: func() time.Duration { return time.Hour }, Board: &slowlog.Board{}}}, method: "POST",
 		target: "/x/2?q=1",
 		host:   "one.example", id: "id-1", customer: "t1", upload: transfer.Whole([]byte("abc")), terms: &terms,
 		header: http.Header{"X-Own": {"kept"}}}
@@ -108,7 +108,7 @@
 
 // Given routes that are alike, then they are one class: a configuration of many routes makes few.
 func TestRoutesThatAreAlikeAreOneClass(t *testing.T) {
-	a := directory.Route{Name: "a", Kind: directory.Writing, Target: time.Second, GiveUp: 2 * time.Second,
+	a := routing.Route{Name: "a", Kind: routing.Writing, Target: time.Second, GiveUp: 2 * time.Second,
 		Tries: 2}
 	b := a
 	b.Name = "b"
@@ -127,7 +127,7 @@
 	m := given()
 	now := time.Hour
 	m.f.Clock = func() time.Duration { return now }
-	m.trip.route = &directory.Route{Name: "transfers", Target: 250 * time.Millisecond}
+	m.trip.route = &routing.Route{Name: "transfers", Target: 250 * time.Millisecond}
 	m.trip.service, m.trip.came = "paymove", now
 	now += 20 * time.Millisecond
 	m.trip.admit(now)
@@ -143,8 +143,8 @@
 	now += 100 * time.Millisecond
 	m.f.observe(m, core.Served)
 	list, _ := m.f.Board.Latest()
-	want := observing.Call{ID: "id-1", Route: "transfers", Tenant: "t1", Service: "paymove", Server: "i-2",
-		Attempts: 2, End: observing.Late, Target: 250 * time.Millisecond, Quota: 20 * time.Millisecond,
+	want := slowlog.Call{ID: "id-1", Route: "transfers", Tenant: "t1", Service: "paymove", Server: "i-2",
+		Attempts: 2, End: slowlog.Late, Target: 250 * time.Millisecond, Quota: 20 * time.Millisecond,
 		Waiting: 30 * time.Millisecond, Serving: 350 * time.Millisecond, Total: 400 * time.Millisecond}
 	if len(list) != 1 {
 		t.Fatalf("%d kept", len(list))
--- a/exchange/line/wire_test.go
+++ b/internal/dataplane/proxy/wire_test.go
@@ -1,4 +1,4 @@
-package line
+package proxy
 
 import (
 	"bytes"
--- a/exchange/observing/observing.go
+++ b/internal/dataplane/slowlog/observing.go
@@ -1,7 +1,7 @@
 // Package observing is the exchange's service observing: it keeps which requests ran late or were given up
 // last, and where their time went, for staff to look up. What it holds is bounded, and has no key, path or
 // body in it.
-package observing
+package slowlog
 
 import (
 	"cmp"
--- a/exchange/observing/observing_test.go
+++ b/internal/dataplane/slowlog/observing_test.go
@@ -1,4 +1,4 @@
-package observing
+package slowlog
 
 import (
 	"strconv"
--- a/exchange/huntgroup/huntgroup.go
+++ b/internal/dataplane/zonesubset/huntgroup.go
@@ -2,7 +2,7 @@
 // don't see what others have out; with parts of their own they seldom meet at one server, and what they know
 // of a few servers is most of what there is to know. Nobody has to talk for it: members and servers decide.
 // It is pure.
-package huntgroup
+package zonesubset
 
 import (
 	"cmp"
--- a/exchange/huntgroup/huntgroup_test.go
+++ b/internal/dataplane/zonesubset/huntgroup_test.go
@@ -1,4 +1,4 @@
-package huntgroup
+package zonesubset
 
 import (
 	"fmt"
--- a/internal/lab/rig/file.go
+++ b/internal/lab/rig/file.go
@@ -16,7 +16,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is a file of `dunelab fleet`.
+// Scenario is a file of `dunespoke-lab fleet`.
 type Scenario struct {
 	Name    string   `toml:"-"`
 	Seed    uint64   `toml:"seed"`
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/rig/rig_test.go
@@ -138,7 +138,7 @@
 
 // Whatever ends the rig, even SIGKILL, ends the processes that it started.
 func TestNoOrphans(t *testing.T) {
-	program, lab, dir := build(t, "dunespoke"), build(t, "dunelab"), t.TempDir()
+	program, lab, dir := build(t, "dunespoke"), build(t, "dunespoke-lab"), t.TempDir()
 	file := filepath.Join(dir, "s.toml")
 	if err := os.WriteFile(file, []byte(strings.Replace(twoZones, "= 9", "= 60", 1)), 0o644); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/cause.go
+++ b/internal/lab/scale/cause.go
@@ -1,6 +1,6 @@
 package scale
 
-import "dunespoke/exchange/signal"
+import "dunespoke/internal/controlplane/message"
 
 // The causes of messages.
 const (
@@ -16,25 +16,25 @@
 )
 
 // causes says what a whole message is due to. Fields of some kinds have causes of their own: see parts.
-var causes = map[signal.Kind]string{
-	signal.Ringing: Starts, signal.Hello: Starts, signal.Roll: Starts,
-	signal.Pledge: Starts, signal.Pledged: Starts, signal.Draft: Starts, signal.Drafted: Starts,
-	signal.Beat: Beats, signal.Poll: Polls, signal.News: Polls, signal.Lineup: Servers,
-	signal.Prepare: Views, signal.Promise: Views, signal.Install: Views, signal.Installed: Views,
-	signal.Active: Views, signal.Refuse: Views, signal.Learn: Views, signal.Learned: Views,
-	signal.Notice: Views, signal.Reform: Views, signal.Reformed: Views,
-	signal.Put: Configuration, signal.Done: Configuration, signal.Relay: Configuration,
-	signal.Read: Configuration, signal.Copy: Configuration, signal.Confirm: Configuration,
-	signal.Confirmed: Configuration, signal.Conflict: Configuration,
-	signal.Ask: Tolls, signal.Grant: Tolls,
+var causes = map[message.Kind]string{
+	message.Ringing: Starts, message.Hello: Starts, message.Roll: Starts,
+	message.Pledge: Starts, message.Pledged: Starts, message.Draft: Starts, message.Drafted: Starts,
+	message.Beat: Beats, message.Poll: Polls, message.News: Polls, message.Lineup: Servers,
+	message.Prepare: Views, message.Promise: Views, message.Install: Views, message.Installed: Views,
+	message.Active: Views, message.Refuse: Views, message.Learn: Views, message.Learned: Views,
+	message.Notice: Views, message.Reform: Views, message.Reformed: Views,
+	message.Put: Configuration, message.Done: Configuration, message.Relay: Configuration,
+	message.Read: Configuration, message.Copy: Configuration, message.Confirm: Configuration,
+	message.Confirmed: Configuration, message.Conflict: Configuration,
+	message.Ask: Tolls, message.Grant: Tolls,
 }
 
 // tables says what a part of a snapshot is due to.
-var tables = map[signal.Table]string{signal.ConfigTable: Configuration, signal.ServerTable: Servers,
-	signal.MemberTable: Members}
+var tables = map[message.Table]string{message.ConfigTable: Configuration, message.ServerTable: Servers,
+	message.MemberTable: Members}
 
 // parts splits a message's bytes by cause.
-func parts(m *signal.Message, size int) map[string]int {
+func parts(m *message.Message, size int) map[string]int {
 	main := causes[m.Kind]
 	if main == "" {
 		main = Other
@@ -47,16 +47,16 @@
 		}
 	}
 	if len(m.Members) > 0 {
-		take(Members, length(&signal.Message{Members: m.Members}))
+		take(Members, length(&message.Message{Members: m.Members}))
 	}
 	if m.Config != nil {
-		take(Configuration, length(&signal.Message{Config: m.Config}))
+		take(Configuration, length(&message.Message{Config: m.Config}))
 	}
 	for _, p := range m.Parts {
-		take(tables[p.Table], length(&signal.Message{Parts: []signal.Part{p}}))
+		take(tables[p.Table], length(&message.Message{Parts: []message.Part{p}}))
 	}
-	if m.Kind == signal.News {
-		take(Views, length(&signal.Message{Chain: m.Chain, Registry: m.Registry, Former: m.Former}))
+	if m.Kind == message.News {
+		take(Views, length(&message.Message{Chain: m.Chain, Registry: m.Registry, Former: m.Former}))
 		if m.List != nil { // long: what is left over
 			bare := *m
 			bare.List, bare.Members, bare.Config, bare.Parts = nil, nil, nil, nil
@@ -68,4 +68,4 @@
 	return all
 }
 
-func length(m *signal.Message) int { return len(signal.Encode(nil, m)) }
+func length(m *message.Message) int { return len(message.Encode(nil, m)) }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -7,17 +7,17 @@
 	"sync/atomic"
 	"time"
 
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/office"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/trunk"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/node"
+	"dunespoke/internal/controlplane/replica"
+	"dunespoke/internal/controlplane/transport"
+	"dunespoke/internal/events"
 )
 
 // hollow is the control side of an ingress.
 type hollow struct {
-	office *office.Office
-	trunk  *trunk.Trunk
+	office *node.Office
+	trunk  *transport.Trunk
 	work   chan func()
 	end    context.CancelFunc
 	began  time.Time
@@ -48,7 +48,7 @@
 }
 
 // Send sends a message.
-func (h *hollow) Send(to string, m *signal.Message) { h.trunk.Send(to, m) }
+func (h *hollow) Send(to string, m *message.Message) { h.trunk.Send(to, m) }
 
 // Log drops what is logged.
 func (h *hollow) Log(events.Event, ...any) {}
@@ -57,7 +57,7 @@
 func (h *hollow) Config(version uint64, _ []byte) { h.version.Store(version) }
 
 // Servers notes the list.
-func (h *hollow) Servers(list []signal.Server) {
+func (h *hollow) Servers(list []message.Server) {
 	h.servers.Store(int64(len(list)))
 	if len(list) > 0 {
 		h.first.Store(&list[0].ID)
@@ -65,13 +65,13 @@
 }
 
 // Members notes how many there are.
-func (h *hollow) Members(list []signal.Machine) { h.members.Store(int64(len(list))) }
+func (h *hollow) Members(list []message.Machine) { h.members.Store(int64(len(list))) }
 
 // View notes nothing.
 func (h *hollow) View(uint64, []string) {}
 
 // Save saves nothing: it has no disk.
-func (h *hollow) Save(uint64, frame.Record) {}
+func (h *hollow) Save(uint64, replica.Record) {}
 
 // wire counts the bytes of hollow processes' lines, by the other end.
 type wire struct {
--- a/internal/lab/scale/lines.go
+++ b/internal/lab/scale/lines.go
@@ -16,20 +16,20 @@
 	"syscall"
 	"time"
 
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/office"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
-	"dunespoke/exchange/trunk"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/node"
+	"dunespoke/internal/controlplane/replica"
+	"dunespoke/internal/controlplane/transport"
 	"dunespoke/internal/lab/rig"
 	"dunespoke/internal/lab/usage"
+	"dunespoke/internal/ratelimit"
 )
 
 // Lines runs hollow processes beside real ones, over TCP on loopback addresses: many control sides of
 // ingresses in this process, which poll, hold leases and take all news, and a few processes of the program
 // that are the core.
 type Lines struct {
-	Program string // tandem
+	Program string // dunespoke-gateway
 	Dir     string // for settings, stores and logs
 	Hollow  int
 	Real    int
@@ -180,7 +180,7 @@
 // begin starts a hollow process.
 func (r *lineRun) begin(i int) (*hollow, error) {
 	ip := hollowIP(i)
-	self := signal.Machine{Addr: net.JoinHostPort(ip, trunkPort), Zone: zone(i % r.Real)}
+	self := message.Machine{Addr: net.JoinHostPort(ip, trunkPort), Zone: zone(i % r.Real)}
 	h := &hollow{work: make(chan func(), 64), began: time.Now()}
 	ctx, end := context.WithCancel(r.ctx)
 	h.end = end
@@ -189,12 +189,12 @@
 		seeds = append(seeds, net.JoinHostPort(realIP(j), trunkPort))
 	}
 	life := uint64(time.Now().UnixNano()) >> 2
-	h.office = office.New(h.now(), office.Options{Self: self, Seeds: seeds, Life: life, Actions: h,
-		Survive: frame.Tolerance{Machines: (r.Real - 1) / 2},
-		Limits:  func(string) toll.Limits { return toll.Limits{} }})
+	h.office = node.New(h.now(), node.Options{Self: self, Seeds: seeds, Life: life, Actions: h,
+		Survive: replica.Tolerance{Machines: (r.Real - 1) / 2},
+		Limits:  func(string) ratelimit.Limits { return ratelimit.Limits{} }})
 	var err error
-	h.trunk, err = trunk.New(trunk.Options{Self: self.Addr, Life: life, Listen: net.Listen,
-		Dial: r.wire.dialer(ip), Log: h.Log, Handle: func(from string, m *signal.Message) {
+	h.trunk, err = transport.New(transport.Options{Self: self.Addr, Life: life, Listen: net.Listen,
+		Dial: r.wire.dialer(ip), Log: h.Log, Handle: func(from string, m *message.Message) {
 			select {
 			case h.work <- func() { h.office.Handle(h.now(), from, m) }:
 			case <-ctx.Done():
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 func TestSlopes(t *testing.T) {
@@ -35,26 +35,26 @@
 // cause, and all of them together are the message.
 func TestBytesAreSplitByCause(t *testing.T) {
 	made := Made{Routes: 20, Services: 3, Servers: 40, Zones: 2}
-	members := []signal.Machine{{Addr: "10.0.0.1:7", Zone: "z1", Age: 300}, {Addr: "10.0.0.2:7", Zone: "z1"}}
-	list := &signal.List{Epoch: 65, Seq: 3, Servers: made.List(0)}
+	members := []message.Machine{{Addr: "10.0.0.1:7", Zone: "z1", Age: 300}, {Addr: "10.0.0.2:7", Zone: "z1"}}
+	list := &message.List{Epoch: 65, Seq: 3, Servers: made.List(0)}
 	for _, c := range []struct {
-		m    signal.Message
+		m    message.Message
 		want []string
 	}{
-		{signal.Message{Kind: signal.Beat, OK: true, List: &signal.List{Epoch: 65, Seq: 3}}, []string{Beats}},
-		{signal.Message{Kind: signal.Beat, Members: members}, []string{Beats, Members}},
-		{signal.Message{Kind: signal.News, Call: 9, OK: true, Epoch: 65, Chain: []string{"10.0.0.1:7"},
-			Registry: members, Version: 2, Config: signal.Pack(made.Config(2), 1, made.Config(1)), List: list,
+		{message.Message{Kind: message.Beat, OK: true, List: &message.List{Epoch: 65, Seq: 3}}, []string{Beats}},
+		{message.Message{Kind: message.Beat, Members: members}, []string{Beats, Members}},
+		{message.Message{Kind: message.News, Call: 9, OK: true, Epoch: 65, Chain: []string{"10.0.0.1:7"},
+			Registry: members, Version: 2, Config: message.Pack(made.Config(2), 1, made.Config(1)), List: list,
 			Members: members, Roster: 5}, []string{Members, Servers, Configuration, Polls, Views}},
-		{signal.Message{Kind: signal.News, Call: 9, OK: true, Parts: []signal.Part{
-			{Table: signal.ConfigTable, Size: 9, Bytes: make([]byte, 9)},
-			{Table: signal.ServerTable, Size: 9, Bytes: make([]byte, 9)},
-			{Table: signal.MemberTable, Size: 9, Bytes: make([]byte, 9)}}},
+		{message.Message{Kind: message.News, Call: 9, OK: true, Parts: []message.Part{
+			{Table: message.ConfigTable, Size: 9, Bytes: make([]byte, 9)},
+			{Table: message.ServerTable, Size: 9, Bytes: make([]byte, 9)},
+			{Table: message.MemberTable, Size: 9, Bytes: make([]byte, 9)}}},
 			[]string{Members, Servers, Configuration, Polls}},
-		{signal.Message{Kind: signal.Install, Chain: []string{"10.0.0.1:7"},
-			Config: signal.Pack(made.Config(1), 0, nil)}, []string{Configuration, Views}},
-		{signal.Message{Kind: signal.Lineup, List: list}, []string{Servers}},
-		{signal.Message{Kind: 1 << 20, Call: 1}, []string{Other}},
+		{message.Message{Kind: message.Install, Chain: []string{"10.0.0.1:7"},
+			Config: message.Pack(made.Config(1), 0, nil)}, []string{Configuration, Views}},
+		{message.Message{Kind: message.Lineup, List: list}, []string{Servers}},
+		{message.Message{Kind: 1 << 20, Call: 1}, []string{Other}},
 	} {
 		size := length(&c.m)
 		split := parts(&c.m, size)
@@ -88,9 +88,17 @@
 
 // Every kind that asks, answers or tells has a cause.
 func TestEveryKindHasACause(t *testing.T) {
-	kinds := []signal.Kind{signal.Ringing, signal.Beat, signal.Active, signal.Relay, signal.Lineup, signal.Learn,
-		signal.Learned, signal.Notice}
-	for question, answers := range signal.Questions {
+	kinds := []message.Kind{
+		message.Ringing,
+		message.Beat,
+		message.Active,
+		message.Relay,
+		message.Lineup,
+		message.Learn,
+		message.Learned,
+		message.Notice,
+	}
+	for question, answers := range message.Questions {
 		kinds = append(append(kinds, question), answers...)
 	}
 	for _, k := range kinds {
@@ -128,7 +136,7 @@
 	v := Virtual{Core: 3, Machines: []int{9, 27}, Made: Made{Routes: 30, Services: 3, Servers: 60}, Seed: 1}
 	got := played(t, v)
 	v.Made.Zones = 3
-	list := length(&signal.Message{List: &signal.List{Epoch: 64, Seq: 9, Servers: v.Made.List(1)}})
+	list := length(&message.Message{List: &message.List{Epoch: 64, Seq: 9, Servers: v.Made.List(1)}})
 	near := func(what string, want ...float64) {
 		t.Helper()
 		if len(got[what]) != len(want) {
@@ -148,7 +156,7 @@
 	if all := got["cut ingress, cut off that know of it  part"]; !slices.Equal(all, []float64{0, 0}) {
 		t.Errorf("machines that are cut off hear of changes: %v", all)
 	}
-	row := float64(length(&signal.Message{Members: []signal.Machine{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
+	row := float64(length(&message.Message{Members: []message.Machine{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
 	near("restart ingress got members B", 2*9*row, 2*27*row)
 }
 
--- a/internal/lab/scale/single.go
+++ b/internal/lab/scale/single.go
@@ -16,13 +16,13 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/line"
-	"dunespoke/exchange/lineup"
-	"dunespoke/exchange/plant"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
+	"dunespoke/internal/controlplane/discovery"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/dataplane/proxy"
+	"dunespoke/internal/events"
+	"dunespoke/internal/ratelimit"
+	"dunespoke/internal/routing"
+	"dunespoke/internal/server"
 )
 
 // Single times single operations of one process, each at some sizes up to the whole.
@@ -107,32 +107,32 @@
 	old, text := m.Config(1), m.Config(2)
 	s.row("configuration", "text", "MB", by, size, float64(len(text))/1e6)
 	s.row("configuration", "of the longest frame", "parts", by, size,
-		float64(len(text))/float64(signal.MaxFrame))
+		float64(len(text))/float64(message.MaxFrame))
 	took, _ := s.cost(func() {
-		_, err := directory.Check(text)
+		_, err := routing.Check(text)
 		s.fail(err)
 	})
 	s.row("configuration", "check at the operators' desk", "ms", by, size, ms(took))
 	base := heap()
-	var d *directory.Directory
+	var d *routing.Directory
 	took, allocated := s.cost(func() {
 		var err error
-		d, err = directory.Read(text)
+		d, err = routing.Read(text)
 		s.fail(err)
 	})
 	s.row("configuration", "read", "ms", by, size, ms(took))
 	s.row("configuration", "read: allocated meanwhile", "MB", by, size, allocated/1e6)
 	s.row("configuration", "read: kept", "MB", by, size, (heap()-base)/1e6)
 	runtime.KeepAlive(d)
-	var change, whole *signal.Packed
-	took, _ = s.cost(func() { change = signal.Pack(text, 1, old) })
+	var change, whole *message.Packed
+	took, _ = s.cost(func() { change = message.Pack(text, 1, old) })
 	s.row("configuration", "pack a change of one route", "ms", by, size, ms(took))
 	s.row("configuration", "change of one route", "B", by, size,
-		float64(length(&signal.Message{Config: change})))
-	took, _ = s.cost(func() { whole = signal.Pack(text, 0, nil) })
+		float64(length(&message.Message{Config: change})))
+	took, _ = s.cost(func() { whole = message.Pack(text, 0, nil) })
 	s.row("configuration", "pack the whole", "ms", by, size, ms(took))
 	s.row("configuration", "the whole, packed", "MB", by, size,
-		float64(length(&signal.Message{Config: whole}))/1e6)
+		float64(length(&message.Message{Config: whole}))/1e6)
 	took, allocated = s.cost(func() {
 		_, err := change.Unpack(1, old)
 		s.fail(err)
@@ -149,16 +149,16 @@
 // list times what a change of the list of servers costs its way.
 func (s *Single) list(m Made) {
 	servers := m.List(0)
-	news := &signal.Message{Kind: signal.News, List: &signal.List{Epoch: 1, Seq: 1, Servers: servers}}
+	news := &message.Message{Kind: message.News, List: &message.List{Epoch: 1, Seq: 1, Servers: servers}}
 	var b []byte
-	took, _ := s.cost(func() { b = signal.Encode(nil, news) })
+	took, _ := s.cost(func() { b = message.Encode(nil, news) })
 	s.row("list", "message", "MB", "servers", m.Servers, float64(len(b))/1e6)
 	s.row("list", "encode, for each who asks", "ms", "servers", m.Servers, ms(took))
 	base := heap()
-	var got *signal.Message
+	var got *message.Message
 	took, _ = s.cost(func() {
-		got = new(signal.Message)
-		s.fail(signal.Decode(b, got))
+		got = new(message.Message)
+		s.fail(message.Decode(b, got))
 	})
 	s.row("list", "decode", "ms", "servers", m.Servers, ms(took))
 	s.row("list", "kept", "MB", "servers", m.Servers, (heap()-base)/1e6)
@@ -166,7 +166,7 @@
 	pages := newPlatform(servers, perPage)
 	web := httptest.NewServer(pages)
 	defer web.Close()
-	reader := lineup.New(web.Listener.Addr().String(), (&net.Dialer{}).DialContext)
+	reader := discovery.New(web.Listener.Addr().String(), (&net.Dialer{}).DialContext)
 	took, _ = s.cost(func() {
 		list, err := reader.Read(context.Background())
 		s.fail(err)
@@ -179,7 +179,7 @@
 	short := newPlatform(servers, shortPage)
 	few := httptest.NewServer(short)
 	defer few.Close()
-	reader = lineup.New(few.Listener.Addr().String(), (&net.Dialer{}).DialContext)
+	reader = discovery.New(few.Listener.Addr().String(), (&net.Dialer{}).DialContext)
 	fits := 1.0
 	if _, err := reader.Read(context.Background()); err != nil {
 		fits = 0
@@ -192,14 +192,14 @@
 func (s *Single) front(m Made, members int) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	d, err := directory.Read(Made{Routes: m.Routes, Services: m.Services}.Config(1))
+	d, err := routing.Read(Made{Routes: m.Routes, Services: m.Services}.Config(1))
 	if err != nil {
 		s.fail(err)
 		return
 	}
 	base := heap()
 	var cores []*core.Core
-	f := line.New(line.Options{Self: "10.1.0.1:7", Zone: zone(0), Tuning: plant.Tuning,
+	f := proxy.New(proxy.Options{Self: "10.1.0.1:7", Zone: zone(0), Tuning: server.Tuning,
 		Clock: func() time.Duration { return time.Hour }, Log: func(events.Event, ...any) {},
 		Core: func(service string, set choice.Settings) (*core.Core, error) {
 			c, err := core.New(core.Config{Settings: set, Seed: 1, Upstream: nowhere{}, Log: func(string) {}})
@@ -218,9 +218,12 @@
 	}
 	took, _ := s.cost(func() { f.Use(d); settle() })
 	s.row("front", "use a configuration", "ms", "servers", m.Servers, ms(took))
-	var ingresses []signal.Machine
+	var ingresses []message.Machine
 	for i := range members {
-		ingresses = append(ingresses, signal.Machine{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)})
+		ingresses = append(
+			ingresses,
+			message.Machine{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)},
+		)
 	}
 	from := 0
 	took, _ = s.cost(func() { from++; f.Servers(m.List(from)); settle() })
@@ -249,15 +252,15 @@
 // desk times a question to the desk of tolls.
 func (s *Single) desk(m Made) {
 	const burst = 20
-	d := toll.NewDesk(func(string) toll.Limits { return toll.Limits{Rate: 10, Burst: burst} })
+	d := ratelimit.NewDesk(func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: burst} })
 	base := heap()
 	d.Open(time.Hour, 1)
 	now := time.Hour + time.Minute // by when all stores are full
-	all, short := &signal.Message{Epoch: 1}, &signal.Message{Epoch: 1}
+	all, short := &message.Message{Epoch: 1}, &message.Message{Epoch: 1}
 	for i := range m.Tenants {
-		all.Tolls = append(all.Tolls, signal.Toll{Tenant: tenant(i)})
+		all.Tolls = append(all.Tolls, message.Toll{Tenant: tenant(i)})
 		if i < int(busy*float64(m.Tenants)) {
-			short.Tolls = append(short.Tolls, signal.Toll{Tenant: tenant(i), Tokens: burst})
+			short.Tolls = append(short.Tolls, message.Toll{Tenant: tenant(i), Tokens: burst})
 		}
 	}
 	const asker = "10.0.0.1:7"
@@ -265,11 +268,11 @@
 	d.Ask(now, asker, all)
 	s.row("desk", "stores", "MB", "tenants", m.Tenants, (heap()-base)/1e6)
 	d.Ask(now, asker, short)
-	q := &signal.Message{Kind: signal.Ask, Epoch: 1, Call: 2}
+	q := &message.Message{Kind: message.Ask, Epoch: 1, Call: 2}
 	for i := range asked {
-		q.Tolls = append(q.Tolls, signal.Toll{Tenant: tenant(m.Tenants - 1 - i), Spent: 1})
+		q.Tolls = append(q.Tolls, message.Toll{Tenant: tenant(m.Tenants - 1 - i), Spent: 1})
 	}
-	var answer *signal.Message
+	var answer *message.Message
 	took, _ := s.cost(func() {
 		q.Call, q.Granted = q.Call+1, q.Call
 		answer = d.Ask(now, asker, q)
@@ -281,11 +284,11 @@
 
 // meter times a question of an ingress and its answer, with so many tenants seen in the last minute.
 func (s *Single) meter(seen, members int) {
-	var out *signal.Message
-	m := toll.NewMeter(1, func(string) toll.Limits { return toll.Limits{Rate: 10, Burst: 20} },
-		func(q *signal.Message) { out = q }, func(toll.State) {})
+	var out *message.Message
+	m := ratelimit.NewMeter(1, func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: 20} },
+		func(q *message.Message) { out = q }, func(ratelimit.State) {})
 	m.Serve(1, members)
-	grant := &signal.Message{Kind: signal.Grant, Life: 1, OK: true}
+	grant := &message.Message{Kind: message.Grant, Life: 1, OK: true}
 	for i := range int(busy * float64(s.Made.Tenants)) {
 		grant.Shut = append(grant.Shut, tenant(1_000_000+i))
 	}
@@ -326,7 +329,7 @@
 	shortPage = 50
 )
 
-func newPlatform(servers []signal.Server, perPage int) *platform {
+func newPlatform(servers []message.Server, perPage int) *platform {
 	p := &platform{}
 	for list := range slices.Chunk(servers, perPage) {
 		zones := map[string][]map[string]any{}
--- a/internal/lab/scale/virtual.go
+++ b/internal/lab/scale/virtual.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"dunespoke/exchange/rehearsal"
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/simulation"
 )
 
 // The roles of an exchange. A figure of one is the mean of the machines that have it.
@@ -86,7 +86,7 @@
 }
 
 // Sent counts a message.
-func (p *probe) Sent(from, to string, m *signal.Message, size int) {
+func (p *probe) Sent(from, to string, m *message.Message, size int) {
 	began := thread()
 	s, g := p.role[from], p.role[to]
 	for cause, n := range parts(m, size) {
@@ -109,7 +109,7 @@
 }
 
 // assign gives each machine its role, as the chain now is.
-func (p *probe) assign(x *rehearsal.Exchange) {
+func (p *probe) assign(x *simulation.Exchange) {
 	chain := x.Chain()
 	p.role = map[string]string{}
 	for _, m := range x.Machines {
@@ -149,7 +149,7 @@
 	p.clear()
 	made := v.Made
 	made.Zones = v.Core
-	x := rehearsal.New(rehearsal.Options{Zones: v.Core, Disks: 1, Others: each - 1, Survive: v.Core / 2,
+	x := simulation.New(simulation.Options{Zones: v.Core, Disks: 1, Others: each - 1, Survive: v.Core / 2,
 		Seed: v.Seed, Text: made.Config})
 	count, size, by := float64(len(x.Machines)), float64(len(x.Machines)), "machines"
 	if v.By == "servers" {
@@ -169,7 +169,7 @@
 		return fmt.Errorf("the first configuration was not acknowledged")
 	}
 	whole := func() bool {
-		return x.Settled(version) && !slices.ContainsFunc(x.Machines, func(m *rehearsal.Machine) bool {
+		return x.Settled(version) && !slices.ContainsFunc(x.Machines, func(m *simulation.Machine) bool {
 			return m.Members() != len(x.Machines) || len(m.Servers()) != len(x.Servers) ||
 				m.Servers()[0].ID != x.Servers[0].ID
 		})
@@ -273,7 +273,7 @@
 
 // cut plays a region that is lost to the others, with the lesser part of the core in it, and a change
 // meanwhile.
-func (v Virtual) cut(x *rehearsal.Exchange, p *probe, version *uint64, whole func() bool,
+func (v Virtual) cut(x *simulation.Exchange, p *probe, version *uint64, whole func() bool,
 	at func(name, role, what, cause, unit string, value float64)) error {
 	each := len(x.Machines) / v.Core
 	rest, gone := x.Machines[:(v.Core-v.Core/3)*each], x.Machines[(v.Core-v.Core/3)*each:]
@@ -306,7 +306,7 @@
 	}
 	at("cut", "all", "a change meanwhile, acknowledged", "", "s", took.Seconds())
 	x.Run(watched)
-	know := func(list []*rehearsal.Machine) (n float64) {
+	know := func(list []*simulation.Machine) (n float64) {
 		for _, m := range list {
 			if m.Version() == *version {
 				n++
--- a/exchange/toll/calls_test.go
+++ b/internal/ratelimit/calls_test.go
@@ -1,10 +1,10 @@
-package toll
+package ratelimit
 
 import (
 	"testing"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // question is one of a life of an ingress, as its desk gets it.
@@ -24,8 +24,8 @@
 		if forgets {
 			clear(d.asked)
 		}
-		g := d.Ask(now, from, &signal.Message{Kind: signal.Ask, Epoch: 1, Life: q.life, Call: q.call,
-			Granted: q.granted, Tolls: []signal.Toll{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}})
+		g := d.Ask(now, from, &message.Message{Kind: message.Ask, Epoch: 1, Life: q.life, Call: q.call,
+			Granted: q.granted, Tolls: []message.Toll{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}})
 		if !g.OK {
 			return 0
 		}
@@ -70,9 +70,9 @@
 // again, then it is not taken, and its own is, once. Without the life it would be.
 func TestAGrantForAnEarlierLifeIsNotTaken(t *testing.T) {
 	now := time.Hour
-	var out []*signal.Message
+	var out []*message.Message
 	m := NewMeter(2, func(string) Limits { return Limits{Rate: 100, Burst: 100} },
-		func(q *signal.Message) { out = append(out, q) }, func(State) {})
+		func(q *message.Message) { out = append(out, q) }, func(State) {})
 	m.Serve(1, 1)
 	passed := 0
 	take := func() Verdict {
@@ -83,9 +83,9 @@
 		})
 		return v
 	}
-	grant := func(life uint64) *signal.Message {
-		return &signal.Message{Kind: signal.Grant, Life: life, Call: out[0].Call, Epoch: 1, OK: true,
-			Tolls: []signal.Toll{{Tenant: "t", Tokens: out[0].Tolls[0].Tokens}}}
+	grant := func(life uint64) *message.Message {
+		return &message.Message{Kind: message.Grant, Life: life, Call: out[0].Call, Epoch: 1, OK: true,
+			Tolls: []message.Toll{{Tenant: "t", Tokens: out[0].Tolls[0].Tokens}}}
 	}
 	if take() != Wait || len(out) != 1 {
 		t.Fatalf("the first request doesn't ask: %v", out)
--- a/exchange/toll/desk.go
+++ b/internal/ratelimit/desk.go
@@ -5,14 +5,14 @@
 // What is out in leases is counted: a tenant's store holds at most its burst, and what all ingresses together
 // may hold beside it is bounded by leaseRoom. So in any window of the rules no more than
 // rate*window + burst + leaseRoom is let in, which is under what the rules allow over it.
-package toll
+package ratelimit
 
 import (
 	"maps"
 	"math"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // Limits are a tenant's.
@@ -52,7 +52,7 @@
 type asked struct {
 	call  uint64
 	at    time.Duration
-	grant *signal.Message
+	grant *message.Message
 	taken map[string]float64 // out of the stores, by tenant
 }
 
@@ -85,7 +85,7 @@
 }
 
 // Members takes who holds leases at the core. One that is gone may be cut off, and go on alone.
-func (d *Desk) Members(now time.Duration, list []signal.Machine) {
+func (d *Desk) Members(now time.Duration, list []message.Machine) {
 	named := map[string]bool{}
 	for _, m := range list {
 		named[m.Addr] = true
@@ -110,8 +110,8 @@
 // Each question counts once. The one that came last gets the same grant again, and an earlier one nothing. A
 // question says which grant was taken last: what was given since has been given up, and goes back into the
 // stores with what was counted as spent, since the new question tells that, too.
-func (d *Desk) Ask(now time.Duration, from string, m *signal.Message) *signal.Message {
-	answer := &signal.Message{Kind: signal.Grant, Life: m.Life, Call: m.Call, Epoch: m.Epoch}
+func (d *Desk) Ask(now time.Duration, from string, m *message.Message) *message.Message {
+	answer := &message.Message{Kind: message.Grant, Life: m.Life, Call: m.Call, Epoch: m.Epoch}
 	if m.Epoch != d.epoch {
 		return answer
 	}
@@ -146,7 +146,7 @@
 		give := math.Floor(min(max(t.Tokens, 0), max(s.tokens, 0)))
 		s.tokens -= give
 		next.taken[t.Tenant] += before - s.tokens
-		answer.Tolls = append(answer.Tolls, signal.Toll{Tenant: t.Tenant, Tokens: give, Spent: t.Spent})
+		answer.Tolls = append(answer.Tolls, message.Toll{Tenant: t.Tenant, Tokens: give, Spent: t.Spent})
 	}
 	for tenant, s := range d.stores {
 		l := d.limits(tenant)
--- a/exchange/toll/meter.go
+++ b/internal/ratelimit/meter.go
@@ -1,4 +1,4 @@
-package toll
+package ratelimit
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // Tuned times, each with its reason.
@@ -71,7 +71,7 @@
 	state    State
 	life     uint64 // of the process: no other has or had it
 	limits   func(tenant string) Limits
-	send     func(m *signal.Message) // to the desk; it must not block
+	send     func(m *message.Message) // to the desk; it must not block
 	change   func(State)
 	accounts map[string]*account
 	epoch    uint64
@@ -85,7 +85,7 @@
 }
 
 // NewMeter returns the meter of a life of a process. Change is told of states.
-func NewMeter(life uint64, limits func(tenant string) Limits, send func(*signal.Message),
+func NewMeter(life uint64, limits func(tenant string) Limits, send func(*message.Message),
 	change func(State)) *Meter {
 	return &Meter{life: life, limits: limits, send: send, change: change, accounts: map[string]*account{},
 		members: 1}
@@ -203,7 +203,7 @@
 	if m.asked != 0 && now < m.asked+askLimit || now < m.last+askEvery && m.last != 0 {
 		return
 	}
-	var tolls []signal.Toll
+	var tolls []message.Toll
 	for tenant, a := range m.accounts {
 		want := float64(len(a.waiting)) - max(a.tokens, 0)
 		if a.demand*math.Exp(-(now-a.at).Seconds()/memory) > askDemand {
@@ -211,7 +211,7 @@
 		}
 		a.wanted = math.Ceil(max(want, 0))
 		if want >= 1 || a.debt > 0 {
-			tolls = append(tolls, signal.Toll{Tenant: tenant, Tokens: a.wanted, Spent: a.debt})
+			tolls = append(tolls, message.Toll{Tenant: tenant, Tokens: a.wanted, Spent: a.debt})
 		}
 	}
 	if len(tolls) == 0 && m.state == Reaching {
@@ -222,7 +222,7 @@
 	if m.silent == 0 {
 		m.silent = m.asked
 	}
-	m.send(&signal.Message{Kind: signal.Ask, Life: m.life, Call: m.call, Epoch: m.epoch, Granted: m.granted,
+	m.send(&message.Message{Kind: message.Ask, Life: m.life, Call: m.call, Epoch: m.epoch, Granted: m.granted,
 		Tolls: tolls})
 }
 
@@ -238,7 +238,7 @@
 
 // Granted takes the desk's answer to the question that is out, once. Any other has been given up. One under
 // another epoch is of a desk whose duty has ended: what it gives is given once more by the next.
-func (m *Meter) Granted(now time.Duration, g *signal.Message) {
+func (m *Meter) Granted(now time.Duration, g *message.Message) {
 	m.mu.Lock()
 	if g.Life != m.life || g.Call != m.call || g.Epoch != m.epoch || !g.OK ||
 		m.asked == 0 || now >= m.asked+grantMost {
--- a/exchange/toll/overlap_test.go
+++ b/internal/ratelimit/overlap_test.go
@@ -1,11 +1,11 @@
-package toll
+package ratelimit
 
 import (
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // The bounds of the core: for how long an earlier keeper of the counts may give tokens after the view of the
@@ -33,11 +33,11 @@
 		if i < len(w.meters)/2 {
 			hears = gives + time.Duration(w.rng.Int64N(int64(hearsAfter)))
 		}
-		m.send = func(q *signal.Message) {
+		m.send = func(q *message.Message) {
 			w.askAt(i, m, earlier, q, func() bool { return w.now >= until })
 		}
 		w.at(hears, func() {
-			m.send = func(q *signal.Message) { w.ask(i, m, q) }
+			m.send = func(q *message.Message) { w.ask(i, m, q) }
 			m.Serve(epoch, len(w.meters))
 		})
 	}
--- a/exchange/toll/quorum_test.go
+++ b/internal/ratelimit/quorum_test.go
@@ -1,11 +1,11 @@
-package toll
+package ratelimit
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // twoHolders plays a holder of the counts that goes on answering after another has taken its place, to a
@@ -16,7 +16,7 @@
 	old, epoch := w.desk, w.epoch
 	w.opens()
 	for i, m := range w.meters[:6] { // they reach the old one, and don't reach the other
-		m.send = func(q *signal.Message) {
+		m.send = func(q *message.Message) {
 			o := *q
 			o.Epoch = epoch
 			g := *old.Ask(w.now, fmt.Sprint(i), &o)
@@ -49,9 +49,9 @@
 	now := time.Hour
 	d := NewDesk(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
 	d.Open(now, 7)
-	ask := func(epoch, call uint64) *signal.Message {
-		return d.Ask(now, "a", &signal.Message{Kind: signal.Ask, Call: call, Epoch: epoch,
-			Tolls: []signal.Toll{{Tenant: "t", Tokens: 3, Spent: 1}}})
+	ask := func(epoch, call uint64) *message.Message {
+		return d.Ask(now, "a", &message.Message{Kind: message.Ask, Call: call, Epoch: epoch,
+			Tolls: []message.Toll{{Tenant: "t", Tokens: 3, Spent: 1}}})
 	}
 	now += 10 * time.Second
 	if g := ask(6, 1); g.OK || len(g.Tolls) > 0 {
@@ -72,9 +72,9 @@
 func TestAThirdCutOffSpendsNoMoreThanTheRulesAllow(t *testing.T) {
 	for _, rate := range []float64{20, 60, 200} {
 		w := given(3, 12, Limits{Rate: rate, Burst: rate})
-		members := func(n int) (list []signal.Machine) {
+		members := func(n int) (list []message.Machine) {
 			for i := range n {
-				list = append(list, signal.Machine{Addr: fmt.Sprint(i)})
+				list = append(list, message.Machine{Addr: fmt.Sprint(i)})
 			}
 			return list
 		}
--- a/exchange/toll/toll_test.go
+++ b/internal/ratelimit/toll_test.go
@@ -1,4 +1,4 @@
-package toll
+package ratelimit
 
 import (
 	"container/heap"
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"dunespoke/exchange/signal"
+	"dunespoke/internal/controlplane/message"
 )
 
 // town is ingresses and desks with delays between them, in virtual time.
@@ -52,7 +52,7 @@
 	w := &town{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), limits: l, cut: map[int]bool{}}
 	for i := range ingresses {
 		m := NewMeter(uint64(i+1), func(string) Limits { return w.limits }, nil, func(State) {})
-		m.send = func(q *signal.Message) { w.ask(i, m, q) }
+		m.send = func(q *message.Message) { w.ask(i, m, q) }
 		w.meters = append(w.meters, m)
 		var tick func()
 		tick = func() {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (w *town) ask(i int, m *Meter, q *signal.Message) {
+func (w *town) ask(i int, m *Meter, q *message.Message) {
 	if w.cut[i] {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // askAt asks a desk, unless that has gone by the time at which the question comes.
-func (w *town) askAt(i int, m *Meter, desk *Desk, q *signal.Message, gone func() bool) {
+func (w *town) askAt(i int, m *Meter, desk *Desk, q *message.Message, gone func() bool) {
 	delay := func() time.Duration { return time.Duration(500+w.rng.IntN(3000)) * time.Microsecond }
 	w.at(delay(), func() {
 		if gone() {
--- a/exchange/directory/diff.go
+++ b/internal/routing/diff.go
@@ -1,4 +1,4 @@
-package directory
+package routing
 
 import (
 	"fmt"
@@ -49,8 +49,18 @@
 func routesOf(d *Directory) map[string]string {
 	texts := map[string]string{}
 	for _, r := range d.Routes {
-		texts[r.Name] = fmt.Sprintf("%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v", r.Domain,
-			r.Start, r.Kind, r.Shares, r.GiveUp, r.Target, r.Rank, r.Tries, r.Public)
+		texts[r.Name] = fmt.Sprintf(
+			"%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v",
+			r.Domain,
+			r.Start,
+			r.Kind,
+			r.Shares,
+			r.GiveUp,
+			r.Target,
+			r.Rank,
+			r.Tries,
+			r.Public,
+		)
 	}
 	return texts
 }
--- a/exchange/directory/directory.go
+++ b/internal/routing/directory.go
@@ -1,6 +1,6 @@
 // Package directory is a configuration: read, checked by a schema and then by what it means, and made into a
 // table by which a request finds its route and a key its tenant. It is pure: no sockets, no clock.
-package directory
+package routing
 
 import (
 	_ "embed"
@@ -13,7 +13,7 @@
 
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/schema"
+	"dunespoke/internal/schema"
 )
 
 //go:embed config.schema.json
@@ -170,7 +170,13 @@
 		hosts: map[string][]*Route{}, keys: map[string]*Tenant{}}
 	for i, it := range doc.Items {
 		if err := d.item(it); err != nil {
-			return nil, trace.BadParameter("configuration: item %d (%s %q): %v", i+1, it.Kind, it.Metadata.Name, err)
+			return nil, trace.BadParameter(
+				"configuration: item %d (%s %q): %v",
+				i+1,
+				it.Kind,
+				it.Metadata.Name,
+				err,
+			)
 		}
 	}
 	if err := d.link(); err != nil {
--- a/exchange/directory/directory_test.go
+++ b/internal/routing/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package routing
 
 import (
 	"fmt"
--- a/exchange/plant/nobody.go
+++ b/internal/server/nobody.go
@@ -1,4 +1,4 @@
-package plant
+package server
 
 import (
 	"net/http"
--- a/exchange/plant/plant.go
+++ b/internal/server/plant.go
@@ -1,6 +1,6 @@
 // Package plant is the outside plant: it gives an office its lines, its disk and its clock, and starts what
 // clients, servers and operators reach. All that is decided here is when to start and when to stop.
-package plant
+package server
 
 import (
 	"context"
@@ -21,24 +21,24 @@
 
 	"dunespoke/choice"
 	"dunespoke/core"
-	"dunespoke/exchange/desk"
-	"dunespoke/exchange/directory"
-	"dunespoke/exchange/events"
-	"dunespoke/exchange/frame"
-	"dunespoke/exchange/line"
-	"dunespoke/exchange/lineup"
-	"dunespoke/exchange/observing"
-	"dunespoke/exchange/office"
-	"dunespoke/exchange/settings"
-	"dunespoke/exchange/signal"
-	"dunespoke/exchange/toll"
-	"dunespoke/exchange/trunk"
-	"dunespoke/exchange/vault"
+	"dunespoke/internal/controlplane/api"
+	"dunespoke/internal/controlplane/discovery"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/node"
+	"dunespoke/internal/controlplane/replica"
+	"dunespoke/internal/controlplane/storage"
+	"dunespoke/internal/controlplane/transport"
+	"dunespoke/internal/dataplane/proxy"
+	"dunespoke/internal/dataplane/slowlog"
+	"dunespoke/internal/events"
 	"dunespoke/internal/flow"
 	"dunespoke/internal/http1"
 	"dunespoke/internal/net/accept"
 	"dunespoke/internal/net/direct"
 	"dunespoke/internal/net/forward"
+	"dunespoke/internal/ratelimit"
+	"dunespoke/internal/routing"
+	"dunespoke/internal/settings"
 )
 
 // Tuning is how the gates of services are set for servers of few slots behind many ingresses.
@@ -71,13 +71,13 @@
 	log      logr.Logger
 	loop     *loop
 	start    time.Time
-	office   *office.Office
-	trunk    *trunk.Trunk
-	vault    *vault.Vault
-	front    *line.Front
-	meter    *toll.Meter
-	desk     *desk.Desk
-	reader   *lineup.Reader
+	office   *node.Office
+	trunk    *transport.Trunk
+	vault    *storage.Vault
+	front    *proxy.Front
+	meter    *ratelimit.Meter
+	desk     *api.Desk
+	reader   *discovery.Reader
 	clients  *accept.Server
 	forward  *forward.Forwarder
 	work     context.Context
@@ -153,9 +153,9 @@
 }
 
 // tolerance is what may be lost of the core at once.
-func (p *Plant) tolerance() frame.Tolerance {
+func (p *Plant) tolerance() replica.Tolerance {
 	s := p.set.Survive
-	return frame.Tolerance{Machines: s.Machines, Zones: s.Zones, Regions: s.Regions, Region: p.set.Zones}
+	return replica.Tolerance{Machines: s.Machines, Zones: s.Zones, Regions: s.Regions, Region: p.set.Zones}
 }
 
 func (p *Plant) bound() {
@@ -168,11 +168,11 @@
 
 // open makes all parts.
 func (p *Plant) open() error {
-	self := signal.Machine{Addr: p.set.Trunk(), Zone: p.set.Zone}
-	var disk *frame.Record
+	self := message.Machine{Addr: p.set.Trunk(), Zone: p.set.Zone}
+	var disk *replica.Record
 	first := p.set.Fresh
 	if p.set.DataDir != "" {
-		v, record, err := vault.Open(p.set.DataDir)
+		v, record, err := storage.Open(p.set.DataDir)
 		if err != nil {
 			return trace.Wrap(err, "data_dir %s", p.set.DataDir)
 		}
@@ -190,26 +190,26 @@
 	var random [8]byte
 	rand.Read(random[:])
 	life := max(1, binary.BigEndian.Uint64(random[:])>>2)
-	p.meter = toll.NewMeter(life, p.limits, p.toDesk, func(s toll.State) {
-		if s == toll.Alone {
+	p.meter = ratelimit.NewMeter(life, p.limits, p.toDesk, func(s ratelimit.State) {
+		if s == ratelimit.Alone {
 			p.Log(events.TollAlone)
 		} else {
 			p.Log(events.TollBack)
 		}
 	})
-	board := &observing.Board{}
-	p.front = line.New(line.Options{Board: board, Self: self.Addr, Zone: p.set.Zone, Tuning: Tuning,
+	board := &slowlog.Board{}
+	p.front = proxy.New(proxy.Options{Board: board, Self: self.Addr, Zone: p.set.Zone, Tuning: Tuning,
 		Meter:  p.meter,
 		Clock:  p.now,
 		Budget: flow.NewBudget(p.budget()), Core: p.core, Log: p.Log})
-	p.reader = lineup.New(p.set.Cloud.Address, direct.Dial)
+	p.reader = discovery.New(p.set.Cloud.Address, direct.Dial)
 	_, port, _ := net.SplitHostPort(p.set.Listen.Control)
-	p.desk = &desk.Desk{Core: p, Ready: p.ready, Board: board, Port: port, Log: p.Log}
-	p.office = office.New(p.now(), office.Options{Self: self, Seeds: p.set.SeedTrunks(),
+	p.desk = &api.Desk{Core: p, Ready: p.ready, Board: board, Port: port, Log: p.Log}
+	p.office = node.New(p.now(), node.Options{Self: self, Seeds: p.set.SeedTrunks(),
 		Survive: p.tolerance(), LostAfter: p.lostAfter(), First: first, Disk: disk,
 		Limits: p.limits, Life: life, Actions: (*actions)(p)})
 	var err error
-	p.trunk, err = trunk.New(trunk.Options{Self: self.Addr, Life: life, Listen: net.Listen,
+	p.trunk, err = transport.New(transport.Options{Self: self.Addr, Life: life, Listen: net.Listen,
 		Dial: (&net.Dialer{}).DialContext, Log: p.Log, Handle: p.hear})
 	if err != nil {
 		return err
@@ -239,7 +239,7 @@
 		return trace.ConvertSystemError(err)
 	}
 	s := accept.New(l, p.desk, controlMost, zerolog.Nop())
-	s.Bound(http1.Limits{Head: 16 << 10, Body: signal.MaxFrame - 64<<10})
+	s.Bound(http1.Limits{Head: 16 << 10, Body: message.MaxFrame - 64<<10})
 	go s.Serve()
 	return nil
 }
@@ -256,18 +256,18 @@
 	return c, nil
 }
 
-func (p *Plant) limits(tenant string) toll.Limits { return p.front.Limits(tenant) }
+func (p *Plant) limits(tenant string) ratelimit.Limits { return p.front.Limits(tenant) }
 
 // toDesk sends a question of the meter to who keeps the tolls.
-func (p *Plant) toDesk(m *signal.Message) {
+func (p *Plant) toDesk(m *message.Message) {
 	if to := p.tollAt.Load(); to != nil && *to != "" {
 		p.trunk.Send(*to, m)
 	}
 }
 
 // hear takes a message, from any goroutine.
-func (p *Plant) hear(from string, m *signal.Message) {
-	if m.Kind == signal.Grant {
+func (p *Plant) hear(from string, m *message.Message) {
+	if m.Kind == message.Grant {
 		p.meter.Granted(p.now(), m)
 		return
 	}
@@ -284,7 +284,7 @@
 	p.meter.Tick(now)
 	p.asks.Store(p.office.Asks())
 	next = min(next, now+meterEvery)
-	if epoch, ok := p.office.Holds(now, frame.ReadServers); ok && !p.reading && now >= p.readAt {
+	if epoch, ok := p.office.Holds(now, replica.ReadServers); ok && !p.reading && now >= p.readAt {
 		p.reading = true
 		go p.read(p.reader, epoch)
 	}
@@ -302,7 +302,7 @@
 }
 
 // read reads the list of servers, by a duty that this machine holds under an epoch.
-func (p *Plant) read(reader *lineup.Reader, epoch uint64) {
+func (p *Plant) read(reader *discovery.Reader, epoch uint64) {
 	list, err := reader.Read(p.work)
 	if err != nil {
 		p.Log(events.ListFailed, "error", trace.UserMessage(err))
@@ -377,7 +377,7 @@
 	}
 	p.loop.do(func() {
 		if set.Cloud.Address != p.set.Cloud.Address {
-			p.reader = lineup.New(set.Cloud.Address, direct.Dial)
+			p.reader = discovery.New(set.Cloud.Address, direct.Dial)
 		}
 		p.office.Seeds(set.SeedTrunks())
 		p.set.Cloud = set.Cloud
@@ -386,7 +386,7 @@
 }
 
 // Put hands a configuration to the core.
-func (p *Plant) Put(version uint64, config []byte, done func(*signal.Message)) {
+func (p *Plant) Put(version uint64, config []byte, done func(*message.Message)) {
 	config = slices.Clone(config)
 	p.loop.do(func() { p.office.Put(p.now(), version, config, done) })
 }
@@ -397,7 +397,7 @@
 }
 
 // Reform has the core change its members, or tell them.
-func (p *Plant) Reform(add, remove string, done func(*signal.Message)) {
+func (p *Plant) Reform(add, remove string, done func(*message.Message)) {
 	p.loop.do(func() { p.office.Reform(p.now(), add, remove, done) })
 }
 
@@ -410,21 +410,29 @@
 }
 
 // View tells how this machine sees the exchange.
-func (p *Plant) View(done func(desk.View)) {
+func (p *Plant) View(done func(api.View)) {
 	p.loop.do(func() {
-		v := desk.View{Node: p.set.Node, Zone: p.set.Zone, Version: fmt.Sprintf("r%d", p.held.Load()),
+		v := api.View{Node: p.set.Node, Zone: p.set.Zone, Version: fmt.Sprintf("r%d", p.held.Load()),
 			Servers: p.servers, Members: p.members, Epoch: p.epoch, Chain: p.chain}
 		if at := p.office.Asks(); at != nil {
 			v.Asks = *at
 		}
 		if f := p.office.Frame(); f != nil {
-			c := &desk.CoreView{State: f.State().String(), Serves: f.Fresh(), Whole: f.Record().Whole, Sick: f.Sick(),
-				Version: f.Record().Version, Heard: f.Heard(), Generation: f.Record().Generation, Spare: f.Spare(),
-				Lacks: f.Lacks()}
+			c := &api.CoreView{
+				State:      f.State().String(),
+				Serves:     f.Fresh(),
+				Whole:      f.Record().Whole,
+				Sick:       f.Sick(),
+				Version:    f.Record().Version,
+				Heard:      f.Heard(),
+				Generation: f.Record().Generation,
+				Spare:      f.Spare(),
+				Lacks:      f.Lacks(),
+			}
 			for _, m := range f.Record().Registry {
 				c.Machines = append(c.Machines, m.Addr)
 			}
-			for _, d := range []frame.Duty{frame.ReadServers, frame.KeepTolls} {
+			for _, d := range []replica.Duty{replica.ReadServers, replica.KeepTolls} {
 				if _, ok := f.Holds(p.now(), d); ok {
 					c.Duties = append(c.Duties, d.String())
 				}
@@ -440,11 +448,11 @@
 
 func (a *actions) plant() *Plant { return (*Plant)(a) }
 
-func (a *actions) Send(to string, m *signal.Message) { a.trunk.Send(to, m) }
+func (a *actions) Send(to string, m *message.Message) { a.trunk.Send(to, m) }
 
 func (a *actions) Log(e events.Event, pairs ...any) { a.plant().Log(e, pairs...) }
 
-func (a *actions) Save(token uint64, r frame.Record) {
+func (a *actions) Save(token uint64, r replica.Record) {
 	p := a.plant()
 	p.vault.Save(r, func(ok bool) {
 		p.loop.do(func() { p.office.Saved(p.now(), token, ok) })
@@ -453,7 +461,7 @@
 
 func (a *actions) Config(version uint64, config []byte) {
 	p := a.plant()
-	d, err := directory.Read(config)
+	d, err := routing.Read(config)
 	if err != nil {
 		p.Log(events.ConfigBad, "version", version, "error", trace.UserMessage(err))
 		return
@@ -463,20 +471,20 @@
 	p.Log(events.ConfigTaken, "config", d.String())
 }
 
-func (a *actions) Servers(list []signal.Server) {
+func (a *actions) Servers(list []message.Server) {
 	a.servers = len(list)
 	a.plant().front.Servers(list)
 	a.plant().Log(events.ListTaken, "servers", len(list))
 }
 
-func (a *actions) Members(list []signal.Machine) {
+func (a *actions) Members(list []message.Machine) {
 	a.members = len(list)
 	a.front.Members(list)
 	a.meter.Serve(a.epoch, a.members)
 }
 
 func (a *actions) View(epoch uint64, chain []string) {
-	holder := frame.Holder(chain, frame.KeepTolls)
+	holder := replica.Holder(chain, replica.KeepTolls)
 	a.epoch, a.chain = epoch, chain
 	a.tollAt.Store(&holder)
 	a.meter.Serve(epoch, a.members)
--- a/exchange/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 	"github.com/gravitational/trace"
 
-	"dunespoke/exchange/schema"
+	"dunespoke/internal/schema"
 )
 
 //go:embed settings.schema.json
--- a/exchange/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func example(t *testing.T) string {
-	text, err := os.ReadFile("../../example/exchange/settings.toml")
+	text, err := os.ReadFile("../../example/cluster/settings.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
