--- a/cmd/dunespoke-gateway/main.go
+++ b/cmd/dunespoke-gateway/main.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s: node %s in %s: good\n", c.Settings, s.Node, s.Zone)
+		fmt.Printf("%s: node %s in %s: good\n", c.Settings, s.NodeName, s.Zone)
 	}
 	if c.Config == "" {
 		return nil
@@ -60,7 +60,7 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	d, err := routing.Check(text)
+	d, err := routing.Validate(text)
 	if err != nil {
 		return trace.Wrap(err, "%s", c.Config)
 	}
--- a/cmd/dunespoke-gateway/members.go
+++ b/cmd/dunespoke-gateway/members.go
@@ -31,7 +31,7 @@
 }
 
 func printMembers(m api.Members) error {
-	printSpare(m.Generation, m.Spare, m.Lacks)
+	printSpare(m.MembershipEpoch, m.ToleratedFailures, m.ToleranceGap)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	row(w, "address", "zone", "store", "part")
 	for _, x := range m.Members {
@@ -39,16 +39,16 @@
 		if x.Serves {
 			part = "member, serves"
 		}
-		row(w, x.Addr, x.Zone, x.ID, part)
+		row(w, x.Addr, x.Zone, x.StoreID, part)
 	}
 	for _, x := range m.Candidates {
-		row(w, x.Addr, x.Zone, x.ID, "no member, has a disk")
+		row(w, x.Addr, x.Zone, x.StoreID, "no member, has a disk")
 	}
 	return trace.Wrap(w.Flush())
 }
 
 // change orders a change of members, and prints them as they are then.
-func (a at) change(c api.Change) error {
+func (a at) change(c api.MemberChange) error {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return trace.Wrap(err)
@@ -72,7 +72,7 @@
 }
 
 // Execute makes a machine a member.
-func (c *coreAdd) Execute([]string) error { return c.change(api.Change{Add: c.Args.New}) }
+func (c *coreAdd) Execute([]string) error { return c.change(api.MemberChange{Add: c.Args.New}) }
 
 type coreRemove struct {
 	at
@@ -82,7 +82,7 @@
 }
 
 // Execute removes a member for good.
-func (c *coreRemove) Execute([]string) error { return c.change(api.Change{Remove: c.Args.Old}) }
+func (c *coreRemove) Execute([]string) error { return c.change(api.MemberChange{Remove: c.Args.Old}) }
 
 type coreReplace struct {
 	at
@@ -94,5 +94,5 @@
 
 // Execute puts a machine in the place of a member.
 func (c *coreReplace) Execute([]string) error {
-	return c.change(api.Change{Add: c.Args.New, Remove: c.Args.Old})
+	return c.change(api.MemberChange{Add: c.Args.New, Remove: c.Args.Old})
 }
--- a/cmd/dunespoke-gateway/staff.go
+++ b/cmd/dunespoke-gateway/staff.go
@@ -25,7 +25,7 @@
 // callLimit is for a call with its answer; longest is the most that is read of that.
 const (
 	callLimit = 5 * time.Second
-	longest   = message.MaxFrame
+	longest   = message.MaxFrameSize
 )
 
 // at is the machine that is called.
@@ -84,20 +84,20 @@
 
 // Execute tells how a machine sees the exchange.
 func (c *view) Execute([]string) error {
-	var v api.View
+	var v api.NodeStatus
 	if done, err := c.ask("exchange.view", &v); done {
 		return err
 	}
 	fmt.Printf("node %s in %s, ready %v\n", v.Node, v.Zone, v.Ready)
 	fmt.Printf("configuration %s, %d servers, %d members\n", v.Version, v.Servers, v.Members)
-	fmt.Printf("asks %s for news\n", cmp.Or(v.Asks, "nobody"))
+	fmt.Printf("asks %s for news\n", cmp.Or(v.ConnectedTo, "nobody"))
 	fmt.Printf("view %d: %s\n", v.Epoch, cmp.Or(strings.Join(v.Chain, " -> "), "none known"))
-	if k := v.Core; k != nil {
-		fmt.Printf("of the core: %s, serves %v, whole %v, sick %v, r%d on disk\n", k.State, k.Serves, k.Whole,
-			k.Sick, k.Version)
-		fmt.Printf("hears %d of %d: %s\n", len(k.Heard), len(k.Machines), strings.Join(k.Heard, ", "))
-		printSpare(k.Generation, uint64(k.Spare), k.Lacks)
-		fmt.Printf("duties: %s\n", cmp.Or(strings.Join(k.Duties, ", "), "none"))
+	if k := v.Replica; k != nil {
+		fmt.Printf("of the core: %s, serves %v, whole %v, sick %v, r%d on disk\n", k.State, k.Serves, k.CaughtUp,
+			k.DiskUnhealthy, k.Version)
+		fmt.Printf("hears %d of %d: %s\n", len(k.Reachable), len(k.Members), strings.Join(k.Reachable, ", "))
+		printSpare(k.MembershipEpoch, uint64(k.ToleratedFailures), k.ToleranceGap)
+		fmt.Printf("duties: %s\n", cmp.Or(strings.Join(k.Roles, ", "), "none"))
 	}
 	return nil
 }
@@ -110,27 +110,27 @@
 
 // Execute tells which requests of a machine ran late or were given up, and where their time went.
 func (c *late) Execute([]string) error {
-	var l api.LateList
+	var l api.SlowRequests
 	if done, err := c.ask("exchange.late", &l); done {
 		return err
 	}
-	l.Calls = slices.DeleteFunc(l.Calls, func(x slowlog.Call) bool {
+	l.Requests = slices.DeleteFunc(l.Requests, func(x slowlog.Entry) bool {
 		return c.Route != "" && x.Route != c.Route
 	})
-	fmt.Printf("node %s: %d since its start, the last %d of them:\n", l.Node, l.Total, len(l.Calls))
+	fmt.Printf("node %s: %d since its start, the last %d of them:\n", l.Node, l.Total, len(l.Requests))
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	if c.Each {
 		row(w, "at", "id", "route", "tenant", "service", "server", "tries", "end", "quota", "waiting", "serving",
 			"total", "target")
-		for _, x := range l.Calls {
-			row(w, x.At.Format("15:04:05.000"), x.ID, x.Route, x.Tenant, x.Service, x.Server, x.Attempts, x.End,
-				ms(x.Quota), ms(x.Waiting), ms(x.Serving), ms(x.Total), ms(x.Target))
+		for _, x := range l.Requests {
+			row(w, x.At.Format("15:04:05.000"), x.ID, x.Route, x.Tenant, x.Service, x.Server, x.Attempts, x.Outcome,
+				ms(x.Quota), ms(x.Waiting), ms(x.Serving), ms(x.Total), ms(x.LatencyTarget))
 		}
 		return trace.Wrap(w.Flush())
 	}
 	row(w, "n", "route", "tenant", "service", "end", "worst", "mostly")
-	for _, s := range slowlog.Sums(l.Calls) {
-		row(w, s.N, s.Route, s.Tenant, s.Service, s.End, ms(s.Worst), s.Longest)
+	for _, s := range slowlog.Summarize(l.Requests) {
+		row(w, s.Count, s.Route, s.Tenant, s.Service, s.Outcome, ms(s.Worst), s.LongestPhase)
 	}
 	return trace.Wrap(w.Flush())
 }
@@ -166,12 +166,12 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-func (f file) read() ([]byte, *routing.Directory, error) {
+func (f file) read() ([]byte, *routing.Table, error) {
 	text, err := os.ReadFile(f.Args.File)
 	if err != nil {
 		return nil, nil, trace.ConvertSystemError(err)
 	}
-	d, err := routing.Check(text)
+	d, err := routing.Validate(text)
 	return text, d, trace.Wrap(err, "%s", f.Args.File)
 }
 
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	old, err := routing.Read(text)
+	old, err := routing.Parse(text)
 	if err != nil {
 		return trace.Wrap(err, "the newest configuration")
 	}
@@ -233,13 +233,13 @@
 
 // Execute looks at a stopped machine's store, and checks what is in it.
 func (c *storeCheck) Execute([]string) error {
-	s, err := storage.Look(c.Args.Dir)
+	s, err := storage.ReadSnapshot(c.Args.Dir)
 	if err != nil {
 		return err
 	}
 	config := "no configuration yet"
 	if s.Version > 0 {
-		d, err := routing.Read([]byte(s.Config))
+		d, err := routing.Parse([]byte(s.Config))
 		if err != nil {
 			return trace.Wrap(err, "the configuration in the store")
 		}
@@ -248,7 +248,12 @@
 		}
 		config = d.String()
 	}
-	fmt.Printf("whole %v, epoch %d, core %s\n", s.Whole, s.Epoch, cmp.Or(strings.Join(s.Core, ", "), "none"))
+	fmt.Printf(
+		"whole %v, epoch %d, core %s\n",
+		s.CaughtUp,
+		s.Epoch,
+		cmp.Or(strings.Join(s.Members, ", "), "none"),
+	)
 	fmt.Printf("last view %s\n%s\ngood\n", cmp.Or(strings.Join(s.Chain, " -> "), "none"), config)
 	return nil
 }
@@ -257,7 +262,7 @@
 
 // Execute prints a stopped machine's store as a document. It holds tenants' keys.
 func (c *storeExport) Execute([]string) error {
-	s, err := storage.Look(c.Args.Dir)
+	s, err := storage.ReadSnapshot(c.Args.Dir)
 	if err != nil {
 		return err
 	}
@@ -286,15 +291,15 @@
 	if err != nil {
 		return trace.Wrap(err, "%s", c.From)
 	}
-	var core []message.Machine
+	var core []message.Node
 	for _, text := range c.Core {
 		zone, addr, ok := strings.Cut(text, "=")
 		if !ok || zone == "" || addr == "" {
 			return trace.BadParameter("--core %s: want ZONE=ADDRESS", text)
 		}
-		core = append(core, message.Machine{Addr: addr, Zone: zone})
+		core = append(core, message.Node{Addr: addr, Zone: zone})
 	}
-	if err := storage.Found(c.Args.Dir, s, core); err != nil {
+	if err := storage.Restore(c.Args.Dir, s, core); err != nil {
 		return err
 	}
 	fmt.Printf("r%d in a core of %d machines; do the same on all of them before any is started\n", s.Version,
--- a/internal/controlplane/api/desk_test.go
+++ b/internal/controlplane/api/api_test.go
@@ -12,8 +12,8 @@
 	"dunespoke/internal/http1"
 )
 
-// core is a stand-in for what the desk passes on to.
-type core struct {
+// fakeCluster is a stand-in for what the desk passes on to.
+type fakeCluster struct {
 	held     uint64
 	config   []byte
 	nearer   string
@@ -22,31 +22,35 @@
 	put      []uint64
 }
 
-func (c *core) Put(version uint64, _ []byte, done func(*message.Message)) {
+func (c *fakeCluster) Put(version uint64, _ []byte, done func(*message.Message)) {
 	c.put = append(c.put, version)
 	if c.silent {
 		done(nil)
 		return
 	}
 	if c.conflict {
-		done(&message.Message{Kind: message.Conflict, Version: c.held})
+		done(&message.Message{Type: message.TypeConflict, Version: c.held})
 		return
 	}
-	done(&message.Message{Kind: message.Done, Version: max(version, c.held)})
+	done(&message.Message{Type: message.TypeCommitted, Version: max(version, c.held)})
 }
 
-func (c *core) Read(done func(uint64, []byte)) { done(c.held, c.config) }
-func (c *core) Nearer() string                 { return c.nearer }
-func (c *core) View(done func(View))           { done(View{Node: "n-1", Version: "r7"}) }
-func (c *core) Reform(add, _ string, done func(*message.Message)) {
+func (c *fakeCluster) Read(done func(uint64, []byte)) { done(c.held, c.config) }
+func (c *fakeCluster) NearestReplica() string         { return c.nearer }
+func (c *fakeCluster) Status(done func(NodeStatus))   { done(NodeStatus{Node: "n-1", Version: "r7"}) }
+func (c *fakeCluster) ChangeMembers(add, _ string, done func(*message.Message)) {
 	switch {
 	case c.silent:
 		done(nil)
 	case add == "x:1":
-		done(&message.Message{Kind: message.Reformed, Text: "no quorum would be left"})
+		done(&message.Message{Type: message.TypeChangeMembersResult, Reason: "no quorum would be left"})
 	default:
 		done(
-			&message.Message{Kind: message.Reformed, OK: true, Registry: []message.Machine{{Addr: "y:1", ID: 10}}},
+			&message.Message{
+				Type:    message.TypeChangeMembersResult,
+				OK:      true,
+				Members: []message.Node{{Addr: "y:1", StoreID: 10}},
+			},
 		)
 	}
 }
@@ -57,52 +61,56 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	board := &slowlog.Board{}
-	board.Note(slowlog.Call{ID: "id-9", Route: "transfers", End: slowlog.Late})
-	long := []byte(strings.Repeat("x", longAnswer+1))
+	board := &slowlog.Log{}
+	board.Record(slowlog.Entry{ID: "id-9", Route: "transfers", Outcome: slowlog.OutcomeLate})
+	long := []byte(strings.Repeat("x", redirectThreshold+1))
 	for _, c := range []struct {
 		name, method, target string
 		body                 []byte
-		core                 core
+		cluster              fakeCluster
 		status               int
 		says                 string
 		header               string
 		put                  int
 	}{
-		{"a valid change", "POST", "/api/rpc?call=config.replace", valid, core{}, 200, `"r1"`, "Content-Type", 1},
-		{"one without a clear answer", "POST", "/api/rpc?call=config.replace", valid, core{silent: true}, 503,
+		{"a valid change", "POST", "/api/rpc?call=config.replace", valid, fakeCluster{}, 200,
+			`"r1"`, "Content-Type", 1},
+		{"one without a clear answer", "POST", "/api/rpc?call=config.replace", valid,
+			fakeCluster{silent: true}, 503,
 			"send it again", "Retry-After", 1},
-		{"one that is not above the held", "POST", "/api/rpc?call=config.replace", valid, core{held: 4}, 200,
+		{"one that is not above the held", "POST", "/api/rpc?call=config.replace", valid, fakeCluster{held: 4}, 200,
 			`"r4"`, "Content-Type", 1},
 		{"one of which the core does not say that", "POST", "/api/rpc?call=config.replace", valid,
-			core{held: 4, silent: true}, 503, "send it again", "Retry-After", 1},
+			fakeCluster{held: 4, silent: true}, 503, "send it again", "Retry-After", 1},
 		{"another one under a number", "POST", "/api/rpc?call=config.replace", valid,
-			core{held: 1, conflict: true}, 409, "higher number", "", 1},
-		{"an invalid one", "POST", "/api/rpc?call=config.replace", []byte(`{"version":`), core{}, 400,
+			fakeCluster{held: 1, conflict: true}, 409, "higher number", "", 1},
+		{"an invalid one", "POST", "/api/rpc?call=config.replace", []byte(`{"version":`), fakeCluster{}, 400,
 			"configuration", "", 0},
 		{"an invalid old one", "POST", "/api/rpc?call=config.replace", []byte(`{"version":"r0"}`),
-			core{held: 4}, 400, "configuration", "", 0},
-		{"a reading", "POST", "/api/rpc?call=config.read", nil, core{config: valid}, 200, "items_of", "", 0},
-		{"a reading of nothing sure", "POST", "/api/rpc?call=config.read", nil, core{}, 503, "can't be told",
+			fakeCluster{held: 4}, 400, "configuration", "", 0},
+		{"a reading", "POST", "/api/rpc?call=config.read", nil, fakeCluster{config: valid}, 200, "items_of", "", 0},
+		{"a reading of nothing sure", "POST", "/api/rpc?call=config.read", nil, fakeCluster{}, 503, "can't be told",
 			"Retry-After", 0},
 		{"a long reading over a thin link", "GET", "/api/rpc?call=config.read", nil,
-			core{config: long, nearer: "10.0.0.4"}, 307, "sooner", "Location", 0},
-		{"the view", "GET", "/api/rpc?call=exchange.view", nil, core{}, 200, `"node":"n-1"`, "", 0},
-		{"late requests", "GET", "/api/rpc?call=exchange.late", nil, core{}, 200, `"id":"id-9"`, "", 0},
-		{"who the core is", "GET", "/api/rpc?call=core.show", nil, core{}, 200, `"store":"a"`, "", 0},
-		{"who the core is, without an answer", "GET", "/api/rpc?call=core.show", nil, core{silent: true}, 503,
+			fakeCluster{config: long, nearer: "10.0.0.4"}, 307, "sooner", "Location", 0},
+		{"the view", "GET", "/api/rpc?call=exchange.view", nil, fakeCluster{}, 200, `"node":"n-1"`, "", 0},
+		{"late requests", "GET", "/api/rpc?call=exchange.late", nil, fakeCluster{}, 200, `"id":"id-9"`, "", 0},
+		{"who the core is", "GET", "/api/rpc?call=core.show", nil, fakeCluster{}, 200, `"store":"a"`, "", 0},
+		{"who the core is, without an answer", "GET", "/api/rpc?call=core.show", nil,
+			fakeCluster{silent: true}, 503,
 			"no clear answer", "Retry-After", 0},
-		{"a change of members", "POST", "/api/rpc?call=core.change", []byte(`{"add":"y:1"}`), core{}, 200,
+		{"a change of members", "POST", "/api/rpc?call=core.change", []byte(`{"add":"y:1"}`), fakeCluster{}, 200,
 			`"address":"y:1"`, "", 0},
-		{"one that leaves no quorum", "POST", "/api/rpc?call=core.change", []byte(`{"add":"x:1"}`), core{}, 409,
+		{"one that leaves no quorum", "POST", "/api/rpc?call=core.change", []byte(`{"add":"x:1"}`),
+			fakeCluster{}, 409,
 			"no quorum", "", 0},
-		{"one of nothing", "POST", "/api/rpc?call=core.change", []byte(`{}`), core{}, 400, "ADDRESS", "", 0},
-		{"whether it is ready", "GET", "/api/ready", nil, core{}, 503, "not ready", "", 0},
-		{"another method", "PUT", "/api/rpc?call=config.read", nil, core{}, 405, "method", "", 0},
-		{"another call", "POST", "/api/rpc?call=config.burn", nil, core{}, 404, "no such call", "", 0},
+		{"one of nothing", "POST", "/api/rpc?call=core.change", []byte(`{}`), fakeCluster{}, 400, "ADDRESS", "", 0},
+		{"whether it is ready", "GET", "/api/ready", nil, fakeCluster{}, 503, "not ready", "", 0},
+		{"another method", "PUT", "/api/rpc?call=config.read", nil, fakeCluster{}, 405, "method", "", 0},
+		{"another call", "POST", "/api/rpc?call=config.burn", nil, fakeCluster{}, 404, "no such call", "", 0},
 	} {
-		k := c.core
-		d := &Desk{Core: &k, Ready: func() bool { return false }, Board: board, Port: "8381",
+		k := c.cluster
+		d := &Handler{Cluster: &k, Ready: func() bool { return false }, SlowLog: board, ControlPort: "8381",
 			Log: func(events.Event, ...any) {}}
 		r := httptest.NewRequest(c.method, c.target, nil)
 		var got *http1.Answer
@@ -136,13 +144,17 @@
 // Given a desk with as many calls open as it takes, when one more comes, then it is told when to come back;
 // checks whether clients should come are answered all the same.
 func TestCallsAreBounded(t *testing.T) {
-	d := &Desk{Core: &core{}, Ready: func() bool { return true }, Log: func(events.Event, ...any) {}}
-	d.open.Store(mostOpen)
+	d := &Handler{
+		Cluster: &fakeCluster{},
+		Ready:   func() bool { return true },
+		Log:     func(events.Event, ...any) {},
+	}
+	d.open.Store(maxOpenCalls)
 	for target, want := range map[string]int{"/api/ready": 200, "/api/rpc?call=config.read": 503} {
 		var got *http1.Answer
 		r := httptest.NewRequest("GET", target, nil)
 		d.Serve(&http1.Request{Request: r}, func(a *http1.Answer) { got = a })
-		if got == nil || got.Status != want || d.open.Load() != mostOpen {
+		if got == nil || got.Status != want || d.open.Load() != maxOpenCalls {
 			t.Errorf("%s: %+v, %d open; want %d", target, got, d.open.Load(), want)
 		}
 	}
--- a/internal/controlplane/client/extension_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -11,16 +11,16 @@
 func TestLinesThatFailTogetherAskAgainApart(t *testing.T) {
 	moments := map[time.Duration]bool{}
 	for life := range uint64(50) {
-		e := &Extension{Options: Options{Life: life}, call: 9, silent: 6, slow: true}
-		d := e.pause()
-		if moments[d] = true; d < pauseMost/2 || d > pauseMost {
+		e := &Client{Options: Options{Incarnation: life}, requestID: 9, silentServers: 6, congested: true}
+		d := e.retryPause()
+		if moments[d] = true; d < maxRetryDelay/2 || d > maxRetryDelay {
 			t.Errorf("a pause of %v", d)
 		}
-		if e.silent = 1; e.pause() != 0 {
-			t.Errorf("%v before the second machine", e.pause())
+		if e.silentServers = 1; e.retryPause() != 0 {
+			t.Errorf("%v before the second machine", e.retryPause())
 		}
-		if e.silent, e.slow = 6, false; e.pause() != 0 {
-			t.Errorf("%v where nothing comes", e.pause())
+		if e.silentServers, e.congested = 6, false; e.retryPause() != 0 {
+			t.Errorf("%v where nothing comes", e.retryPause())
 		}
 	}
 	if len(moments) < 45 {
--- a/internal/controlplane/discovery/lineup.go
+++ b/internal/controlplane/discovery/discovery.go
@@ -20,13 +20,13 @@
 
 // Bounds on what the platform may send.
 const (
-	mostPage  = 1 << 20
-	mostPages = 256
-	callLimit = 900 * time.Millisecond // for a page
-	heldUp    = 100 * time.Millisecond // beyond which a page that came is too old
+	maxPageSize  = 1 << 20
+	maxPages     = 256
+	pageTimeout  = 900 * time.Millisecond // for a page
+	maxPageDelay = 100 * time.Millisecond // beyond which a page that came is too old
 )
 
-type entry struct {
+type serverEntry struct {
 	ID       string  `json:"id"`
 	Backend  string  `json:"backend"`
 	Address  string  `json:"address"`
@@ -37,31 +37,31 @@
 }
 
 type page struct {
-	Servers map[string][]entry `json:"servers"`
-	Next    *string            `json:"next_token"`
+	Servers map[string][]serverEntry `json:"servers"`
+	Next    *string                  `json:"next_token"`
 }
 
-// Reader reads the list at an address.
-type Reader struct {
-	addr   string
-	client *http.Client
-	now    func() time.Time
-	colds  map[string]uint64 // how long a server was to stay slow, when it was first seen
+// Client reads the list at an address.
+type Client struct {
+	addr    string
+	client  *http.Client
+	now     func() time.Time
+	warmups map[string]uint64 // how long a server was to stay slow, when it was first seen
 }
 
 // New returns a reader.
-func New(addr string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Reader {
-	return &Reader{addr: addr, now: time.Now, colds: map[string]uint64{}, client: &http.Client{
-		Timeout:   callLimit,
+func New(addr string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Client {
+	return &Client{addr: addr, now: time.Now, warmups: map[string]uint64{}, client: &http.Client{
+		Timeout:   pageTimeout,
 		Transport: &http.Transport{DialContext: dial, MaxIdleConns: 1, DisableCompression: true}}}
 }
 
 // Read reads the whole list, in an agreed order. A list that can't be read whole is an error: a server that
 // is missing would be taken for gone.
-func (r *Reader) Read(ctx context.Context) ([]message.Server, error) {
-	var all []message.Server
+func (r *Client) Read(ctx context.Context) ([]message.Endpoint, error) {
+	var all []message.Endpoint
 	token := ""
-	for range mostPages {
+	for range maxPages {
 		p, err := r.page(ctx, token)
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -70,45 +70,45 @@
 			for _, e := range list {
 				all = append(
 					all,
-					message.Server{ID: e.ID, Service: e.Backend, Addr: e.Address, Zone: orElse(e.Zone, zone),
-						Capacity: e.Capacity, Draining: e.State == "draining", Cold: uint64(max(0, e.Warmup) * 1000)},
+					message.Endpoint{ID: e.ID, Service: e.Backend, Addr: e.Address, Zone: firstNonEmpty(e.Zone, zone),
+						Capacity: e.Capacity, Draining: e.State == "draining", WarmupMillis: uint64(max(0, e.Warmup) * 1000)},
 				)
 			}
 		}
 		if p.Next == nil || *p.Next == "" {
-			return r.settle(all), nil
+			return r.normalize(all), nil
 		}
 		token = *p.Next
 	}
-	return nil, trace.LimitExceeded("list of servers: more than %d pages", mostPages)
+	return nil, trace.LimitExceeded("list of servers: more than %d pages", maxPages)
 }
 
-func orElse(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// settle sorts the list, and tells of each server that is slow what was told first: the time that is left
+// normalize sorts the list, and tells of each server that is slow what was told first: the time that is left
 // changes from call to call, and would make every list another.
-func (r *Reader) settle(all []message.Server) []message.Server {
-	slices.SortFunc(all, func(a, b message.Server) int { return strings.Compare(a.ID, b.ID) })
-	all = slices.CompactFunc(all, func(a, b message.Server) bool { return a.ID == b.ID })
+func (r *Client) normalize(all []message.Endpoint) []message.Endpoint {
+	slices.SortFunc(all, func(a, b message.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	all = slices.CompactFunc(all, func(a, b message.Endpoint) bool { return a.ID == b.ID })
 	colds := map[string]uint64{}
 	for i := range all {
-		if s := &all[i]; s.Cold > 0 {
-			if first, ok := r.colds[s.ID]; ok {
-				s.Cold = first
+		if s := &all[i]; s.WarmupMillis > 0 {
+			if first, ok := r.warmups[s.ID]; ok {
+				s.WarmupMillis = first
 			}
-			colds[s.ID] = s.Cold
+			colds[s.ID] = s.WarmupMillis
 		}
 	}
-	r.colds = colds
+	r.warmups = colds
 	return all
 }
 
-func (r *Reader) page(ctx context.Context, token string) (*page, error) {
+func (r *Client) page(ctx context.Context, token string) (*page, error) {
 	u := url.URL{Scheme: "http", Host: r.addr, Path: "/servers"}
 	if token != "" {
 		u.RawQuery = url.Values{"page_token": {token}}.Encode()
@@ -124,15 +124,15 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.CopyN(io.Discard, resp.Body, mostPage)
+		io.CopyN(io.Discard, resp.Body, maxPageSize)
 		return nil, trace.LimitExceeded("list of servers: status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostPage))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPageSize))
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "list of servers")
 	}
 	// The process stood still meanwhile: the call's own limit may not have struck yet.
-	if took := r.now().Sub(began); took > callLimit+heldUp {
+	if took := r.now().Sub(began); took > pageTimeout+maxPageDelay {
 		return nil, trace.LimitExceeded("list of servers: a page took %v", took)
 	}
 	return decode(body)
--- a/internal/controlplane/discovery/lineup_test.go
+++ b/internal/controlplane/discovery/discovery_test.go
@@ -14,7 +14,7 @@
 // Given a list of two pages, when the process stands still while one of them comes, then there is no list:
 // it would be told as new, and is as old as the standstill.
 func TestAPageThatWasHeldUpIsNoList(t *testing.T) {
-	for _, stands := range []time.Duration{0, callLimit, 20 * time.Second} {
+	for _, stands := range []time.Duration{0, pageTimeout, 20 * time.Second} {
 		clock := time.Now()
 		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			next := `"next"`
@@ -30,7 +30,7 @@
 			})
 		r.now = func() time.Time { return clock }
 		list, err := r.Read(context.Background())
-		if late := stands > callLimit; late != (err != nil) || !late && len(list) != 2 {
+		if late := stands > pageTimeout; late != (err != nil) || !late && len(list) != 2 {
 			t.Errorf("held up for %v: %v, %v", stands, list, err)
 		}
 		platform.Close()
--- a/internal/controlplane/message/taken_test.go
+++ b/internal/controlplane/message/accepted_versions_test.go
@@ -7,9 +7,9 @@
 )
 
 // window are the numbers that are remembered when one was taken last.
-func window(last int) (list []Taken) {
-	for n := max(0, last-512) / TakenChunk * TakenChunk; n < last; n++ {
-		list = append(list, Taken{uint64(n + 1), SumOf([]byte{byte(n), byte(n >> 8)})})
+func window(last int) (list []AcceptedVersion) {
+	for n := max(0, last-512) / AcceptedVersionsPerChunk * AcceptedVersionsPerChunk; n < last; n++ {
+		list = append(list, AcceptedVersion{uint64(n + 1), DigestOf([]byte{byte(n), byte(n >> 8)})})
 	}
 	return list
 }
@@ -23,23 +23,26 @@
 				continue
 			}
 			old, list := window(last-behind), window(last)
-			outline := Outline(EncodeTaken(old), TakenChunks)
-			packed := PackOver(EncodeTaken(list), 7, outline, TakenChunks)
-			text, err := packed.Unpack(7, EncodeTaken(old))
-			if got, _ := DecodeTaken(text); err != nil || !slices.Equal(got, list) {
+			outline := ChunkIndex(EncodeAcceptedVersions(old), AcceptedVersionChunks)
+			packed := NewDeltaOver(EncodeAcceptedVersions(list), 7, outline, AcceptedVersionChunks)
+			text, err := packed.Apply(7, EncodeAcceptedVersions(old))
+			if got, _ := DecodeAcceptedVersions(text); err != nil || !slices.Equal(got, list) {
 				t.Errorf("%d behind %d: not as sent: %v", behind, last, err)
 			}
-			n := len(Encode(nil, packed))
-			if n > 50+takenSize*(behind+TakenChunk) || behind == 0 && n > 40 {
+			n := len(MarshalAppend(nil, packed))
+			if n > 50+acceptedVersionSize*(behind+AcceptedVersionsPerChunk) || behind == 0 && n > 40 {
 				t.Errorf("%d behind %d: %d bytes", behind, last, n)
 			}
 			t.Logf("%d behind %d: outline %d, %d bytes of %d", behind, last, len(outline), n, len(text))
-			if packed.Base == 0 {
+			if packed.BaseVersion == 0 {
 				t.Errorf("%d behind %d: sent whole", behind, last)
 			}
 			old[len(old)/2].Digest[0]++ // of a chunk that is not sent, where numbers were dropped
-			text, err = packed.Unpack(7, EncodeTaken(old))
-			if got, _ := DecodeTaken(text); !errors.Is(err, ErrDigest) && (last > 512 || !slices.Equal(got, list)) {
+			text, err = packed.Apply(7, EncodeAcceptedVersions(old))
+			if got, _ := DecodeAcceptedVersions(
+				text,
+			); !errors.Is(err, ErrDigestMismatch) &&
+				(last > 512 || !slices.Equal(got, list)) {
 				t.Errorf("%d behind %d: over other numbers: %v", behind, last, err)
 			}
 		}
@@ -48,14 +51,14 @@
 
 // Given what is no list of numbers, or a digest of another length, when it is read, then that is told.
 func TestWhatIsNoNumberIsNotTaken(t *testing.T) {
-	if _, err := DecodeTaken(make([]byte, 3*takenSize-1)); err == nil {
+	if _, err := DecodeAcceptedVersions(make([]byte, 3*acceptedVersionSize-1)); err == nil {
 		t.Error("an entry that is cut off is taken")
 	}
-	for size, taken := range map[int]bool{sumSize - 1: false, sumSize: true, sumSize + 1: false} {
-		b := Encode(nil, &struct {
+	for size, taken := range map[int]bool{digestSize - 1: false, digestSize: true, digestSize + 1: false} {
+		b := MarshalAppend(nil, &struct {
 			Digest []byte `pb:"2"`
 		}{make([]byte, size)})
-		if err := Decode(b, new(Taken)); (err == nil) != taken {
+		if err := Unmarshal(b, new(AcceptedVersion)); (err == nil) != taken {
 			t.Errorf("a digest of %d bytes: %v", size, err)
 		}
 	}
--- a/internal/controlplane/message/ranges_test.go
+++ b/internal/controlplane/message/chunks_test.go
@@ -57,28 +57,28 @@
 			text = bytes.Repeat([]byte{'x', byte(seed)}, rng.IntN(80_000))
 		}
 		var joined []byte
-		Ranges(text, func(part []byte) {
-			if joined = append(joined, part...); len(part) == 0 || len(part) > 3*rangeMost {
+		ConfigChunks(text, func(part []byte) {
+			if joined = append(joined, part...); len(part) == 0 || len(part) > 3*maxChunkSize {
 				t.Errorf("a range of %d bytes", len(part))
 			}
 		})
 		if !bytes.Equal(joined, text) {
 			return "the ranges are not the text"
 		}
-		packed := PackOver(text, 7, Outline(old, Ranges), Ranges)
-		if got, err := packed.Unpack(7, old); err != nil || !bytes.Equal(got, text) {
+		packed := NewDeltaOver(text, 7, ChunkIndex(old, ConfigChunks), ConfigChunks)
+		if got, err := packed.Apply(7, old); err != nil || !bytes.Equal(got, text) {
 			return fmt.Sprint("not as sent: ", err)
 		}
-		if len(old) > 0 && packed.Base != 0 {
+		if len(old) > 0 && packed.BaseVersion != 0 {
 			old[rng.IntN(len(old))]++
-			got, err := packed.Unpack(7, old)
-			if err == nil && !bytes.Equal(got, text) || err != nil && !errors.Is(err, ErrDigest) {
+			got, err := packed.Apply(7, old)
+			if err == nil && !bytes.Equal(got, text) || err != nil && !errors.Is(err, ErrDigestMismatch) {
 				return fmt.Sprint("over another text: ", err)
 			}
 		}
-		outline := Outline(old, Ranges)
+		outline := ChunkIndex(old, ConfigChunks)
 		outline = outline[:rng.IntN(len(outline)+1)]
-		got, err := PackOver(text, 7, outline, Ranges).Unpack(7, old)
+		got, err := NewDeltaOver(text, 7, outline, ConfigChunks).Apply(7, old)
 		if err == nil && !bytes.Equal(got, text) {
 			return "over an outline that is cut off"
 		}
@@ -93,8 +93,8 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	items := routes(rng, 14_000)
 	old := bytes.Join(items, nil)
-	outline := Outline(old, Ranges)
-	whole := len(Encode(nil, Pack(old, 0, nil)))
+	outline := ChunkIndex(old, ConfigChunks)
+	whole := len(MarshalAppend(nil, NewDelta(old, 0, nil)))
 	t.Logf("text %d, squeezed %d, outline %d", len(old), whole, len(outline))
 	if len(outline) > len(old)/100 {
 		t.Errorf("the outline has %d bytes of %d", len(outline), len(old))
@@ -106,7 +106,7 @@
 			items[at] = route(rng, at)
 		}
 		text := bytes.Join(items, nil)
-		if n := len(Encode(nil, PackOver(text, 1, outline, Ranges))); n > c.most {
+		if n := len(MarshalAppend(nil, NewDeltaOver(text, 1, outline, ConfigChunks))); n > c.most {
 			t.Errorf("%d changes: %d bytes", c.changes, n)
 		} else {
 			t.Logf("%d changes: %d bytes", c.changes, n)
--- a/internal/controlplane/message/codec.go
+++ b/internal/controlplane/message/codec.go
@@ -10,45 +10,45 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// field is how a field of a struct is written.
-type field struct {
+// fieldCodec is how a field of a struct is written.
+type fieldCodec struct {
 	num   protowire.Number
 	index int
 	kind  reflect.Kind // of the field; Slice: of its elements, see elem; Array: of bytes
 	elem  reflect.Kind
 }
 
-var plans sync.Map // of []field, by reflect.Type
+var structCodecs sync.Map // of []field, by reflect.Type
 
-// planOf reads a struct's tags, once.
-func planOf(t reflect.Type) []field {
-	if p, ok := plans.Load(t); ok {
-		return p.([]field)
+// codecOf reads a struct's tags, once.
+func codecOf(t reflect.Type) []fieldCodec {
+	if p, ok := structCodecs.Load(t); ok {
+		return p.([]fieldCodec)
 	}
-	var plan []field
+	var plan []fieldCodec
 	for i := range t.NumField() {
 		n, err := strconv.Atoi(t.Field(i).Tag.Get("pb"))
 		if err != nil {
 			continue
 		}
-		f := field{num: protowire.Number(n), index: i, kind: t.Field(i).Type.Kind()}
+		f := fieldCodec{num: protowire.Number(n), index: i, kind: t.Field(i).Type.Kind()}
 		if f.kind == reflect.Slice {
 			f.elem = t.Field(i).Type.Elem().Kind()
 		}
 		plan = append(plan, f)
 	}
-	plans.Store(t, plan)
+	structCodecs.Store(t, plan)
 	return plan
 }
 
-// Encode writes a struct, or a pointer to one, whose fields have tags, behind buf. Empty fields take no
-// bytes.
-func Encode(buf []byte, v any) []byte {
-	return encode(buf, reflect.Indirect(reflect.ValueOf(v)))
+// MarshalAppend writes a struct, or a pointer to one, whose fields have tags, behind buf. Empty fields take
+// no bytes.
+func MarshalAppend(buf []byte, v any) []byte {
+	return marshalStruct(buf, reflect.Indirect(reflect.ValueOf(v)))
 }
 
-func encode(buf []byte, v reflect.Value) []byte {
-	for _, f := range planOf(v.Type()) {
+func marshalStruct(buf []byte, v reflect.Value) []byte {
+	for _, f := range codecOf(v.Type()) {
 		fv := v.Field(f.index)
 		if f.kind != reflect.Slice && fv.IsZero() {
 			continue
@@ -83,10 +83,10 @@
 
 func appendStruct(buf []byte, num protowire.Number, v reflect.Value) []byte {
 	buf = protowire.AppendTag(buf, num, protowire.BytesType)
-	return protowire.AppendBytes(buf, encode(nil, v))
+	return protowire.AppendBytes(buf, marshalStruct(nil, v))
 }
 
-func appendSlice(buf []byte, f field, v reflect.Value) []byte {
+func appendSlice(buf []byte, f fieldCodec, v reflect.Value) []byte {
 	if f.elem == reflect.Uint8 {
 		if v.Len() > 0 {
 			buf = protowire.AppendTag(buf, f.num, protowire.BytesType)
@@ -105,14 +105,16 @@
 	return buf
 }
 
-var errType = errors.New("a field has another type")
+var errFieldType = errors.New("a field has another type")
 
-// Decode reads a struct that Encode wrote. Fields that it does not know are passed over. Slices of bytes are
-// copies.
-func Decode(b []byte, v any) error { return decode(b, reflect.Indirect(reflect.ValueOf(v))) }
+// Unmarshal reads a struct that Encode wrote. Fields that it does not know are passed over. Slices of bytes
+// are copies.
+func Unmarshal(b []byte, v any) error {
+	return unmarshalStruct(b, reflect.Indirect(reflect.ValueOf(v)))
+}
 
-func decode(b []byte, v reflect.Value) error {
-	plan := planOf(v.Type())
+func unmarshalStruct(b []byte, v reflect.Value) error {
+	plan := codecOf(v.Type())
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -127,7 +129,7 @@
 		b = b[n:]
 		for _, f := range plan {
 			if f.num == num {
-				if err := decodeField(v.Field(f.index), f, typ, value); err != nil {
+				if err := unmarshalField(v.Field(f.index), f, typ, value); err != nil {
 					return err
 				}
 				break
@@ -137,7 +139,7 @@
 	return nil
 }
 
-func decodeField(fv reflect.Value, f field, typ protowire.Type, b []byte) error {
+func unmarshalField(fv reflect.Value, f fieldCodec, typ protowire.Type, b []byte) error {
 	want := protowire.BytesType
 	switch f.kind {
 	case reflect.Uint64, reflect.Bool:
@@ -146,7 +148,7 @@
 		want = protowire.Fixed64Type
 	}
 	if typ != want {
-		return errType
+		return errFieldType
 	}
 	var inner []byte
 	if want == protowire.BytesType {
@@ -166,14 +168,14 @@
 		fv.SetString(string(inner))
 	case reflect.Array:
 		if len(inner) != fv.Len() {
-			return errType
+			return errFieldType
 		}
 		reflect.Copy(fv, reflect.ValueOf(inner))
 	case reflect.Struct:
-		return decode(inner, fv)
+		return unmarshalStruct(inner, fv)
 	case reflect.Pointer:
 		fv.Set(reflect.New(fv.Type().Elem()))
-		return decode(inner, fv.Elem())
+		return unmarshalStruct(inner, fv.Elem())
 	case reflect.Slice:
 		switch f.elem {
 		case reflect.Uint8:
@@ -182,7 +184,7 @@
 			fv.Set(reflect.Append(fv, reflect.ValueOf(string(inner))))
 		default:
 			e := reflect.New(fv.Type().Elem())
-			if err := decode(inner, e.Elem()); err != nil {
+			if err := unmarshalStruct(inner, e.Elem()); err != nil {
 				return err
 			}
 			fv.Set(reflect.Append(fv, e.Elem()))
--- a/internal/controlplane/message/golden_test.go
+++ b/internal/controlplane/message/golden_test.go
@@ -110,9 +110,9 @@
 		}
 	}) {
 		m := new(Message)
-		m.Kind = Kind(number)
+		m.Type = Type(number)
 		fill(reflect.ValueOf(m).Elem(), fieldsOf[number])
-		fmt.Fprintf(&out, "%d %s\n", number, hex.EncodeToString(Append(nil, m)))
+		fmt.Fprintf(&out, "%d %s\n", number, hex.EncodeToString(AppendFrame(nil, m)))
 	}
 	return out.Bytes()
 }
@@ -143,13 +143,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var c Cutter
+		var c FrameDecoder
 		c.Feed(frame)
 		m, err := c.Next()
-		if err != nil || m == nil || uint64(m.Kind) != number {
+		if err != nil || m == nil || uint64(m.Type) != number {
 			t.Fatalf("type %d: %v, %v", number, m, err)
 		}
-		if !bytes.Equal(Append(nil, m), frame) {
+		if !bytes.Equal(AppendFrame(nil, m), frame) {
 			t.Errorf("type %d: read back, it is written with other bytes", number)
 		}
 	}
--- a/internal/controlplane/message/signal_test.go
+++ b/internal/controlplane/message/message_test.go
@@ -16,19 +16,30 @@
 	p.Property("round trip", prop.ForAll(func(call, version uint64, chain []string, config []byte,
 		tokens float64,
 		ok bool, cut int) bool {
-		in := &Message{Kind: News, Call: call, Version: version, Chain: chain, Config: &Packed{Base: call,
-			Raw: config}, OK: ok,
-			List:    &List{Epoch: call, Servers: []Server{{ID: "i-1", Addr: "10.0.0.1:80", Capacity: version}}},
-			Members: []Machine{{Addr: "a", Zone: "z"}, {Addr: "b"}}, Tolls: []Toll{{"t", tokens, -tokens}},
-			Past: []Taken{{version, SumOf(config)}, {Version: call}}}
+		in := &Message{
+			Type:      TypeWatchResponse,
+			RequestID: call,
+			Version:   version,
+			Chain:     chain,
+			Config: &Delta{BaseVersion: call,
+				Raw: config},
+			OK: ok,
+			Endpoints: &EndpointList{
+				Epoch:     call,
+				Endpoints: []Endpoint{{ID: "i-1", Addr: "10.0.0.1:80", Capacity: version}},
+			},
+			Nodes:            []Node{{Addr: "a", Zone: "z"}, {Addr: "b"}},
+			Tokens:           []TenantTokens{{"t", tokens, -tokens}},
+			AcceptedVersions: []AcceptedVersion{{version, DigestOf(config)}, {Version: call}},
+		}
 		if len(chain) == 0 {
 			in.Chain = nil
 		}
 		if len(config) == 0 {
 			in.Config.Raw = nil
 		}
-		b := Append(Append(nil, in), &Message{Kind: Beat})
-		var c Cutter
+		b := AppendFrame(AppendFrame(nil, in), &Message{Type: TypeHeartbeat})
+		var c FrameDecoder
 		var got []*Message
 		for len(b) > 0 {
 			n := min(cut, len(b))
@@ -45,7 +56,7 @@
 		if m, _ := c.Next(); m != nil {
 			got = append(got, m)
 		}
-		return len(got) == 2 && reflect.DeepEqual(got[0], in) && got[1].Kind == Beat
+		return len(got) == 2 && reflect.DeepEqual(got[0], in) && got[1].Type == TypeHeartbeat
 	}, gen.UInt64(), gen.UInt64(), gen.SliceOf(gen.AlphaString()), gen.SliceOf(gen.UInt8()), gen.Float64(),
 		gen.Bool(), gen.IntRange(1, 64)))
 	p.TestingRun(t)
@@ -55,12 +66,15 @@
 // crash.
 func FuzzFrames(f *testing.F) {
 	f.Add(
-		Append(nil, &Message{Kind: Put, Version: 7, Config: Pack([]byte("{}"), 0, nil), Chain: []string{"a"}}),
+		AppendFrame(
+			nil,
+			&Message{Type: TypePut, Version: 7, Config: NewDelta([]byte("{}"), 0, nil), Chain: []string{"a"}},
+		),
 	)
 	f.Add([]byte{0, 0, 0, 2, 0x0a, 0xff})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var c Cutter
+		var c FrameDecoder
 		c.Feed(b)
 		for {
 			m, err := c.Next()
@@ -68,7 +82,7 @@
 				break
 			}
 			again := new(Message)
-			if err := Decode(Encode(nil, m), again); err != nil {
+			if err := Unmarshal(MarshalAppend(nil, m), again); err != nil {
 				t.Fatalf("what was read can't be read again: %v", err)
 			}
 		}
@@ -81,18 +95,18 @@
 	p := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(7))
 	p.Property("pack and unpack", prop.ForAll(func(old, fresh []string) bool {
 		a, b := document(old), document(fresh)
-		packed := new(Packed)
-		if Decode(Encode(nil, Pack(b, 7, a)), packed) != nil {
+		packed := new(Delta)
+		if Unmarshal(MarshalAppend(nil, NewDelta(b, 7, a)), packed) != nil {
 			return false
 		}
-		text, err := packed.Unpack(7, a)
+		text, err := packed.Apply(7, a)
 		if err != nil || string(text) != string(b) {
 			return false
 		}
-		if _, err := packed.Unpack(6, a); err == nil {
+		if _, err := packed.Apply(6, a); err == nil {
 			return false
 		}
-		other, err := packed.Unpack(7, append([]byte("x"), a...))
+		other, err := packed.Apply(7, append([]byte("x"), a...))
 		return err != nil || string(other) == string(b)
 	}, gen.SliceOf(gen.OneConstOf("one", "two", "three", "four", "five")),
 		gen.SliceOf(gen.OneConstOf("one", "two", "three", "six"))))
@@ -119,19 +133,20 @@
 	}
 	old := document(names)
 	names[700] = "changed"
-	if n := len(Encode(nil, Pack(document(names), 1, old))); n > 200 {
+	if n := len(MarshalAppend(nil, NewDelta(document(names), 1, old))); n > 200 {
 		t.Errorf("%d bytes for a change of %d", n, len(old))
 	}
-	if n := len(Encode(nil, Pack(old, 0, nil))); n > len(old)/4 {
+	if n := len(MarshalAppend(nil, NewDelta(old, 0, nil))); n > len(old)/4 {
 		t.Errorf("%d bytes for a whole of %d", n, len(old))
 	}
 }
 
 // Given all that is written by numbered fields, then no two fields of one have the same number.
 func TestNumbersOfFieldsStandForOne(t *testing.T) {
-	for _, v := range []any{Message{}, Taken{}, Machine{}, List{}, Server{}, Toll{}, Packed{}} {
+	for _, v := range []any{Message{}, AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{},
+		TenantTokens{}, Delta{}} {
 		seen := map[protowire.Number]bool{}
-		for _, f := range planOf(reflect.TypeOf(v)) {
+		for _, f := range codecOf(reflect.TypeOf(v)) {
 			if seen[f.num] {
 				t.Errorf("%T: two fields have the number %d", v, f.num)
 			}
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -7,294 +7,362 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// put is a configuration that waits to be acknowledged.
-type put struct {
-	from   string
-	life   uint64 // of the process that asked
-	call   uint64
-	entry  message.Taken
-	config []byte
-	came   time.Duration
-	rides  bool          // it has gone down the chain in this view: what that ends with is its answer
-	asked  time.Duration // when a majority was asked last
+// proposal is a configuration that waits to be acknowledged.
+type proposal struct {
+	client      string
+	incarnation uint64 // of the process that asked
+	requestID   uint64
+	accepted    message.AcceptedVersion
+	config      []byte
+	receivedAt  time.Duration
+	// it has gone down the chain in this view: what that ends with is its answer
+	replicating        bool
+	confirmationSentAt time.Duration // when a majority was asked last
 }
 
-// of reports whether it is a call of a process.
-func (p *put) of(from string, life, call uint64) bool {
-	return p.from == from && p.life == life && p.call == call
+// isRequest reports whether it is a call of a process.
+func (p *proposal) isRequest(from string, life, call uint64) bool {
+	return p.client == from && p.incarnation == life && p.requestID == call
 }
 
-// ask is a question to a majority, whether this machine's view is still the newest that can be in service.
-type ask struct {
-	yes   map[string]bool
-	began time.Duration
-	then  func()
+// epochConfirmation is a question to a majority, whether this machine's view is still the newest that can be
+// in service.
+type epochConfirmation struct {
+	confirmed map[string]bool
+	startedAt time.Duration
+	onQuorum  func()
 }
 
-// place is this machine's in the chain; -1: in none.
-func (f *Frame) place() int {
-	if f.state != InService {
+// chainPosition is this machine's in the chain; -1: in none.
+func (f *Replica) chainPosition() int {
+	if f.state != StateServing {
 		return -1
 	}
 	return slices.Index(f.chain, f.self)
 }
 
-// sendOn tells who asked that this is not the machine to ask, and which view it knows.
-func (f *Frame) sendOn(from string, m *message.Message) {
-	f.Actions.Send(from, &message.Message{Kind: message.Refuse, Life: m.Life, Call: m.Call, Epoch: f.epoch,
-		Chain: f.chain})
+// redirect tells who asked that this is not the machine to ask, and which view it knows.
+func (f *Replica) redirect(from string, m *message.Message) {
+	f.Actions.Send(
+		from,
+		&message.Message{
+			Type:        message.TypeReject,
+			Incarnation: m.Incarnation,
+			RequestID:   m.RequestID,
+			Epoch:       f.epoch,
+			Chain:       f.chain,
+		},
+	)
 }
 
-// put takes a configuration at the head.
-func (f *Frame) put(from string, m *message.Message) {
-	if f.place() != 0 || len(f.puts) >= mostPuts {
-		f.sendOn(from, m)
+// handlePut takes a configuration at the head.
+func (f *Replica) handlePut(from string, m *message.Message) {
+	if f.chainPosition() != 0 || len(f.proposals) >= maxProposals {
+		f.redirect(from, m)
 		return
 	}
-	if slices.ContainsFunc(f.puts, func(p put) bool { return p.of(from, m.Life, m.Call) }) {
+	if slices.ContainsFunc(
+		f.proposals,
+		func(p proposal) bool { return p.isRequest(from, m.Incarnation, m.RequestID) },
+	) {
 		return
 	}
 	if m.Config == nil {
 		return
 	}
-	config, err := m.Config.Unpack(0, nil)
+	config, err := m.Config.Apply(0, nil)
 	if err != nil {
 		return
 	}
-	f.puts = append(f.puts, put{from: from, life: m.Life, call: m.Call, config: config, came: f.now,
-		entry: message.Taken{Version: m.Version, Digest: message.SumOf(config)}})
-	f.advance()
+	f.proposals = append(
+		f.proposals,
+		proposal{
+			client:      from,
+			incarnation: m.Incarnation,
+			requestID:   m.RequestID,
+			config:      config,
+			receivedAt:  f.now,
+			accepted:    message.AcceptedVersion{Version: m.Version, Digest: message.DigestOf(config)},
+		},
+	)
+	f.proposeNext()
 }
 
-// advance answers for what the chain has, and starts on the next: all that wait go down the chain at once,
-// the highest number with its text, those below it as numbers that are taken.
-func (f *Frame) advance() {
-	if f.place() != 0 {
+// proposeNext answers for what the chain has, and starts on the next: all that wait go down the chain at
+// once, the highest number with its text, those below it as numbers that are taken.
+func (f *Replica) proposeNext() {
+	if f.chainPosition() != 0 {
 		return
 	}
-	f.conclude()
-	if f.next.Version > f.committed { // one is on its way
+	f.answerCommitted()
+	if f.pending.Version > f.committed { // one is on its way
 		return
 	}
-	var batch []message.Taken
-	for i := range f.puts {
-		p := &f.puts[i]
-		if p.entry.Version <= f.committed {
+	var batch []message.AcceptedVersion
+	for i := range f.proposals {
+		p := &f.proposals[i]
+		if p.accepted.Version <= f.committed {
 			continue
 		}
-		batch = append(batch, p.entry)
-		if p.rides = true; p.entry.Version > f.next.Version {
-			f.next.Version, f.next.Config = p.entry.Version, p.config
+		batch = append(batch, p.accepted)
+		if p.replicating = true; p.accepted.Version > f.pending.Version {
+			f.pending.Version, f.pending.Config = p.accepted.Version, p.config
 		}
 	}
 	if len(batch) == 0 {
 		return
 	}
-	f.next.Stamp, f.next.Past = f.epoch, Remember(f.next.Past, batch...)
+	f.pending.AcceptedEpoch, f.pending.AcceptedVersions = f.epoch, AppendAccepted(
+		f.pending.AcceptedVersions,
+		batch...)
 	f.saveAndRelay()
 }
 
-// conclude answers those whose numbers are not above what is committed. What has gone down the chain in this
-// view was taken by all of it; for the rest a majority is asked first whether this is the head still.
-func (f *Frame) conclude() {
-	f.puts = slices.DeleteFunc(f.puts, func(p put) bool {
-		if p.entry.Version > f.committed || !p.rides {
+// answerCommitted answers those whose numbers are not above what is committed. What has gone down the chain
+// in this view was taken by all of it; for the rest a majority is asked first whether this is the head still.
+func (f *Replica) answerCommitted() {
+	f.proposals = slices.DeleteFunc(f.proposals, func(p proposal) bool {
+		if p.accepted.Version > f.committed || !p.replicating {
 			return false
 		}
-		f.verdict(p)
+		f.answerProposal(p)
 		return true
 	})
-	for i := range f.puts {
-		if p := &f.puts[i]; p.entry.Version <= f.committed && (p.asked == 0 || f.now >= p.asked+resendEvery) {
-			p.asked = f.now
-			defer f.confirm(p.from, p.life, p.call) // which may answer at once, and drops it then
+	for i := range f.proposals {
+		if p := &f.proposals[i]; p.accepted.Version <= f.committed &&
+			(p.confirmationSentAt == 0 || f.now >= p.confirmationSentAt+relayRetryInterval) {
+			p.confirmationSentAt = f.now
+			defer f.confirmAndAnswer(
+				p.client,
+				p.incarnation,
+				p.requestID,
+			) // which may answer at once, and drops it then
 		}
 	}
 }
 
-// confirm answers one that waits, once a majority has said that this is the head still.
-func (f *Frame) confirm(from string, life, call uint64) {
-	f.ask(func() {
-		f.puts = slices.DeleteFunc(f.puts, func(p put) bool {
-			if !p.of(from, life, call) {
+// confirmAndAnswer answers one that waits, once a majority has said that this is the head still.
+func (f *Replica) confirmAndAnswer(from string, life, call uint64) {
+	f.confirmEpoch(func() {
+		f.proposals = slices.DeleteFunc(f.proposals, func(p proposal) bool {
+			if !p.isRequest(from, life, call) {
 				return false
 			}
-			f.verdict(p)
+			f.answerProposal(p)
 			return true
 		})
 	})
 }
 
-// verdict answers for a number that is not above what is committed: one that stands with the same text is
-// acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered is
-// acknowledged and changes nothing, since the highest version wins.
-func (f *Frame) verdict(p put) {
-	m := &message.Message{Kind: message.Done, Life: p.life, Call: p.call, Version: f.committed, OK: true}
-	if sum, known := f.next.digest(p.entry.Version); known && sum != p.entry.Digest {
-		m.Kind, m.OK = message.Conflict, false
+// answerProposal answers for a number that is not above what is committed: one that stands with the same text
+// is acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered
+// is acknowledged and changes nothing, since the highest version wins.
+func (f *Replica) answerProposal(p proposal) {
+	m := &message.Message{
+		Type:        message.TypeCommitted,
+		Incarnation: p.incarnation,
+		RequestID:   p.requestID,
+		Version:     f.committed,
+		OK:          true,
 	}
-	f.Actions.Send(p.from, m)
+	if sum, known := f.pending.digestOf(p.accepted.Version); known && sum != p.accepted.Digest {
+		m.Type, m.OK = message.TypeConflict, false
+	}
+	f.Actions.Send(p.client, m)
 }
 
 // saveAndRelay saves what came down the chain, and passes it on; the tail says that it is done.
-func (f *Frame) saveAndRelay() {
+func (f *Replica) saveAndRelay() {
 	epoch := f.epoch
 	f.save(func() {
-		if f.epoch == epoch && f.next.Promised == epoch {
-			f.pass()
+		if f.epoch == epoch && f.pending.PromisedEpoch == epoch {
+			f.relay()
 		}
 	})
 }
 
-// pass sends what is on disk down the chain.
-func (f *Frame) pass() {
-	at := f.place()
+// relay sends what is on disk down the chain.
+func (f *Replica) relay() {
+	at := f.chainPosition()
 	if at < 0 {
 		return
 	}
-	again := f.passed == f.rec.Version // the first time did not do it: without a base
-	f.sentAt, f.passed = f.now, f.rec.Version
+	again := f.relayedVersion == f.saved.Version // the first time did not do it: without a base
+	f.relayedAt, f.relayedVersion = f.now, f.saved.Version
 	if at < len(f.chain)-1 {
 		f.Actions.Send(
 			f.chain[at+1],
-			&message.Message{Kind: message.Relay, Epoch: f.epoch, Version: f.rec.Version,
-				Past: f.rec.above(f.committed), Config: f.packed(f.held(), f.committed, !again)},
+			&message.Message{
+				Type:    message.TypeReplicate,
+				Epoch:   f.epoch,
+				Version: f.saved.Version,
+				AcceptedVersions: f.saved.acceptedAbove(
+					f.committed,
+				),
+				Config: f.deltaFor(f.savedConfig(), f.committed, !again),
+			},
 		)
 		return
 	}
-	m := &message.Message{Kind: message.Done, Epoch: f.epoch, Version: f.rec.Version}
+	m := &message.Message{Type: message.TypeCommitted, Epoch: f.epoch, Version: f.saved.Version}
 	for _, to := range f.chain[:at] {
 		f.Actions.Send(to, m)
 	}
-	f.done(m)
+	f.handleCommitted(m)
 }
 
-// relayed takes what comes down the chain.
-func (f *Frame) relayed(from string, m *message.Message) {
-	at := f.place()
-	if at <= 0 || m.Epoch != f.epoch || f.next.Promised != f.epoch || f.chain[at-1] != from {
+// handleReplicate takes what comes down the chain.
+func (f *Replica) handleReplicate(from string, m *message.Message) {
+	at := f.chainPosition()
+	if at <= 0 || m.Epoch != f.epoch || f.pending.PromisedEpoch != f.epoch || f.chain[at-1] != from {
 		return
 	}
 	switch {
-	case m.Version > f.next.Version && m.Config != nil:
+	case m.Version > f.pending.Version && m.Config != nil:
 		// The head starts on the next once what came before is done.
-		f.done(&message.Message{Epoch: f.epoch, Version: f.rec.Version})
-		config, err := m.Config.Unpack(f.next.Version, f.next.Config)
+		f.handleCommitted(&message.Message{Epoch: f.epoch, Version: f.saved.Version})
+		config, err := m.Config.Apply(f.pending.Version, f.pending.Config)
 		if err != nil {
 			return // it comes again, whole
 		}
-		f.next.Content = Content{Stamp: f.epoch, Version: m.Version, Config: config,
-			Past: Remember(f.next.Past, m.Past...)}
+		f.pending.Value = Value{AcceptedEpoch: f.epoch, Version: m.Version, Config: config,
+			AcceptedVersions: AppendAccepted(f.pending.AcceptedVersions, m.AcceptedVersions...)}
 		f.saveAndRelay()
-	case m.Version == f.rec.Version: // once more: an answer was lost
-		f.pass()
+	case m.Version == f.saved.Version: // once more: an answer was lost
+		f.relay()
 	}
 }
 
-// done tells that the tail has a version: it is committed.
-func (f *Frame) done(m *message.Message) {
-	if f.state != InService || m.Epoch != f.epoch || m.Version <= f.committed || m.Version > f.rec.Version {
+// handleCommitted tells that the tail has a version: it is committed.
+func (f *Replica) handleCommitted(m *message.Message) {
+	if f.state != StateServing || m.Epoch != f.epoch || m.Version <= f.committed || m.Version > f.saved.Version {
 		return
 	}
-	f.commit(m.Version)
-	f.news()
-	f.advance()
+	f.recordCommit(m.Version)
+	f.notifyWatchers()
+	f.proposeNext()
 }
 
-// mostTexts is how many configurations are kept, to tell newer ones as changes of them.
-const mostTexts = 4
+// maxConfigHistory is how many configurations are kept, to tell newer ones as changes of them.
+const maxConfigHistory = 4
 
-// commit notes that a version can't be lost any more.
-func (f *Frame) commit(version uint64) {
+// recordCommit notes that a version can't be lost any more.
+func (f *Replica) recordCommit(version uint64) {
 	f.committed = max(f.committed, version)
-	if f.rec.Version != f.committed || len(f.texts) > 0 && f.texts[len(f.texts)-1].version == f.committed {
+	if f.saved.Version != f.committed ||
+		len(f.configHistory) > 0 && f.configHistory[len(f.configHistory)-1].version == f.committed {
 		return
 	}
-	f.texts = append(f.texts, text{f.committed, f.rec.Config})
-	if len(f.texts) > mostTexts {
-		f.texts = f.texts[1:]
+	f.configHistory = append(f.configHistory, configVersion{f.committed, f.saved.Config})
+	if len(f.configHistory) > maxConfigHistory {
+		f.configHistory = f.configHistory[1:]
 	}
-	clear(f.packs)
+	clear(f.deltas)
 }
 
-// held is the configuration on disk.
-func (f *Frame) held() text { return text{f.rec.Version, f.rec.Config} }
+// savedConfig is the configuration on disk.
+func (f *Replica) savedConfig() configVersion { return configVersion{f.saved.Version, f.saved.Config} }
 
-// packed is a configuration as a change of a version, if that is wanted and known. It is made once for all
+// deltaFor is a configuration as a change of a version, if that is wanted and known. It is made once for all
 // who ask with the same.
-func (f *Frame) packed(t text, base uint64, change bool) *message.Packed {
+func (f *Replica) deltaFor(t configVersion, base uint64, change bool) *message.Delta {
 	var old []byte
-	if i := slices.IndexFunc(f.texts, func(t text) bool { return t.version == base }); i >= 0 && change {
-		old = f.texts[i].text
+	if i := slices.IndexFunc(
+		f.configHistory,
+		func(t configVersion) bool { return t.version == base },
+	); i >= 0 &&
+		change {
+		old = f.configHistory[i].config
 	} else {
 		base = 0
 	}
 	key := [2]uint64{t.version, base}
-	p := f.packs[key]
+	p := f.deltas[key]
 	if p == nil {
-		p = message.Pack(t.text, base, old)
-		if len(f.packs) >= 2*mostTexts {
-			clear(f.packs)
+		p = message.NewDelta(t.config, base, old)
+		if len(f.deltas) >= 2*maxConfigHistory {
+			clear(f.deltas)
 		}
-		f.packs[key] = p
+		f.deltas[key] = p
 	}
 	return p
 }
 
 // resend sends again what may have been lost on its way, and drops what has waited too long.
-func (f *Frame) resend() {
-	if f.place() == 0 && f.rec.Version > f.committed && f.now >= f.sentAt+resendEvery {
-		f.pass()
+func (f *Replica) resend() {
+	if f.chainPosition() == 0 && f.saved.Version > f.committed && f.now >= f.relayedAt+relayRetryInterval {
+		f.relay()
 	}
-	f.puts = slices.DeleteFunc(f.puts, func(p put) bool { return f.now > p.came+5*time.Second })
-	f.advance() // for those that a majority has not been heard about
-	for id, r := range f.asks {
-		if f.now > r.began+time.Second {
-			delete(f.asks, id)
+	f.proposals = slices.DeleteFunc(
+		f.proposals,
+		func(p proposal) bool { return f.now > p.receivedAt+5*time.Second },
+	)
+	f.proposeNext() // for those that a majority has not been heard about
+	for id, r := range f.confirmations {
+		if f.now > r.startedAt+time.Second {
+			delete(f.confirmations, id)
 		}
 	}
 }
 
-// read answers from the tail, once a majority has said that no later view can be in service.
-func (f *Frame) read(from string, m *message.Message) {
-	if at := f.place(); at < 0 || at != len(f.chain)-1 || len(f.asks) >= mostPuts {
-		f.sendOn(from, m)
+// handleRead answers from the tail, once a majority has said that no later view can be in service.
+func (f *Replica) handleRead(from string, m *message.Message) {
+	if at := f.chainPosition(); at < 0 || at != len(f.chain)-1 || len(f.confirmations) >= maxProposals {
+		f.redirect(from, m)
 		return
 	}
-	f.ask(func() {
-		if f.rec.Version != f.committed { // it is being passed on
+	f.confirmEpoch(func() {
+		if f.saved.Version != f.committed { // it is being passed on
 			return
 		}
-		answer := &message.Message{Kind: message.Copy, Life: m.Life, Call: m.Call, Version: f.committed, OK: true}
+		answer := &message.Message{
+			Type:        message.TypeReadResult,
+			Incarnation: m.Incarnation,
+			RequestID:   m.RequestID,
+			Version:     f.committed,
+			OK:          true,
+		}
 		if f.committed > m.Version {
-			answer.Config = f.packed(f.held(), m.Version, true)
+			answer.Config = f.deltaFor(f.savedConfig(), m.Version, true)
 		}
 		f.Actions.Send(from, answer)
 	})
 }
 
-// ask asks a majority whether this machine's view is the newest that can be in service, and goes on once it
-// has said so. Without a majority nothing comes of it.
-func (f *Frame) ask(then func()) {
-	f.askSeq++
-	f.asks[f.askSeq] = &ask{yes: map[string]bool{}, began: f.now, then: then}
-	for _, r := range f.rec.Registry {
+// confirmEpoch asks a majority whether this machine's view is the newest that can be in service, and goes on
+// once it has said so. Without a majority nothing comes of it.
+func (f *Replica) confirmEpoch(then func()) {
+	f.lastConfirmation++
+	f.confirmations[f.lastConfirmation] = &epochConfirmation{
+		confirmed: map[string]bool{},
+		startedAt: f.now,
+		onQuorum:  then,
+	}
+	for _, r := range f.saved.Members {
 		if r.Addr != f.self {
-			f.Actions.Send(r.Addr, &message.Message{Kind: message.Confirm, Call: f.askSeq, Epoch: f.epoch})
+			f.Actions.Send(
+				r.Addr,
+				&message.Message{Type: message.TypeConfirmEpoch, RequestID: f.lastConfirmation, Epoch: f.epoch},
+			)
 		}
 	}
-	f.confirmed(f.self, &message.Message{Call: f.askSeq, Epoch: f.epoch, OK: f.next.Promised == f.epoch})
+	f.handleEpochConfirmed(
+		f.self,
+		&message.Message{RequestID: f.lastConfirmation, Epoch: f.epoch, OK: f.pending.PromisedEpoch == f.epoch},
+	)
 }
 
-func (f *Frame) confirmed(from string, m *message.Message) {
-	r := f.asks[m.Call]
-	if r == nil || !m.OK || m.Epoch != f.epoch || !f.ofCore(from) || f.state != InService {
+func (f *Replica) handleEpochConfirmed(from string, m *message.Message) {
+	r := f.confirmations[m.RequestID]
+	if r == nil || !m.OK || m.Epoch != f.epoch || !f.isMemberAddress(from) || f.state != StateServing {
 		return
 	}
-	r.yes[from] = true
-	if !quorate(func(m message.Machine) bool { return r.yes[m.Addr] && f.is(m) }, f.next.voters()...) {
+	r.confirmed[from] = true
+	if !hasQuorum(
+		func(m message.Node) bool { return r.confirmed[m.Addr] && f.is(m) },
+		f.pending.electorates()...) {
 		return
 	}
-	delete(f.asks, m.Call)
-	r.then()
+	delete(f.confirmations, m.RequestID)
+	r.onQuorum()
 }
--- a/internal/controlplane/replica/survive_test.go
+++ b/internal/controlplane/replica/fault_tolerance_test.go
@@ -13,21 +13,21 @@
 
 // small calls do with all small sets of machines over three regions of which one has two zones, and with all
 // that may be lost of them.
-func small(most int, do func(t Tolerance, all []message.Machine)) {
+func small(most int, do func(t FaultTolerance, all []message.Node)) {
 	region := map[string]string{"a": "r1", "b": "r1", "c": "r2", "d": "r3"}
 	for layout := range 4 * 4 * 4 * 4 {
 		if a, b, c, d := layout%4, layout>>2%4, layout>>4%4, layout>>6; a < b || c < d {
 			continue // as another one, but for the names
 		}
-		var all []message.Machine
+		var all []message.Node
 		for i, zone := range []string{"a", "b", "c", "d"} {
 			for j := range layout >> (2 * i) % 4 {
-				all = append(all, message.Machine{Addr: fmt.Sprint(zone, j), Zone: zone})
+				all = append(all, message.Node{Addr: fmt.Sprint(zone, j), Zone: zone})
 			}
 		}
 		for what := range 3 * 3 * 2 {
-			t := Tolerance{Machines: what % 3, Zones: what / 3 % 3, Regions: what / 9, Region: region}
-			if len(all) > 0 && len(all) <= most && !t.none() {
+			t := FaultTolerance{Machines: what % 3, Zones: what / 3 % 3, Regions: what / 9, RegionOfZone: region}
+			if len(all) > 0 && len(all) <= most && !t.isZero() {
 				do(t, all)
 			}
 		}
@@ -35,7 +35,7 @@
 }
 
 // losses are all sets of so many domains of one kind.
-func losses(all []message.Machine, most int, of func(m message.Machine) string) (list []int) {
+func losses(all []message.Node, most int, of func(m message.Node) string) (list []int) {
 	bits := map[string]int{}
 	for i, m := range all {
 		bits[of(m)] |= 1 << i
@@ -60,8 +60,8 @@
 
 // serves reports whether a set of members may be a chain: a quorum that no permitted loss covers, as far as
 // the members themselves are not covered.
-func serves(t Tolerance, all []message.Machine, chain int) bool {
-	for _, k := range t.kinds() {
+func serves(t FaultTolerance, all []message.Node, chain int) bool {
+	for _, k := range t.domainKinds() {
 		for _, lost := range losses(all, min(k.lost, len(k.domains(all))-1), k.of) {
 			if chain&^lost == 0 {
 				return false
@@ -72,8 +72,8 @@
 }
 
 // bears reports whether a set of members serves after every permitted loss.
-func bears(t Tolerance, all []message.Machine, well int) bool {
-	for _, k := range t.kinds() {
+func bears(t FaultTolerance, all []message.Node, well int) bool {
+	for _, k := range t.domainKinds() {
 		for _, lost := range losses(all, k.lost, k.of) {
 			if !serves(t, all, well&^lost) {
 				return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-func members(all []message.Machine, set int) (list []message.Machine) {
+func members(all []message.Node, set int) (list []message.Node) {
 	for i, m := range all {
 		if set>>i&1 == 1 {
 			list = append(list, m)
@@ -95,24 +95,24 @@
 // Given all small registries and what may be lost, when any members are well, then whether they may serve,
 // whether they bear what may be lost, and how many machines are to spare, is what going through all says.
 func TestWhatMembersBearIsWhatEveryLossSays(t *testing.T) {
-	small(5, func(o Tolerance, all []message.Machine) {
+	small(5, func(o FaultTolerance, all []message.Node) {
 		for well := range 1 << len(all) {
 			list := members(all, well)
 			spare := -1
-			for _, lost := range losses(all, len(all), func(m message.Machine) string { return m.Addr }) {
+			for _, lost := range losses(all, len(all), func(m message.Node) string { return m.Addr }) {
 				n := len(members(all, lost))
 				if lost&^well == 0 && (spare < 0 || n <= spare) && !serves(o, all, well&^lost) {
 					spare = n - 1
 				}
 			}
 			wantServes := serves(o, all, well)
-			if got := o.suffices(list, all) && len(list) >= majority(all); got != wantServes {
+			if got := o.chainSuffices(list, all) && len(list) >= majority(all); got != wantServes {
 				t.Fatalf("%+v: %v of %v serve: %v, want %v", o, list, all, got, wantServes)
 			}
-			if got, want := o.lacks(list, all) == "", bears(o, all, well); got != want {
-				t.Fatalf("%+v: %v of %v: %q, bears %v", o, list, all, o.lacks(list, all), want)
+			if got, want := o.gap(list, all) == "", bears(o, all, well); got != want {
+				t.Fatalf("%+v: %v of %v: %q, bears %v", o, list, all, o.gap(list, all), want)
 			}
-			if got := o.spare(list, all); got != max(0, spare) {
+			if got := o.toleratedFailures(list, all); got != max(0, spare) {
 				t.Fatalf("%+v: %v of %v: %d to spare, want %d", o, list, all, got, spare)
 			}
 		}
@@ -122,18 +122,18 @@
 // Given all small sets of machines, when a core is named of them, or grows by them, then it bears what may be
 // lost wherever some of them do.
 func TestACoreIsFoundWhereThereIsOne(t *testing.T) {
-	small(7, func(o Tolerance, all []message.Machine) {
+	small(7, func(o FaultTolerance, all []message.Node) {
 		some := false
 		for set := 1; set < 1<<len(all) && !some; set++ {
 			list := members(all, set)
-			some = o.missing(list) == 0
+			some = o.shortfall(list) == 0
 		}
-		core, ok := o.found(all)
+		core, ok := o.bootstrapMembers(all)
 		if ok != some || ok && !bears(o, core, 1<<len(core)-1) || !ok && len(core) != len(all) {
 			t.Fatalf("%+v: of %v %v, %v; there is one: %v", o, all, core, ok, some)
 		}
-		if (o.missing(all) == 0) != bears(o, all, 1<<len(all)-1) {
-			t.Fatalf("%+v: %v misses %d", o, all, o.missing(all))
+		if (o.shortfall(all) == 0) != bears(o, all, 1<<len(all)-1) {
+			t.Fatalf("%+v: %v misses %d", o, all, o.shortfall(all))
 		}
 	})
 }
@@ -142,23 +142,23 @@
 // missing in the end wherever any of them mend that, and none is taken in, or in a member's place, for
 // nothing.
 func TestMembersComeWhereTheyHelp(t *testing.T) {
-	small(5, func(o Tolerance, all []message.Machine) {
+	small(5, func(o FaultTolerance, all []message.Node) {
 		for set := 1; set < 1<<len(all); set++ {
 			registry, fresh := members(all, set), members(all, 1<<len(all)-1&^set)
 			grows, swaps, sheds := false, false, false
 			for some := range 1 << len(fresh) {
 				come := members(fresh, some)
-				grows = grows || o.missing(slices.Concat(registry, come)) < o.missing(registry)
+				grows = grows || o.shortfall(slices.Concat(registry, come)) < o.shortfall(registry)
 				for stay := range 1 << len(registry) {
 					next := slices.Concat(members(registry, stay), come)
-					swaps = swaps || len(next) == len(registry) && o.missing(next) < o.missing(registry)
-					sheds = sheds || some == 0 && len(next) > 2*o.Machines && o.missing(next) < o.missing(registry)
+					swaps = swaps || len(next) == len(registry) && o.shortfall(next) < o.shortfall(registry)
+					sheds = sheds || some == 0 && len(next) > 2*o.Machines && o.shortfall(next) < o.shortfall(registry)
 				}
 			}
 			few := len(registry) < 2*o.Machines+1 && len(fresh) > 0
-			old, _, got := o.better(registry, fresh)
-			if (o.shed(registry) != "") != sheds {
-				t.Fatalf("%+v: %v sheds %q: %v", o, registry, o.shed(registry), sheds)
+			old, _, got := o.improvement(registry, fresh)
+			if (o.bestRemoval(registry) != "") != sheds {
+				t.Fatalf("%+v: %v sheds %q: %v", o, registry, o.bestRemoval(registry), sheds)
 			}
 			if want := grows || swaps || few; got != want || got && (old != "") != (!grows && !few) {
 				t.Fatalf("%+v: %v by %v: %v %q, grows %v, swaps %v", o, registry, fresh, got, old, grows, swaps)
@@ -170,26 +170,27 @@
 // Given a place that is free, then the zone that lacks members is first, and after that the zone of who left;
 // where nothing but machines is counted, the zone alone decides.
 func TestTheNewcomerOfTheZoneThatLacksMembers(t *testing.T) {
-	all := func(zones string) (list []message.Machine) {
+	all := func(zones string) (list []message.Node) {
 		for i, z := range zones {
-			list = append(list, message.Machine{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
+			list = append(list, message.Node{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
 		}
 		return list
 	}
-	zones := Tolerance{Machines: 1, Zones: 1}
+	zones := FaultTolerance{Machines: 1, Zones: 1}
 	for _, c := range []struct {
-		t                         Tolerance
+		t                         FaultTolerance
 		registry, fresh, of, want string
 	}{
 		{zones, "aabbc", "abc", "a", "c"},
 		{zones, "aabbcc", "ab", "b", "b"},
 		{zones, "aabcc", "ab", "a", "b"},
-		{Tolerance{Machines: 1}, "aabbc", "abc", "a", "a"},
-		{Tolerance{Machines: 1}, "aabbc", "bc", "a", "b"},
-		{Tolerance{Regions: 1, Region: map[string]string{"a": "r", "b": "r", "c": "s"}}, "aab", "bc", "b", "c"},
+		{FaultTolerance{Machines: 1}, "aabbc", "abc", "a", "a"},
+		{FaultTolerance{Machines: 1}, "aabbc", "bc", "a", "b"},
+		{FaultTolerance{Regions: 1, RegionOfZone: map[string]string{"a": "r", "b": "r", "c": "s"}},
+			"aab", "bc", "b", "c"},
 	} {
 		fresh := all(c.fresh)
-		if got := fresh[c.t.pick(all(c.registry), fresh, c.of)].Zone; got != c.want {
+		if got := fresh[c.t.bestAddition(all(c.registry), fresh, c.of)].Zone; got != c.want {
 			t.Errorf(
 				"%+v: %s and one of %s for one of %s: %s, want %s",
 				c.t,
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -12,161 +12,175 @@
 // takes long, and none of a part that came late is sent again.
 
 const (
-	inlineMost    = 4 << 10         // a table up to this long is told whole in each answer
-	roomAll       = 16 << 20        // of all answers on their way: it is shared by those who ask for parts
-	snapshotsKept = 3 * time.Second // after it was last asked for
-	pullsFor      = time.Second     // for which who asked for a part counts as asking
+	maxInlineSize     = 4 << 10         // a table up to this long is told whole in each answer
+	totalChunkBudget  = 16 << 20        // of all answers on their way: it is shared by those who ask for parts
+	snapshotRetention = 3 * time.Second // after it was last asked for
+	readerRetention   = time.Second     // for which who asked for a part counts as asking
 )
 
-// version names what a snapshot was made of: a list by epoch and number, a configuration by its number and
-// that of its base, the members by their digest.
-type version struct {
-	table message.Table
-	of    [2]uint64
+// snapshotKey names what a snapshot was made of: a list by epoch and number, a configuration by its number
+// and that of its base, the members by their digest.
+type snapshotKey struct {
+	resource message.Resource
+	version  [2]uint64
 }
 
 // snapshot is a table as it is told, encoded once for all who lack the same.
 type snapshot struct {
-	whole  *message.Message
-	bytes  []byte
-	digest uint64
-	asked  time.Duration
+	message  *message.Message
+	data     []byte
+	checksum uint64
+	lastUsed time.Duration
 }
 
-// snapshots are those that are being told, and to whom.
-type snapshots struct {
-	made  map[version]*snapshot
-	pulls map[string]time.Duration // when somebody last asked for a part
+// snapshotCache are those that are being told, and to whom.
+type snapshotCache struct {
+	byKey   map[snapshotKey]*snapshot
+	readers map[string]time.Duration // when somebody last asked for a part
 }
 
-// of returns the snapshot of a version, which is made if there is none.
-func (s *snapshots) of(now time.Duration, v version, tell func() *message.Message) *snapshot {
-	x := s.made[v]
+// get returns the snapshot of a version, which is made if there is none.
+func (s *snapshotCache) get(now time.Duration, v snapshotKey, tell func() *message.Message) *snapshot {
+	x := s.byKey[v]
 	if x == nil {
-		if s.made == nil {
-			s.made, s.pulls = map[version]*snapshot{}, map[string]time.Duration{}
+		if s.byKey == nil {
+			s.byKey, s.readers = map[snapshotKey]*snapshot{}, map[string]time.Duration{}
 		}
-		x = &snapshot{whole: tell()}
-		x.bytes = message.Encode(nil, x.whole)
-		x.digest = message.Digest(x.bytes)
-		s.made[v] = x
+		x = &snapshot{message: tell()}
+		x.data = message.MarshalAppend(nil, x.message)
+		x.checksum = message.Checksum(x.data)
+		s.byKey[v] = x
 	}
-	x.asked = now
+	x.lastUsed = now
 	return x
 }
 
-// forget drops what nobody asks for any more.
-func (s *snapshots) forget(now time.Duration) {
-	maps.DeleteFunc(s.made, func(_ version, x *snapshot) bool { return now > x.asked+snapshotsKept })
-	maps.DeleteFunc(s.pulls, func(_ string, at time.Duration) bool { return now > at+pullsFor })
+// expire drops what nobody asks for any more.
+func (s *snapshotCache) expire(now time.Duration) {
+	maps.DeleteFunc(s.byKey, func(_ snapshotKey, x *snapshot) bool { return now > x.lastUsed+snapshotRetention })
+	maps.DeleteFunc(s.readers, func(_ string, at time.Duration) bool { return now > at+readerRetention })
 }
 
-// room is how many bytes of snapshots the answer to a poll may have: what it asks for, and no more than its
+// budget is how many bytes of snapshots the answer to a poll may have: what it asks for, and no more than its
 // share of all that may be on its way. The bound is what admission control would be: nobody is turned away,
 // and all get less.
-func (s *snapshots) room(p *poll) int {
-	room := uint64(message.RoomFirst)
-	if p.Room != 0 {
-		room = min(p.Room, message.RoomMost)
+func (s *snapshotCache) budget(p *watcher) int {
+	room := uint64(message.InitialChunkBudget)
+	if p.ChunkBudget != 0 {
+		room = min(p.ChunkBudget, message.MaxChunkBudget)
 	}
-	return int(min(room, uint64(max(message.RoomLeast, roomAll/max(1, len(s.pulls))))))
+	return int(min(room, uint64(max(message.MinChunkBudget, totalChunkBudget/max(1, len(s.readers))))))
 }
 
-// tables puts into an answer what the caller lacks, and reports whether that is news for it.
-func (f *Frame) tables(to string, p *poll, m *message.Message) (news bool) {
-	s := &f.snapshots
-	room := s.room(p)
-	tell := func(x *snapshot, v version, stale bool) {
-		if len(x.bytes) <= inlineMost && !stale {
-			add(m, x.whole)
+// appendResources puts into an answer what the caller lacks, and reports whether that is news for it.
+func (f *Replica) appendResources(to string, p *watcher, m *message.Message) (news bool) {
+	s := &f.snapshotCache
+	room := s.budget(p)
+	tell := func(x *snapshot, v snapshotKey, stale bool) {
+		if len(x.data) <= maxInlineSize && !stale {
+			mergeSnapshot(m, x.message)
 			return
 		}
-		part := message.Part{Table: v.table, Digest: x.digest, Size: uint64(len(x.bytes)), Stale: stale}
-		if v.table == message.ConfigTable {
-			part.Version, part.Base = v.of[0], v.of[1]
+		part := message.SnapshotChunk{
+			Resource:  v.resource,
+			Checksum:  x.checksum,
+			TotalSize: uint64(len(x.data)),
+			Stale:     stale,
 		}
-		if held := partOf(p.Parts, v.table); held != nil && held.Digest == x.digest {
-			part.From = min(held.From, part.Size)
+		if v.resource == message.ResourceConfig {
+			part.Version, part.BaseVersion = v.version[0], v.version[1]
 		}
-		part.Bytes = x.bytes[part.From:min(part.Size, part.From+uint64(room))]
-		room -= len(part.Bytes)
-		m.Parts = append(m.Parts, part)
-		s.pulls[to] = f.now
+		if held := chunkOf(p.Chunks, v.resource); held != nil && held.Checksum == x.checksum {
+			part.Offset = min(held.Offset, part.TotalSize)
+		}
+		part.Data = x.data[part.Offset:min(part.TotalSize, part.Offset+uint64(room))]
+		room -= len(part.Data)
+		m.Chunks = append(m.Chunks, part)
+		s.readers[to] = f.now
 	}
 	// What is on this disk and not committed yet is no news.
-	if n := len(f.texts); n > 0 && f.texts[n-1].version == f.committed && f.committed > p.Version {
-		v, x, stale := f.configuration(p)
+	if n := len(
+		f.configHistory,
+	); n > 0 && f.configHistory[n-1].version == f.committed &&
+		f.committed > p.Version {
+		v, x, stale := f.configSnapshot(p)
 		tell(x, v, stale)
 		news = true
 	}
-	if f.list.Epoch != 0 && newer(&f.list, p.List) {
-		v := version{message.ServerTable, [2]uint64{f.list.Epoch, f.list.Seq}}
-		tell(s.of(f.now, v, func() *message.Message {
-			l := f.list // not the frame's own, which changes: this process asks, too
-			return &message.Message{List: &l}
+	if f.endpoints.Epoch != 0 && isNewer(&f.endpoints, p.Endpoints) {
+		v := snapshotKey{message.ResourceEndpoints, [2]uint64{f.endpoints.Epoch, f.endpoints.Sequence}}
+		tell(s.get(f.now, v, func() *message.Message {
+			l := f.endpoints // not the frame's own, which changes: this process asks, too
+			return &message.Message{Endpoints: &l}
 		}), v, false)
 		news = true
 	}
-	if f.roster != p.Roster && (p.Roster == 0 || f.gathered()) {
-		v := version{message.MemberTable, [2]uint64{f.roster}}
-		tell(s.of(f.now, v, func() *message.Message {
-			return &message.Message{Members: f.all(), Roster: f.roster}
+	if f.nodesChecksum != p.NodesChecksum && (p.NodesChecksum == 0 || f.leasesGathered()) {
+		v := snapshotKey{message.ResourceNodes, [2]uint64{f.nodesChecksum}}
+		tell(s.get(f.now, v, func() *message.Message {
+			return &message.Message{Nodes: f.leasedNodes(), NodesChecksum: f.nodesChecksum}
 		}), v, false)
 	}
-	return news || len(p.Parts) > 0 && len(m.Parts) > 0
+	return news || len(p.Chunks) > 0 && len(m.Chunks) > 0
 }
 
-// configuration is the snapshot of a configuration that a caller is to get. One that it has begun with goes
+// configSnapshot is the snapshot of a configuration that a caller is to get. One that it has begun with goes
 // on while the newest can be told as a change of that: otherwise who has a slow link would begin anew with
 // each change, and never come to an end.
-func (f *Frame) configuration(p *poll) (v version, x *snapshot, stale bool) {
-	if held := partOf(p.Parts, message.ConfigTable); held != nil && held.Version > max(p.Version, p.Base) {
-		known := held.Base == 0 || f.keeps(held.Base) && (held.Base == p.Version || held.Base == p.Base)
-		if known && f.keeps(held.Version) {
-			if v, x = f.packedAs(held.Version, held.Base); x.digest == held.Digest {
+func (f *Replica) configSnapshot(p *watcher) (v snapshotKey, x *snapshot, stale bool) {
+	if held := chunkOf(
+		p.Chunks,
+		message.ResourceConfig,
+	); held != nil &&
+		held.Version > max(p.Version, p.BaseVersion) {
+		known := held.BaseVersion == 0 ||
+			f.inConfigHistory(held.BaseVersion) && (held.BaseVersion == p.Version || held.BaseVersion == p.BaseVersion)
+		if known && f.inConfigHistory(held.Version) {
+			if v, x = f.deltaSnapshot(held.Version, held.BaseVersion); x.checksum == held.Checksum {
 				return v, x, held.Version != f.committed
 			}
 		}
 	}
 	base := p.Version
-	if p.Base > base && f.keeps(p.Base) {
-		base = p.Base
+	if p.BaseVersion > base && f.inConfigHistory(p.BaseVersion) {
+		base = p.BaseVersion
 	}
-	if !f.keeps(base) {
+	if !f.inConfigHistory(base) {
 		base = 0
 	}
-	v, x = f.packedAs(f.committed, base)
+	v, x = f.deltaSnapshot(f.committed, base)
 	return v, x, false
 }
 
-// packedAs is the snapshot of one of the configurations that are kept, as a change of another; 0: of none.
-func (f *Frame) packedAs(number, base uint64) (version, *snapshot) {
-	v := version{message.ConfigTable, [2]uint64{number, base}}
-	return v, f.snapshots.of(f.now, v, func() *message.Message {
-		i := slices.IndexFunc(f.texts, func(t text) bool { return t.version == number })
-		return &message.Message{Version: number, Config: f.packed(f.texts[i], base, true)}
+// deltaSnapshot is the snapshot of one of the configurations that are kept, as a change of another; 0: of
+// none.
+func (f *Replica) deltaSnapshot(number, base uint64) (snapshotKey, *snapshot) {
+	v := snapshotKey{message.ResourceConfig, [2]uint64{number, base}}
+	return v, f.snapshotCache.get(f.now, v, func() *message.Message {
+		i := slices.IndexFunc(f.configHistory, func(t configVersion) bool { return t.version == number })
+		return &message.Message{Version: number, Config: f.deltaFor(f.configHistory[i], base, true)}
 	})
 }
 
-// keeps reports whether a configuration is one of those that newer ones are told as changes of.
-func (f *Frame) keeps(version uint64) bool {
-	return slices.ContainsFunc(f.texts, func(t text) bool { return t.version == version })
+// inConfigHistory reports whether a configuration is one of those that newer ones are told as changes of.
+func (f *Replica) inConfigHistory(version uint64) bool {
+	return slices.ContainsFunc(f.configHistory, func(t configVersion) bool { return t.version == version })
 }
 
-// add puts a table's whole into an answer.
-func add(m, table *message.Message) {
+// mergeSnapshot puts a table's whole into an answer.
+func mergeSnapshot(m, table *message.Message) {
 	switch {
 	case table.Config != nil:
 		m.Version, m.Config = table.Version, table.Config
-	case table.List != nil:
-		m.List = table.List
+	case table.Endpoints != nil:
+		m.Endpoints = table.Endpoints
 	default:
-		m.Members, m.Roster = table.Members, table.Roster
+		m.Nodes, m.NodesChecksum = table.Nodes, table.NodesChecksum
 	}
 }
 
-func partOf(parts []message.Part, t message.Table) *message.Part {
-	if i := slices.IndexFunc(parts, func(p message.Part) bool { return p.Table == t }); i >= 0 {
+func chunkOf(parts []message.SnapshotChunk, t message.Resource) *message.SnapshotChunk {
+	if i := slices.IndexFunc(parts, func(p message.SnapshotChunk) bool { return p.Resource == t }); i >= 0 {
 		return &parts[i]
 	}
 	return nil
--- a/internal/controlplane/replica/snapshot_test.go
+++ b/internal/controlplane/replica/snapshot_test.go
@@ -9,35 +9,35 @@
 
 // Given many who lack the same, when they ask, then it is encoded once; and it is not kept for long after.
 func TestASnapshotIsEncodedOnceForAll(t *testing.T) {
-	var s snapshots
+	var s snapshotCache
 	made := 0
 	for range 100 {
-		s.of(
+		s.get(
 			0,
-			version{table: message.ServerTable},
+			snapshotKey{resource: message.ResourceEndpoints},
 			func() *message.Message { made++; return &message.Message{} },
 		)
 	}
 	if made != 1 {
 		t.Errorf("encoded %d times", made)
 	}
-	if s.forget(2 * snapshotsKept); len(s.made) != 0 {
-		t.Errorf("%d snapshots are kept", len(s.made))
+	if s.expire(2 * snapshotRetention); len(s.byKey) != 0 {
+		t.Errorf("%d snapshots are kept", len(s.byKey))
 	}
 }
 
 // Given ever more who ask for parts, then what is on its way to all together stays within the bound, as long
 // as each gets the least; and whoever stops asking is no longer counted.
 func TestWhatIsOnItsWayIsBounded(t *testing.T) {
-	s := snapshots{pulls: map[string]time.Duration{}}
-	p := &poll{Message: message.Message{Room: 1 << 40}}
-	for n := range roomAll / message.RoomLeast {
-		if room := s.room(p); room > message.RoomMost || room*n > roomAll {
+	s := snapshotCache{readers: map[string]time.Duration{}}
+	p := &watcher{Message: message.Message{ChunkBudget: 1 << 40}}
+	for n := range totalChunkBudget / message.MinChunkBudget {
+		if room := s.budget(p); room > message.MaxChunkBudget || room*n > totalChunkBudget {
 			t.Fatalf("%d get %d bytes each", n, room)
 		}
-		s.pulls[string(rune(n+1000))] = 0
+		s.readers[string(rune(n+1000))] = 0
 	}
-	if s.forget(2 * pullsFor); s.room(p) != message.RoomMost {
-		t.Errorf("%d bytes for the only one", s.room(p))
+	if s.expire(2 * readerRetention); s.budget(p) != message.MaxChunkBudget {
+		t.Errorf("%d bytes for the only one", s.budget(p))
 	}
 }
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -24,23 +24,23 @@
 		s.CutOneWay(fresh, b, true)
 		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
 		a.SetSync(430 * time.Millisecond)
-		a.office.Leave(s.Now)
+		a.office.Drain(s.Now)
 		s.then(
 			"the other has promised",
 			time.Second,
-			func() bool { return a.Frame().State() == replica.Installing },
+			func() bool { return a.Frame().State() == replica.StateInstalling },
 		)
 		b.Kill()
 		s.then("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
-			return len(c.record.Former) > 0
+			return len(c.record.OutgoingMembers) > 0
 		})
-		if len(a.record.Former)+len(b.record.Former) > 0 || !c.Frame().Fresh() {
+		if len(a.record.OutgoingMembers)+len(b.record.OutgoingMembers) > 0 || !c.Frame().ServingWithQuorum() {
 			t.Fatal("the others have it, or it is out of touch already")
 		}
 		if defect {
 			s.Tamper = func(to *Machine, m *message.Message) {
-				if to == asker && m.Kind == message.News {
-					m.Former = nil
+				if to == asker && m.Type == message.TypeWatchResponse {
+					m.OutgoingMembers = nil
 				}
 			}
 		}
@@ -110,14 +110,14 @@
 	w := watched(s.Exchange)
 	watching, proposed := s.Told, false
 	s.Told = func(from *Machine, to string, m *message.Message) {
-		if from == b && m.Kind == message.Prepare { // for a moment it is heard
+		if from == b && m.Type == message.TypePrepare { // for a moment it is heard
 			s.HealAll()
 			proposed = true
 		}
 		watching(from, to, m)
 	}
 	s.Wire = func(_, to string, m *message.Message) []Delivery {
-		if m.Kind == message.Promise && to == a.self.Addr {
+		if m.Type == message.TypePromise && to == a.self.Addr {
 			return nil
 		}
 		return []Delivery{{To: to, Message: m}}
--- a/internal/controlplane/simulation/keeper_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -26,7 +26,7 @@
 func (s *story) asking() *ingress {
 	g := &ingress{s: s, last: s.Now}
 	s.Told = func(from *Machine, _ string, m *message.Message) {
-		if m.Kind == message.Grant && m.OK {
+		if m.Type == message.TypeTokenGrant && m.OK {
 			g.granted(from, m.Epoch)
 		}
 	}
@@ -36,8 +36,15 @@
 		for _, m := range s.Disked() {
 			if m.up {
 				epoch, _ := m.Frame().View()
-				s.deliver("client", Delivery{To: m.self.Addr,
-					Message: &message.Message{Kind: message.Ask, Life: 1, Call: g.calls, Epoch: epoch}})
+				s.deliver("client", Delivery{
+					To: m.self.Addr,
+					Message: &message.Message{
+						Type:        message.TypeTokenRequest,
+						Incarnation: 1,
+						RequestID:   g.calls,
+						Epoch:       epoch,
+					},
+				})
 			}
 		}
 		s.at(10*time.Millisecond, ask)
@@ -57,7 +64,7 @@
 
 // keeper is the machine that keeps the counts; nil: none does.
 func (x *Exchange) keeper() *Machine {
-	return x.At(replica.Holder(x.Chain(), replica.KeepTolls))
+	return x.At(replica.RoleHolder(x.Chain(), replica.QuotaAllocator))
 }
 
 // halves are troubles in which a machine is in touch with some of the core and not with others: one that
@@ -128,7 +135,11 @@
 		if g := keepers(t, seed, nil); len(g.twice) > 0 {
 			t.Errorf("seed %d: %d grants, the first: %s", seed, len(g.twice), g.twice[0])
 		}
-		g := keepers(t, seed, func(_ *Machine, m *message.Message) { m.Quiet = m.Kind == message.Beat })
+		g := keepers(
+			t,
+			seed,
+			func(_ *Machine, m *message.Message) { m.OldLeasesExpired = m.Type == message.TypeHeartbeat },
+		)
 		found += min(1, len(g.twice))
 	}
 	if found == 0 {
@@ -145,7 +156,7 @@
 		s.Run(2 * time.Second)
 		g := s.asking()
 		s.Run(time.Second)
-		s.At(s.Chain()[place]).office.Leave(s.Now)
+		s.At(s.Chain()[place]).office.Drain(s.Now)
 		s.Run(2 * time.Second)
 		if g.pause > 100*time.Millisecond || len(s.Chain()) != 3 {
 			t.Errorf("place %d hands over: no tokens for %v, chain %v", place, g.pause, s.Chain())
@@ -196,7 +207,7 @@
 	s.Wire = func(from, to string, x *message.Message) []Delivery {
 		late := Delivery{To: to, Message: x, After: 2500 * time.Millisecond}
 		switch {
-		case x.Kind != message.Poll || from != m.self.Addr:
+		case x.Type != message.TypeWatch || from != m.self.Addr:
 			late.After = 0
 		case again:
 			return []Delivery{{To: to, Message: x}, late}
@@ -226,8 +237,8 @@
 		}
 	}
 	if took := heldUp(t, false, func(_ *Machine, m *message.Message) {
-		if m.Kind == message.Poll {
-			m.Held = 1 << 30
+		if m.Type == message.TypeWatch {
+			m.EchoDelayMillis = 1 << 30
 		}
 	}); took <= most {
 		t.Errorf("not found: leases that count from receipt: a member for %v after its end", took)
--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -28,18 +28,18 @@
 
 // absence is a machine of the core that comes back to what went on without it.
 type absence struct {
-	name   string                // of the machine
-	items  int                   // of the texts
-	before int                   // changes before it goes; 0: five
-	missed int                   // and without it
-	disk   func(*replica.Record) // what became of its disk; nil: it is as it was
-	took   time.Duration         // until it serves with all the others, and has the newest
-	bytes  int                   // that were sent meanwhile, beyond those of quiet times
-	found  string                // what went wrong
+	name   string                         // of the machine
+	items  int                            // of the texts
+	before int                            // changes before it goes; 0: five
+	missed int                            // and without it
+	disk   func(*replica.PersistentState) // what became of its disk; nil: it is as it was
+	took   time.Duration                  // until it serves with all the others, and has the newest
+	bytes  int                            // that were sent meanwhile, beyond those of quiet times
+	found  string                         // what went wrong
 
 	// What is done to messages and to disks, as in an Exchange.
 	tamper func(to *Machine, m *message.Message)
-	spoil  func(m *Machine, r *replica.Record)
+	spoil  func(m *Machine, r *replica.PersistentState)
 }
 
 // play lets the machine miss the changes, and come back.
@@ -84,28 +84,28 @@
 	began, from := s.Now, s.Bytes
 	ok := s.Until(func() bool {
 		f := m.Frame()
-		if f.State() == replica.InService && f.Record().Version < uint64(version) && a.found == "" {
-			a.found = fmt.Sprintf("it is in service with r%d, the newest is r%d", f.Record().Version, version)
+		if f.State() == replica.StateServing && f.PersistentState().Version < uint64(version) && a.found == "" {
+			a.found = fmt.Sprintf("it is in service with r%d, the newest is r%d", f.PersistentState().Version, version)
 		}
-		return f.State() == replica.InService && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
+		return f.State() == replica.StateServing && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
 			a.found != "" || len(s.Broken()) > 0
 	}, 10*time.Second)
 	a.took, a.bytes = s.Now-began, s.Bytes-from-int(float64(quiet)*(s.Now-began).Seconds())
 	if !ok {
-		a.found = fmt.Sprintf("after %v it has r%d in state %v", a.took, m.Frame().Record().Version,
+		a.found = fmt.Sprintf("after %v it has r%d in state %v", a.took, m.Frame().PersistentState().Version,
 			m.Frame().State())
 	}
 	change()
 	for _, other := range s.Disked() {
 		s.then("the next is everywhere", 3*time.Second, func() bool {
-			return other.Frame().Record().Version == uint64(version)
+			return other.Frame().PersistentState().Version == uint64(version)
 		})
 	}
-	if text := string(m.Frame().Record().Config); a.found == "" && text != textOf(version, a.items) {
+	if text := string(m.Frame().PersistentState().Config); a.found == "" && text != textOf(version, a.items) {
 		a.found = "it has another text"
 	}
 	for _, other := range s.Disked() {
-		if a.found == "" && !slices.Equal(m.record.Past, other.record.Past) {
+		if a.found == "" && !slices.Equal(m.record.AcceptedVersions, other.record.AcceptedVersions) {
 			a.found = "it remembers other numbers than " + other.Name
 		}
 	}
@@ -116,9 +116,9 @@
 
 // The states that a disk may come back in. One whose record has another digest than it was written with
 // counts as empty: see vault.Damaged.
-var disks = map[string]func(*replica.Record){
+var disks = map[string]func(*replica.PersistentState){
 	"old":            nil,
-	"torn, or empty": func(r *replica.Record) { *r = replica.Record{} },
+	"torn, or empty": func(r *replica.PersistentState) { *r = replica.PersistentState{} },
 }
 
 // Given a core under changes, when a machine was away for one, two hundred or a thousand of them, and its
@@ -127,7 +127,7 @@
 func TestAMachineThatWasAwayCatchesUp(t *testing.T) {
 	t.Parallel()
 	const numbers = 512 * 26 // the numbers taken last, with their digests
-	text := len(message.Encode(nil, message.Pack([]byte(textOf(100, few)), 0, nil)))
+	text := len(message.MarshalAppend(nil, message.NewDelta([]byte(textOf(100, few)), 0, nil)))
 	for _, c := range []struct {
 		name   string // the head, one between, the tail
 		missed []int
@@ -153,7 +153,7 @@
 // machine it is, and the only whole text is the news for its own line; an empty disk is sent more of them.
 func TestAMachineThatIsBehindIsSentWhatDiffers(t *testing.T) {
 	t.Parallel()
-	whole := len(message.Encode(nil, message.Pack([]byte(textOf(15, 2000)), 0, nil)))
+	whole := len(message.MarshalAppend(nil, message.NewDelta([]byte(textOf(15, 2000)), 0, nil)))
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for disk, alter := range disks {
 			a := &absence{name: name, items: 2000, missed: 10, disk: alter}
@@ -177,16 +177,17 @@
 	for _, name := range []string{"z1-1", "z3-1"} {
 		for what, a := range map[string]absence{
 			"old disk": {},
-			"another entry on it": {disk: func(r *replica.Record) {
-				r.Past = slices.Clone(r.Past)
-				r.Past[100].Digest[0]++
+			"another entry on it": {disk: func(r *replica.PersistentState) {
+				r.AcceptedVersions = slices.Clone(r.AcceptedVersions)
+				r.AcceptedVersions[100].Digest[0]++
 			}},
-			"another outline": {disk: func(r *replica.Record) {
-				r.Past = slices.Clone(r.Past)
-				r.Past[100].Digest[0]++
+			"another outline": {disk: func(r *replica.PersistentState) {
+				r.AcceptedVersions = slices.Clone(r.AcceptedVersions)
+				r.AcceptedVersions[100].Digest[0]++
 			}, tamper: func(_ *Machine, m *message.Message) {
-				if m.Kind == message.Promise {
-					m.TakenOutline = message.Outline(message.EncodeTaken(numbersUpTo(601)), message.TakenChunks)
+				if m.Type == message.TypePromise {
+					m.AcceptedIndex = message.ChunkIndex(message.EncodeAcceptedVersions(numbersUpTo(601)),
+						message.AcceptedVersionChunks)
 				}
 			}},
 		} {
@@ -201,10 +202,10 @@
 }
 
 // numbersUpTo are the numbers that are remembered with a text of few items in force.
-func numbersUpTo(version int) (list []message.Taken) {
+func numbersUpTo(version int) (list []message.AcceptedVersion) {
 	for v := 1; v <= version; v++ {
-		sum := message.SumOf([]byte(textOf(v, few)))
-		list = replica.Remember(list, message.Taken{Version: uint64(v), Digest: sum})
+		sum := message.DigestOf([]byte(textOf(v, few)))
+		list = replica.AppendAccepted(list, message.AcceptedVersion{Version: uint64(v), Digest: sum})
 	}
 	return list
 }
@@ -215,14 +216,14 @@
 // told.
 func TestAMachineThatWasAwayFinds(t *testing.T) {
 	for name, a := range map[string]absence{
-		"stamped anew": {missed: 20, disk: func(r *replica.Record) { r.Stamp = 1 << 40 }},
-		"numbers lost": {missed: 20, spoil: func(m *Machine, r *replica.Record) {
+		"stamped anew": {missed: 20, disk: func(r *replica.PersistentState) { r.AcceptedEpoch = 1 << 40 }},
+		"numbers lost": {missed: 20, spoil: func(m *Machine, r *replica.PersistentState) {
 			if m.Name == "z1-1" {
-				r.Past = r.Past[max(0, len(r.Past)-1):]
+				r.AcceptedVersions = r.AcceptedVersions[max(0, len(r.AcceptedVersions)-1):]
 			}
 		}},
 		"no outline": {before: 600, missed: 1, tamper: func(_ *Machine, m *message.Message) {
-			m.TakenOutline = nil
+			m.AcceptedIndex = nil
 		}},
 	} {
 		a.name, a.items = "z1-1", few
--- a/internal/controlplane/simulation/members_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -10,6 +10,8 @@
 	"github.com/leanovate/gopter"
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
+
+	"dunespoke/internal/events"
 )
 
 // domains are exchanges that are to outlive the loss of a zone, and of a region.
@@ -137,8 +139,8 @@
 	if acked || !kept {
 		t.Errorf("acknowledged without the other zone: %v, on its disk: %v", acked, kept)
 	}
-	if told := "the members can't bear what survive names"; strings.Count(log, told) != 1 {
-		t.Errorf("told %d times that no zone may be lost", strings.Count(log, told))
+	if n := strings.Count(log, events.ToleranceImpossible.Text); n != 1 {
+		t.Errorf("logged %d times that no zone may be lost", n)
 	}
 	if acked, kept, _ := play(true); !acked || kept {
 		t.Errorf("the seeded defect is not found: acknowledged %v, kept %v", acked, kept)
--- a/internal/controlplane/simulation/members.go
+++ b/internal/controlplane/simulation/membership.go
@@ -17,14 +17,14 @@
 
 // registries are all that were written on disks, by their generations.
 type registries struct {
-	written map[uint64][]message.Machine
-	removed map[uint64][]message.Machine // by staff, as it goes with the registry
-	settled map[uint64][]message.Machine // the change to it was told as complete
-	held    map[identity]uint64          // the highest generation that a disk has had
+	written map[uint64][]message.Node
+	removed map[uint64][]message.Node // by staff, as it goes with the registry
+	settled map[uint64][]message.Node // the change to it was told as complete
+	held    map[identity]uint64       // the highest generation that a disk has had
 }
 
 func newRegistries() registries {
-	none := func() map[uint64][]message.Machine { return map[uint64][]message.Machine{} }
+	none := func() map[uint64][]message.Node { return map[uint64][]message.Node{} }
 	return registries{none(), none(), none(), map[identity]uint64{}}
 }
 
@@ -32,42 +32,42 @@
 // a disk says that the change to one is complete, a majority of its members, and a majority of those of the
 // one before, have had it, or a later one, on their disks. So whoever goes by the one before, and asks a
 // majority of it, hears of the newer one; no two registries are ever gone by at once.
-func (x *Exchange) sequence(m *Machine, r *replica.Record) {
-	if len(r.Registry) == 0 {
+func (x *Exchange) sequence(m *Machine, r *replica.PersistentState) {
+	if len(r.Members) == 0 {
 		return
 	}
-	c, g := &x.cores, r.Generation
-	if old, known := c.written[g]; known && !slices.Equal(old, r.Registry) {
-		x.breaks("%s is of the core %v by generation %d, others of %v", m.Name, r.Registry, g, old)
+	c, g := &x.cores, r.MembershipEpoch
+	if old, known := c.written[g]; known && !slices.Equal(old, r.Members) {
+		x.breaks("%s is of the core %v by generation %d, others of %v", m.Name, r.Members, g, old)
 	}
-	if old, known := c.removed[g]; known && !slices.Equal(old, r.Removed) {
-		x.breaks("%s has %v as removed by generation %d, others %v", m.Name, r.Removed, g, old)
+	if old, known := c.removed[g]; known && !slices.Equal(old, r.RemovedMembers) {
+		x.breaks("%s has %v as removed by generation %d, others %v", m.Name, r.RemovedMembers, g, old)
 	}
-	c.written[g], c.removed[g] = r.Registry, r.Removed
-	who := identity{m.self.Addr, r.ID}
+	c.written[g], c.removed[g] = r.Members, r.RemovedMembers
+	who := identity{m.self.Addr, r.StoreID}
 	c.held[who] = max(c.held[who], g)
-	if _, known := c.settled[g]; known || len(r.Former) > 0 {
+	if _, known := c.settled[g]; known || len(r.OutgoingMembers) > 0 {
 		return
 	}
-	c.settled[g] = r.Registry
+	c.settled[g] = r.Members
 	if x.Trace != nil {
 	}
 	order := slices.Sorted(maps.Keys(c.settled))
 	i := slices.Index(order, g)
-	x.meets(r.Registry, g)
+	x.meets(r.Members, g)
 	if i > 0 {
 		x.meets(c.settled[order[i-1]], g)
 	}
 	if i < len(order)-1 { // it was told late
-		x.meets(r.Registry, order[i+1])
+		x.meets(r.Members, order[i+1])
 	}
 }
 
 // meets holds a majority of a registry to having had a generation, or a later one, on disk.
-func (x *Exchange) meets(registry []message.Machine, generation uint64) {
+func (x *Exchange) meets(registry []message.Node, generation uint64) {
 	n := 0
 	for _, r := range registry {
-		if x.cores.held[identity{r.Addr, r.ID}] >= generation {
+		if x.cores.held[identity{r.Addr, r.StoreID}] >= generation {
 			n++
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	m := &Machine{Name: fmt.Sprintf("n%d", x.added), disk: true, has: true, x: x, sync: x.Sync,
-		self: message.Machine{Addr: fmt.Sprintf("10.9.%d.1:7", x.added), Zone: zone}}
+		self: message.Node{Addr: fmt.Sprintf("10.9.%d.1:7", x.added), Zone: zone}}
 	x.Machines = append(x.Machines, m)
 	return m
 }
@@ -112,7 +112,12 @@
 func (x *Exchange) Reform(m *Machine, add, remove string) *Order {
 	o := &Order{}
 	m.act(m.life, func() {
-		m.office.Reform(x.Now, add, remove, func(answer *message.Message) { o.Ended, o.Answer = true, answer })
+		m.office.ChangeMembers(
+			x.Now,
+			add,
+			remove,
+			func(answer *message.Message) { o.Ended, o.Answer = true, answer },
+		)
 	})
 	return o
 }
@@ -133,8 +138,8 @@
 func (x *Exchange) Borne() bool {
 	serves := false
 	for _, m := range x.Disked() {
-		if f := m.Frame(); f != nil && !m.frozen && f.Fresh() {
-			if serves = f.Lacks() == ""; !serves {
+		if f := m.Frame(); f != nil && !m.frozen && f.ServingWithQuorum() {
+			if serves = f.ToleranceGap() == ""; !serves {
 				return false
 			}
 		}
@@ -147,8 +152,9 @@
 func (x *Exchange) Spare() int {
 	spare := -1
 	for _, m := range x.Disked() {
-		if f := m.Frame(); f != nil && !m.frozen && f.Fresh() && (spare < 0 || f.Spare() < spare) {
-			spare = f.Spare()
+		if f := m.Frame(); f != nil && !m.frozen && f.ServingWithQuorum() &&
+			(spare < 0 || f.ToleratedFailures() < spare) {
+			spare = f.ToleratedFailures()
 		}
 	}
 	return max(0, spare)
--- a/internal/controlplane/simulation/members_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -20,7 +20,7 @@
 // member reports whether a machine is a member, with a vote, in a view that serves.
 func (s *story) member(m *Machine) bool {
 	return slices.Contains(s.Members(), m.self.Addr) && slices.Contains(s.Chain(), m.self.Addr) &&
-		m.record.Whole && len(m.record.Former) == 0
+		m.record.CaughtUp && len(m.record.OutgoingMembers) == 0
 }
 
 // borne waits until the next loss can be borne, and returns for how long.
@@ -45,10 +45,10 @@
 		s.then("it is a member", 4*time.Second, func() bool { return s.member(fresh) })
 		s.borne(300 * time.Millisecond)
 		s.change(s.Named("z1-2"))
-		id := old.record.ID
+		id := old.record.StoreID
 		old.Start()
 		s.then("the old one has given up", 2*time.Second, func() bool {
-			return !old.record.Whole && old.record.ID != id && len(old.record.Registry) == 0
+			return !old.record.CaughtUp && old.record.StoreID != id && len(old.record.Members) == 0
 		})
 		s.Run(4 * time.Second)
 		if slices.Contains(s.Members(), old.self.Addr) || len(s.Chain()) != 3 {
@@ -233,7 +233,7 @@
 					}
 				case 1:
 					if m.up {
-						m.office.Leave(x.Now)
+						m.office.Drain(x.Now)
 					}
 					x.Run(time.Duration(rng.IntN(600)) * time.Millisecond)
 					m.Kill()
@@ -331,13 +331,13 @@
 	}
 	head := s.Named("z1-1")
 	c := s.Put(s.Named("z3-2"), s.version+1)
-	head.office.Leave(s.Now)
-	if !head.office.HandsOver() {
+	head.office.Drain(s.Now)
+	if !head.office.HandingOver() {
 		t.Error("its process doesn't wait for the other")
 	}
 	s.then("the other has taken its place", 500*time.Millisecond, func() bool { return s.member(spare) })
 	s.then("it knows", 100*time.Millisecond, func() bool {
-		return !head.record.Whole && !head.office.HandsOver()
+		return !head.record.CaughtUp && !head.office.HandingOver()
 	})
 	if s.Until(func() bool { return c.Ended }, time.Second); !c.Acked {
 		t.Error("a change in the midst of it is not acknowledged")
@@ -345,8 +345,8 @@
 	s.version++
 	head.Kill()
 	s.Run(time.Second)
-	s.Named("z2-1").office.Leave(s.Now)
-	if s.Named("z2-1").office.HandsOver() {
+	s.Named("z2-1").office.Drain(s.Now)
+	if s.Named("z2-1").office.HandingOver() {
 		t.Error("its process waits for nobody")
 	}
 	s.Run(time.Second)
@@ -363,7 +363,7 @@
 		o := s.Reform(m, add, remove)
 		if s.Until(func() bool { return o.Ended }, time.Second); o.Answer != nil {
 			s.Run(50 * time.Millisecond) // that it is complete is on the disks, too
-			return o.Answer.OK, o.Answer.Text
+			return o.Answer.OK, o.Answer.Reason
 		}
 	}
 	s.t.Fatalf("add %q, remove %q: no answer", add, remove)
@@ -426,7 +426,7 @@
 // dismissed plays a member that staff remove while it runs, or while it is cut off from the members and hears
 // of it from a seed without a disk; it is started again, and so are all. It returns whether that is a member
 // again, though nobody has added it.
-func dismissed(t *testing.T, cut bool, spoil func(*Machine, *replica.Record)) (s *story, m *Machine,
+func dismissed(t *testing.T, cut bool, spoil func(*Machine, *replica.PersistentState)) (s *story, m *Machine,
 	back bool) {
 	t.Helper()
 	s = given(t, 1)
@@ -439,7 +439,7 @@
 		t.Fatal(why)
 	}
 	s.then("it has given up", 8*time.Second, func() bool {
-		if m.office.Frame().Blank() {
+		if m.office.Replica().IsUninitialized() {
 			return true
 		}
 		if s.seeds = []string{s.Named("z2-2").self.Addr}; cut && m.up {
@@ -472,11 +472,15 @@
 		fresh := s.Add("z3")
 		fresh.Start()
 		s.then("another one comes", 4*time.Second, func() bool { return s.member(fresh) })
-		if ok, why := s.by(s.Named("z1-2"), m.self.Addr, ""); !ok || !s.member(m) || m.record.Barred {
+		if ok, why := s.by(s.Named("z1-2"), m.self.Addr, ""); !ok || !s.member(m) || m.record.RemovedByOperator {
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
 		s.ends("after that")
-		if _, _, back := dismissed(t, cut, func(_ *Machine, r *replica.Record) { r.Barred = false }); !back {
+		if _, _, back := dismissed(
+			t,
+			cut,
+			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false },
+		); !back {
 			t.Errorf("cut %v: the seeded defect is not found", cut)
 		}
 	}
@@ -511,7 +515,7 @@
 	fresh := s.Add("z1")
 	seed(s, fresh)
 	fresh.Start()
-	old.office.Leave(s.Now)
+	old.office.Drain(s.Now)
 	s.Until(func() bool { return slices.Contains(s.Members(), fresh.self.Addr) }, 6*time.Second)
 	s.Run(100 * time.Millisecond)
 	for _, m := range s.Machines {
@@ -564,9 +568,9 @@
 
 // Given what must not be done as members change, when it is done, then it is told; and without it nothing is.
 func TestSeededDefectsOfMembersAreFound(t *testing.T) {
-	of := func(kind message.Kind, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
+	of := func(kind message.Type, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
 		return func(at *Machine, m *message.Message) {
-			if at == to && m.Kind == kind {
+			if at == to && m.Type == kind {
 				do(m)
 			}
 		}
@@ -580,24 +584,24 @@
 	}
 	for name, wrong := range map[string]string{
 		"a change agreed by the new members alone": handedOver(t, func(s *story, _ *Machine) {
-			s.Spoil = func(_ *Machine, r *replica.Record) { r.Former = nil }
+			s.Spoil = func(_ *Machine, r *replica.PersistentState) { r.OutgoingMembers = nil }
 		}),
 		"a newcomer that votes before it is caught up": handedOver(t, func(s *story, fresh *Machine) {
-			s.Spoil = func(m *Machine, r *replica.Record) {
+			s.Spoil = func(m *Machine, r *replica.PersistentState) {
 				if m == fresh {
-					r.Content = replica.Content{}
+					r.Value = replica.Value{}
 				}
 			}
 		}),
 		"a member that leaves before its successor has the state": handedOver(t,
 			func(s *story, fresh *Machine) {
-				s.Tamper = of(message.Install, fresh, func(m *message.Message) {
-					m.Version, m.Config, m.Past = 0, nil, nil
+				s.Tamper = of(message.TypeInstallView, fresh, func(m *message.Message) {
+					m.Version, m.Config, m.AcceptedVersions = 0, nil, nil
 				})
 			}),
 		"a removed member that votes under its old life": apart(t, func(_ *story, old, peer *Machine) {
 			// Its vote counts beside that of one which has forgotten the change.
-			peer.record.Registry, peer.record.Generation = old.record.Registry, old.record.Generation
+			peer.record.Members, peer.record.MembershipEpoch = old.record.Members, old.record.MembershipEpoch
 		}),
 		"a wiped disk that votes under its old life": func() string {
 			s := given(t, 1)
@@ -608,7 +612,7 @@
 			b.Kill()
 			was := b.record
 			b.Wipe()
-			b.record = replica.Record{Whole: true, ID: was.ID, Registry: was.Registry}
+			b.record = replica.PersistentState{CaughtUp: true, StoreID: was.StoreID, Members: was.Members}
 			b.Start()
 			c.Start()
 			s.Run(4 * time.Second)
@@ -654,13 +658,13 @@
 	if wrong := forgetful(nil); wrong != "" {
 		t.Error(wrong)
 	}
-	if forgetful(func(m *Machine, r *replica.Record) { r.Founding.Sure = true }) == "" {
+	if forgetful(func(m *Machine, r *replica.PersistentState) { r.Bootstrap.Trusted = true }) == "" {
 		t.Error("the seeded defect is not found")
 	}
 }
 
 // forgetful plays that, and returns what went wrong.
-func forgetful(spoil func(*Machine, *replica.Record)) (wrong string) {
+func forgetful(spoil func(*Machine, *replica.PersistentState)) (wrong string) {
 	x := New(Options{Zones: 3, Disks: 2, Survive: 1, Seed: 3})
 	a, known, b, c := x.Named("z1-1"), x.Named("z1-2"), x.Named("z2-1"), x.Named("z3-1")
 	x.Cut(a, x.Named("z2-2"), true)
@@ -670,14 +674,14 @@
 			m.Start()
 		}
 	}
-	x.Until(func() bool { return len(known.record.Registry) > 0 }, 3*time.Second)
+	x.Until(func() bool { return len(known.record.Members) > 0 }, 3*time.Second)
 	x.Isolate(a, true)
 	x.Isolate(known, true)
 	b.Kill()
 	b.Wipe()
 	if spoil != nil { // as its disk is found
 		spoil(b, &b.record)
-		b.record.Founding.Seeds = x.seeds
+		b.record.Bootstrap.Seeds = x.seeds
 	}
 	b.Start()
 	c.Start()
@@ -785,7 +789,7 @@
 		s.then(name+": the other is a member", 4*time.Second, func() bool { return s.member(spare) })
 		s.borne(time.Second)
 		strike(s, m, false)
-		s.then(name+": it has given up", 3*time.Second, func() bool { return !m.record.Whole })
+		s.then(name+": it has given up", 3*time.Second, func() bool { return !m.record.CaughtUp })
 		s.ends(name)
 	}
 }
@@ -824,12 +828,12 @@
 // at its address, then the change is not complete before that second one has it: the vote of the new disk
 // is not the old one's. Counted as that, it is found.
 func TestAnotherDiskIsNotTheMemberBefore(t *testing.T) {
-	play := func(spoil func(*Machine, *replica.Record)) (complete bool, wrong string) {
+	play := func(spoil func(*Machine, *replica.PersistentState)) (complete bool, wrong string) {
 		s := given(t, 1)
 		s.Spoil = spoil
 		lost, third := s.Named("z1-1"), s.Named("z3-1")
 		s.Wire = func(_, to string, m *message.Message) []Delivery {
-			if to == third.self.Addr && m.Kind == message.Install && len(m.Former) > 0 {
+			if to == third.self.Addr && m.Type == message.TypeInstallView && len(m.OutgoingMembers) > 0 {
 				return nil
 			}
 			return []Delivery{{To: to, Message: m}}
@@ -838,7 +842,7 @@
 		lost.Wipe()
 		s.Run(time.Second)
 		lost.Start()
-		s.Until(func() bool { return lost.record.Whole }, 4*time.Second)
+		s.Until(func() bool { return lost.record.CaughtUp }, 4*time.Second)
 		s.restartAll()
 		s.Run(6 * time.Second)
 		complete = s.Spare() > 0 || len(s.Chain()) > 0 && !slices.Contains(s.Chain(), third.self.Addr)
@@ -852,12 +856,12 @@
 	if complete, wrong := play(nil); complete || wrong != "" {
 		t.Errorf("complete without the third: %v; %s", complete, wrong)
 	}
-	byAddress := func(_ *Machine, r *replica.Record) {
-		r.Former = slices.Clone(r.Former)
-		for i := range r.Former {
-			for _, m := range r.Registry {
-				if m.Addr == r.Former[i].Addr {
-					r.Former[i].ID = m.ID
+	byAddress := func(_ *Machine, r *replica.PersistentState) {
+		r.OutgoingMembers = slices.Clone(r.OutgoingMembers)
+		for i := range r.OutgoingMembers {
+			for _, m := range r.Members {
+				if m.Addr == r.OutgoingMembers[i].Addr {
+					r.OutgoingMembers[i].StoreID = m.StoreID
 				}
 			}
 		}
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -26,11 +26,11 @@
 // Given the times that the program goes by, then what follows from them keeps within the rules.
 func TestTheBoundsOfWhatIsToldOutOfTouch(t *testing.T) {
 	for what, c := range map[string]struct{ got, most time.Duration }{
-		"who asks a silent machine asks the next": {client.TurnMost, applyWithin},
-		"who asks one out of touch asks the next": {replica.SilentMost + client.NextAfter, applyWithin},
+		"who asks a silent machine asks the next": {client.FailoverTimeout, applyWithin},
+		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, applyWithin},
 		"an older configuration comes into force": {OldInForce, applyWithin},
-		"all have left a machine out of touch":    {replica.SilentMost + client.TurnMost, quietFor},
-		"a call is answered":                      {client.CallLimit, callerWaits - wayBack},
+		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietFor},
+		"a call is answered":                      {client.CallTimeout, callerWaits - wayBack},
 	} {
 		if c.got > c.most {
 			t.Errorf("%s after %v, %v is allowed", what, c.got, c.most)
@@ -45,7 +45,7 @@
 	views  map[uint64]began // by epoch
 	newest uint64           // of these
 	last   map[word]time.Duration
-	lists  map[process]message.List // that was told last
+	lists  map[process]message.EndpointList // that was told last
 	wrong  []string
 }
 
@@ -67,18 +67,18 @@
 
 type word struct {
 	from *Machine
-	kind message.Kind
+	kind message.Type
 }
 
 func watched(x *Exchange) *watch {
 	w := &watch{x: x, polls: map[poll]uint64{}, views: map[uint64]began{}, last: map[word]time.Duration{},
-		lists: map[process]message.List{}}
+		lists: map[process]message.EndpointList{}}
 	x.Told = w.told
 	return w
 }
 
 // serial tells the platform's lists apart: each has one server, named by its number.
-func serial(list []message.Server) int {
+func serial(list []message.Endpoint) int {
 	if len(list) == 0 {
 		return 0
 	}
@@ -88,7 +88,7 @@
 
 // change has the platform tell another list.
 func (w *watch) change() {
-	w.x.Servers = []message.Server{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
+	w.x.Servers = []message.Endpoint{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
 }
 
 func (w *watch) breaks(from *Machine, format string, args ...any) {
@@ -97,39 +97,39 @@
 
 // told takes a word of a machine.
 func (w *watch) told(from *Machine, to string, m *message.Message) {
-	switch m.Kind {
-	case message.Beat:
+	switch m.Type {
+	case message.TypeHeartbeat:
 		if _, known := w.views[m.Epoch]; m.Epoch > 0 && !known {
 			w.views[m.Epoch] = began{w.x.Now, serial(w.x.Servers)}
 			w.newest = max(w.newest, m.Epoch)
 		}
 		return
-	case message.Poll:
-		w.polls[poll{from.self.Addr, m.Life, m.Call}] = m.Version
+	case message.TypeWatch:
+		w.polls[poll{from.self.Addr, m.Incarnation, m.RequestID}] = m.Version
 		return
-	case message.News:
+	case message.TypeWatchResponse:
 		w.news(from, to, m)
-	case message.Grant:
+	case message.TypeTokenGrant:
 		w.inForce(from, "grants tokens", m.Epoch, m.OK)
-	case message.Lineup:
-		w.read(from, m.List)
+	case message.TypeEndpointUpdate:
+		w.read(from, m.Endpoints)
 		return
 	}
-	if m.OK || m.Kind == message.Conflict {
-		w.last[word{from, m.Kind}] = w.x.Now
+	if m.OK || m.Type == message.TypeConflict {
+		w.last[word{from, m.Type}] = w.x.Now
 	}
 }
 
 // inForce holds a word that is told under an epoch to the views that were in service more than the bound ago.
 func (w *watch) inForce(from *Machine, what string, epoch uint64, ok bool) {
-	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.OldMost {
+	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.MaxStaleness {
 		w.breaks(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
 	}
 }
 
 func (w *watch) news(from *Machine, to string, m *message.Message) {
-	version, known := w.polls[poll{to, m.Life, m.Call}]
-	delete(w.polls, poll{to, m.Life, m.Call})
+	version, known := w.polls[poll{to, m.Incarnation, m.RequestID}]
+	delete(w.polls, poll{to, m.Incarnation, m.RequestID})
 	if !m.OK || !known { // asked before the watch began
 		return
 	}
@@ -138,30 +138,30 @@
 		version = m.Version
 	}
 	stale := false // it tells bytes, and not that they are the newest
-	for _, p := range m.Parts {
-		if p.Table == message.ConfigTable {
+	for _, p := range m.Chunks {
+		if p.Resource == message.ResourceConfig {
 			version, stale = p.Version, p.Stale
 		}
 	}
 	for _, c := range w.x.Calls {
-		if !stale && c.Acked && !c.Read && c.Version > version && w.x.Now > c.At+replica.OldMost {
+		if !stale && c.Acked && !c.Read && c.Version > version && w.x.Now > c.At+replica.MaxStaleness {
 			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.At)
 		}
 	}
-	if m.List != nil {
-		w.read(from, m.List)
+	if m.Endpoints != nil {
+		w.read(from, m.Endpoints)
 	}
 }
 
 // read holds a list to its token: it was read when that epoch's view was in service, and tokens only rise.
-func (w *watch) read(from *Machine, l *message.List) {
+func (w *watch) read(from *Machine, l *message.EndpointList) {
 	of := process{from, from.life}
-	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Seq < old.Seq {
-		w.breaks(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Seq, old.Epoch, old.Seq)
+	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
+		w.breaks(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
 	}
 	w.lists[of] = *l
-	if v, known := w.views[l.Epoch]; known && serial(l.Servers) < v.serial {
-		w.breaks(from, "tells list %d as one of %d, which began with %d", serial(l.Servers), l.Epoch, v.serial)
+	if v, known := w.views[l.Epoch]; known && serial(l.Endpoints) < v.serial {
+		w.breaks(from, "tells list %d as one of %d, which began with %d", serial(l.Endpoints), l.Epoch, v.serial)
 	}
 }
 
@@ -235,7 +235,13 @@
 }
 
 // counts are the kinds of words that claim to be the newest, or to be held by a majority.
-var counts = []message.Kind{message.News, message.Done, message.Conflict, message.Copy, message.Grant}
+var counts = []message.Type{
+	message.TypeWatchResponse,
+	message.TypeCommitted,
+	message.TypeConflict,
+	message.TypeReadResult,
+	message.TypeTokenGrant,
+}
 
 // twentySeconds has a machine of the core in trouble for that long, while operators go on at the others and
 // at this one, and the platform's list changes. It returns the longest that a change took.
@@ -295,8 +301,8 @@
 					t.Errorf("a change took %v at the others", took)
 				}
 				for _, kind := range counts {
-					most := replica.SilentMost
-					if kind != message.News && kind != message.Grant {
+					most := replica.MaxWatchSilence
+					if kind != message.TypeWatchResponse && kind != message.TypeTokenGrant {
 						most += tr.late
 					}
 					if at := w.last[word{m, kind}]; tr.mute && at > began+most {
@@ -347,8 +353,8 @@
 		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
 			func(x *Exchange) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
-					if m.Kind == message.Beat {
-						m.Held = uint64(time.Hour.Milliseconds())
+					if m.Type == message.TypeHeartbeat {
+						m.EchoDelayMillis = uint64(time.Hour.Milliseconds())
 					}
 				}
 			}},
@@ -356,7 +362,9 @@
 			func(x *Exchange) { x.lateToken = true }},
 		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
 			func(x *Exchange) {
-				x.Tamper = func(_ *Machine, m *message.Message) { m.Ill = m.Ill && m.Kind != message.Beat }
+				x.Tamper = func(_ *Machine, m *message.Message) {
+					m.Unhealthy = m.Unhealthy && m.Type != message.TypeHeartbeat
+				}
 			}},
 		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
 			func(x *Exchange) { x.alone = true }},
@@ -419,7 +427,7 @@
 	s := given(t, 2)
 	w := watched(s.Exchange)
 	s.Tamper = func(to *Machine, m *message.Message) {
-		if to.Name == "z2-1" && (m.Kind == message.Beat || m.Kind == message.Done) {
+		if to.Name == "z2-1" && (m.Type == message.TypeHeartbeat || m.Type == message.TypeCommitted) {
 			m.Version = 0
 		}
 	}
@@ -439,7 +447,7 @@
 	s := given(t, 1)
 	m := s.Named("z1-2")
 	s.Told = func(_ *Machine, to string, told *message.Message) {
-		if to == m.self.Addr && told.Kind == message.News && told.Config != nil {
+		if to == m.self.Addr && told.Type == message.TypeWatchResponse && told.Config != nil {
 			m.Freeze()
 		}
 	}
@@ -463,7 +471,8 @@
 	w := watched(s.Exchange)
 	s.Wire = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
-		if m.Kind == message.Lineup && to == s.Named("z2-1").self.Addr && serial(m.List.Servers) == 1 {
+		if m.Type == message.TypeEndpointUpdate && to == s.Named("z2-1").self.Addr &&
+			serial(m.Endpoints.Endpoints) == 1 {
 			late = 3 * time.Second
 		}
 		return []Delivery{{to, late, m}}
--- a/internal/controlplane/simulation/rehearsal.go
+++ b/internal/controlplane/simulation/simulation.go
@@ -21,7 +21,7 @@
 
 // OldInForce is how long after an acknowledgement an older configuration may come into force at most: what a
 // machine tells is as old as it may be, and is taken for as long as its answer is awaited.
-const OldInForce = replica.OldMost + client.AnswerMost
+const OldInForce = replica.MaxStaleness + client.ResponseTimeout
 
 // Options say what an exchange is made of.
 type Options struct {
@@ -54,18 +54,18 @@
 // Machine is one machine of the exchange.
 type Machine struct {
 	Name string
-	self message.Machine
+	self message.Node
 	disk bool
 	gone bool // for good
 
 	x      *Exchange
-	office *node.Office
+	office *node.Node
 	life   int
 	own    uint64 // the life's number among those of all machines
 	up     bool
 	frozen bool
 	held   []func() // what came while it was frozen
-	record replica.Record
+	record replica.PersistentState
 	has    bool // it has been started before
 	saved  time.Duration
 	sync   time.Duration
@@ -76,7 +76,7 @@
 
 	version uint64
 	config  string
-	servers []message.Server
+	servers []message.Endpoint
 	members int
 	epoch   uint64 // of the view that it goes by
 	reads   bool
@@ -87,10 +87,10 @@
 	Options
 	Now      time.Duration
 	Machines []*Machine
-	Servers  []message.Server // as the platform lists them
-	Messages int              // sent so far, those that got lost among them
-	Bytes    int              // of these, without their frames
-	Calls    []*Call          // of operators, in the order in which they began
+	Servers  []message.Endpoint // as the platform lists them
+	Messages int                // sent so far, those that got lost among them
+	Bytes    int                // of these, without their frames
+	Calls    []*Call            // of operators, in the order in which they began
 	// ReadTime is how long the platform takes for its list; PlatformDown: for ever.
 	ReadTime     time.Duration
 	PlatformDown bool
@@ -99,7 +99,7 @@
 	// Tamper changes what a machine is about to take, and Spoil what a disk is about to hold: a test that plays
 	// a defect shows what finds it. Both may be nil.
 	Tamper func(to *Machine, m *message.Message)
-	Spoil  func(m *Machine, r *replica.Record)
+	Spoil  func(m *Machine, r *replica.PersistentState)
 
 	rng    *rand.Rand
 	events eventQueue
@@ -173,7 +173,7 @@
 	for z := range o.Zones {
 		for i := range o.Disks + o.Others {
 			m := &Machine{Name: fmt.Sprintf("z%d-%d", z+1, i+1), disk: i < o.Disks, x: x, sync: x.Sync,
-				self: message.Machine{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
+				self: message.Node{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
 			x.Machines = append(x.Machines, m)
 			if i == 0 && len(x.seeds) < 3 {
 				x.seeds = append(x.seeds, m.self.Addr)
@@ -185,14 +185,14 @@
 }
 
 // tolerance is what every process is told of what may be lost at once.
-func (x *Exchange) tolerance() replica.Tolerance {
+func (x *Exchange) tolerance() replica.FaultTolerance {
 	if x.countsAlone {
-		return replica.Tolerance{Machines: x.Survive}
+		return replica.FaultTolerance{Machines: x.Survive}
 	}
-	t := replica.Tolerance{Machines: x.Survive, Zones: x.SurviveZones, Regions: x.SurviveRegions,
-		Region: map[string]string{}}
+	t := replica.FaultTolerance{Machines: x.Survive, Zones: x.SurviveZones, Regions: x.SurviveRegions,
+		RegionOfZone: map[string]string{}}
 	for z := range x.Zones {
-		t.Region[fmt.Sprintf("z%d", z+1)] = fmt.Sprintf("r%d", z/max(1, x.ZonesARegion)+1)
+		t.RegionOfZone[fmt.Sprintf("z%d", z+1)] = fmt.Sprintf("r%d", z/max(1, x.ZonesARegion)+1)
 	}
 	return t
 }
@@ -303,13 +303,13 @@
 	m.saved = 0
 	m.x.lives++
 	m.own = 1<<61 + m.x.lives // as long as the program's numbers are
-	o := node.Options{Self: m.self, Seeds: m.x.seeds, Survive: m.x.tolerance(), First: !m.has,
-		Life: m.own, Actions: &actions{m, m.life},
+	o := node.Options{Self: m.self, Seeds: m.x.seeds, Tolerance: m.x.tolerance(), FirstStart: !m.has,
+		Incarnation: m.own, Actions: &actions{m, m.life},
 		Limits: func(string) ratelimit.Limits { return ratelimit.Limits{} }}
 	m.has = true
 	if m.disk {
 		r := m.record
-		o.Disk = &r
+		o.Saved = &r
 	}
 	m.office = node.New(m.x.Now, o)
 	m.wake(0)
@@ -320,7 +320,7 @@
 func (m *Machine) Kill() { m.up, m.office, m.held = false, nil, nil }
 
 // Wipe takes what is on the disk of a machine that is down.
-func (m *Machine) Wipe() { m.record = replica.Record{} }
+func (m *Machine) Wipe() { m.record = replica.PersistentState{} }
 
 // Freeze has a machine stand still; Thaw lets it go on, with what came meanwhile.
 func (m *Machine) Freeze() { m.frozen = true }
@@ -352,11 +352,11 @@
 }
 
 // Frame returns the machine's frame; nil without a disk, or while it is down.
-func (m *Machine) Frame() *replica.Frame {
+func (m *Machine) Frame() *replica.Replica {
 	if !m.up {
 		return nil
 	}
-	return m.office.Frame()
+	return m.office.Replica()
 }
 
 // Up reports whether a machine's process runs.
@@ -369,7 +369,7 @@
 func (m *Machine) Version() uint64 { return m.version }
 
 // Servers is the list of servers that the machine goes by.
-func (m *Machine) Servers() []message.Server { return m.servers }
+func (m *Machine) Servers() []message.Endpoint { return m.servers }
 
 // Members is how many machines hold leases, as far as this one knows.
 func (m *Machine) Members() int { return m.members }
@@ -420,14 +420,14 @@
 			return
 		}
 		m.act(life, func() {
-			if epoch, ok := m.office.Holds(m.x.Now, replica.ReadServers); ok && !m.x.PlatformDown {
+			if epoch, ok := m.office.HoldsRole(m.x.Now, replica.EndpointReader); ok && !m.x.PlatformDown {
 				list := slices.Clone(m.x.Servers)
 				m.x.at(m.x.ReadTime, func() {
 					m.act(life, func() {
 						if m.x.lateToken {
-							epoch, _ = m.office.Holds(m.x.Now, replica.ReadServers)
+							epoch, _ = m.office.HoldsRole(m.x.Now, replica.EndpointReader)
 						}
-						m.office.Servers(m.x.Now, epoch, list)
+						m.office.SetEndpoints(m.x.Now, epoch, list)
 					})
 				})
 			}
@@ -478,8 +478,8 @@
 		}
 		m.office.Put(x.Now, version, []byte(text), func(answer *message.Message) {
 			c.Ended, c.At = true, x.Now
-			c.Acked = answer != nil && answer.Kind == message.Done
-			c.Conflict = answer != nil && answer.Kind == message.Conflict
+			c.Acked = answer != nil && answer.Type == message.TypeCommitted
+			c.Conflict = answer != nil && answer.Type == message.TypeConflict
 			if c.Acked {
 				x.acked = max(x.acked, version)
 			}
@@ -541,8 +541,8 @@
 // Chain returns the machines of the view that serves, as those in service see it; nil: none is.
 func (x *Exchange) Chain() []string {
 	for _, m := range x.Disked() {
-		if m.up && !m.frozen && m.office.Frame().Fresh() {
-			_, chain := m.office.Frame().View()
+		if m.up && !m.frozen && m.office.Replica().ServingWithQuorum() {
+			_, chain := m.office.Replica().View()
 			return chain
 		}
 	}
@@ -562,10 +562,10 @@
 		x.Told(a.m, to, m)
 	}
 	if to == from && x.Tamper == nil { // as in the program: not copied
-		x.at(0, func() { a.m.act(a.life, func() { a.m.office.Handle(x.Now, from, m) }) })
+		x.at(0, func() { a.m.act(a.life, func() { a.m.office.Step(x.Now, from, m) }) })
 		return
 	}
-	b := message.Encode(nil, m)
+	b := message.MarshalAppend(nil, m)
 	x.Messages, x.Bytes = x.Messages+1, x.Bytes+len(b)
 	if x.Probe != nil {
 		x.Probe.Sent(from, to, m, len(b))
@@ -575,7 +575,7 @@
 	}
 	copied := new(message.Message)
 	var err error
-	x.run(to, func() { err = message.Decode(b, copied) })
+	x.run(to, func() { err = message.Unmarshal(b, copied) })
 	if err != nil {
 		x.breaks("%s sent what can't be read: %v", a.m.Name, err)
 		return
@@ -602,12 +602,12 @@
 			if x.Tamper != nil {
 				x.Tamper(m, &came)
 			}
-			m.act(m.life, func() { m.office.Handle(x.Now, from, &came) })
+			m.act(m.life, func() { m.office.Step(x.Now, from, &came) })
 		}
 	})
 }
 
-func (a *actions) Save(token uint64, r replica.Record) {
+func (a *actions) Save(token uint64, r replica.PersistentState) {
 	m := a.m
 	m.saved = max(m.saved, m.x.Now) + m.sync
 	done := func() {
@@ -621,7 +621,7 @@
 			}
 			m.x.sequence(m, &m.record)
 		}
-		m.act(a.life, func() { m.office.Saved(m.x.Now, token, ok) })
+		m.act(a.life, func() { m.office.HandleSaved(m.x.Now, token, ok) })
 	}
 	m.x.at(m.saved-m.x.Now, func() {
 		if m.hangs {
@@ -656,8 +656,8 @@
 	}
 }
 
-func (a *actions) Servers(list []message.Server) { a.m.servers = list }
+func (a *actions) Servers(list []message.Endpoint) { a.m.servers = list }
 
-func (a *actions) Members(list []message.Machine) { a.m.members = len(list) }
+func (a *actions) Members(list []message.Node) { a.m.members = len(list) }
 
 func (a *actions) View(epoch uint64, _ []string) { a.m.epoch = epoch }
--- a/internal/controlplane/simulation/rehearsal_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -174,7 +174,8 @@
 	s.Run(300 * time.Millisecond)
 	m.Start()
 	s.then("it is whole, and serves", 4*time.Second, func() bool {
-		return m.Frame().Record().Whole && m.Frame().Record().Version == s.version && m.Frame().Fresh()
+		return m.Frame().PersistentState().CaughtUp && m.Frame().PersistentState().Version == s.version &&
+			m.Frame().ServingWithQuorum()
 	})
 	s.change(m)
 }
@@ -252,12 +253,12 @@
 			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return len(m.Servers()) != n })
 		}
 	}
-	s.Servers = []message.Server{{ID: "a"}, {ID: "b"}}
+	s.Servers = []message.Endpoint{{ID: "a"}, {ID: "b"}}
 	s.then("all know two", 2*time.Second, all(2))
-	s.Servers = append(s.Servers, message.Server{ID: "c"})
+	s.Servers = append(s.Servers, message.Endpoint{ID: "c"})
 	s.then("all know three", 2*time.Second, all(3))
 	reader := s.Named("z3-1")
-	if epoch, ok := reader.office.Holds(s.Now, replica.ReadServers); !ok {
+	if epoch, ok := reader.office.HoldsRole(s.Now, replica.EndpointReader); !ok {
 		t.Fatalf("the tail does not read the list under %d", epoch)
 	}
 	reader.Kill()
@@ -315,11 +316,11 @@
 	for _, m := range s.Machines {
 		m.Kill()
 	}
-	left.Promised += 1 << 20
-	left.Epoch, left.Chain = left.Promised, nil
-	left.ID, left.Generation, left.Registry = 0, left.Epoch, slices.Clone(left.Registry)
-	for i := range left.Registry { // as vault.Found does: the document is the same for all
-		left.Registry[i].ID = left.Epoch
+	left.PromisedEpoch += 1 << 20
+	left.Epoch, left.Chain = left.PromisedEpoch, nil
+	left.StoreID, left.MembershipEpoch, left.Members = 0, left.Epoch, slices.Clone(left.Members)
+	for i := range left.Members { // as vault.Found does: the document is the same for all
+		left.Members[i].StoreID = left.Epoch
 	}
 	s.cores = newRegistries() // its registries are of another sequence
 	for _, m := range s.Disked() {
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -26,28 +26,28 @@
 	n := &narrow{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
 	s.Wire = n.wire
 	s.Tamper = func(to *Machine, m *message.Message) {
-		if n.whole && m.Kind == message.News && m.Call != n.asked[to.self.Addr] {
-			m.Parts = nil
+		if n.whole && m.Type == message.TypeWatchResponse && m.RequestID != n.asked[to.self.Addr] {
+			m.Chunks = nil
 		}
 	}
 	return n
 }
 
 func (n *narrow) wire(from, to string, m *message.Message) []Delivery {
-	if m.Kind == message.Poll {
-		n.asked[from] = m.Call
+	if m.Type == message.TypeWatch {
+		n.asked[from] = m.RequestID
 		if n.whole {
-			m.Room, m.Parts, m.Base = 1<<30, nil, 0
+			m.ChunkBudget, m.Chunks, m.BaseVersion = 1<<30, nil, 0
 		}
 	}
-	if m.Kind != message.News || n.to != nil && n.to.self.Addr != to {
+	if m.Type != message.TypeWatchResponse || n.to != nil && n.to.self.Addr != to {
 		return []Delivery{{To: to, Message: m}}
 	}
 	link := from
 	if n.to != nil {
 		link = to
 	}
-	size := len(message.Encode(nil, m))
+	size := len(message.MarshalAppend(nil, m))
 	n.bytes += size
 	n.free[link] = max(n.free[link], n.s.Now) + time.Duration(float64(size)/n.rate*float64(time.Second))
 	return []Delivery{{to, n.late + n.free[link] - n.s.Now, m}}
@@ -58,7 +58,7 @@
 	s.t.Helper()
 	s.Text = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
 	for i := range servers {
-		s.Servers = append(s.Servers, message.Server{ID: fmt.Sprintf("server-%06d", i), Service: "service-01",
+		s.Servers = append(s.Servers, message.Endpoint{ID: fmt.Sprintf("server-%06d", i), Service: "service-01",
 			Addr: fmt.Sprintf("10.16.%d.%d:8080", i>>8, i&255), Zone: "z1", Capacity: 8})
 	}
 	s.change(s.Machines[0])
@@ -136,8 +136,8 @@
 		}
 		if c.old {
 			s.Tamper = func(_ *Machine, came *message.Message) {
-				for i := range came.Parts {
-					came.Parts[i].Stale = false
+				for i := range came.Chunks {
+					came.Chunks[i].Stale = false
 				}
 			}
 			if s.Run(5 * time.Second); len(s.Broken()) == 0 {
@@ -171,8 +171,8 @@
 		n.late = 3 * time.Second
 		if fresh {
 			s.Tamper = func(to *Machine, came *message.Message) {
-				if to == m && came.Kind == message.News {
-					came.Call = n.asked[m.self.Addr]
+				if to == m && came.Type == message.TypeWatchResponse {
+					came.RequestID = n.asked[m.self.Addr]
 				}
 			}
 		}
@@ -193,7 +193,7 @@
 		before := n.bytes
 		n.late = 0
 		s.then("it has the newest", time.Second, func() bool { return m.Version() == s.version })
-		whole := len(message.Encode(nil, message.Pack(s.Text(s.version), 0, nil)))
+		whole := len(message.MarshalAppend(nil, message.NewDelta(s.Text(s.version), 0, nil)))
 		if got := n.bytes - before; got > whole/4 {
 			t.Errorf("%d bytes were sent again, the whole has %d", got, whole)
 		}
--- a/internal/controlplane/simulation/register_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -98,7 +98,7 @@
 // twoUnderOneNumber plays an order that is left on a head which is cut off, and another one under its number
 // that is acknowledged by the others; then all are killed, the cut ends, and they start again.
 func twoUnderOneNumber(t *testing.T, tamper func(*Machine, *message.Message),
-	spoil func(*Machine, *replica.Record)) *story {
+	spoil func(*Machine, *replica.PersistentState)) *story {
 	t.Helper()
 	s := given(t, 2)
 	s.Spoil = spoil
@@ -155,20 +155,20 @@
 func TestSeededDefectsOfTheRegisterAreFound(t *testing.T) {
 	for name, s := range map[string]*story{
 		"what is newest is told by the number alone": twoUnderOneNumber(t, nil,
-			func(_ *Machine, r *replica.Record) { r.Stamp = 0 }),
+			func(_ *Machine, r *replica.PersistentState) { r.AcceptedEpoch = 0 }),
 		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *message.Message) {
-			if m.Kind == message.Conflict {
-				m.Kind = message.Done
+			if m.Type == message.TypeConflict {
+				m.Type = message.TypeCommitted
 			}
 		}, nil),
 		"what was taken is refused when it is sent again": twoUnderOneNumber(t,
 			func(_ *Machine, m *message.Message) {
-				if m.Kind == message.Done && m.Call != 0 {
-					m.Kind = message.Conflict
+				if m.Type == message.TypeCommitted && m.RequestID != 0 {
+					m.Type = message.TypeConflict
 				}
 			}, nil),
 		"past numbers are forgotten by a restart": pastNumbers(t,
-			func(_ *Machine, r *replica.Record) { r.Past = nil }),
+			func(_ *Machine, r *replica.PersistentState) { r.AcceptedVersions = nil }),
 	} {
 		if s.consistent() == "" {
 			t.Errorf("not found: %s", name)
@@ -177,7 +177,7 @@
 }
 
 // pastNumbers plays orders that are sent again when later ones stand.
-func pastNumbers(t *testing.T, spoil func(*Machine, *replica.Record)) *story {
+func pastNumbers(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *story {
 	t.Helper()
 	s := given(t, 1)
 	s.Spoil = spoil
@@ -279,7 +279,7 @@
 		if !bytes.Equal(m.record.Config, []byte(c.Text)) {
 			return fmt.Sprintf("%s has %q on its disk, %q is in force", m.Name, m.record.Config, c.Text)
 		}
-		if !slices.Equal(m.record.Past, disks[0].record.Past) {
+		if !slices.Equal(m.record.AcceptedVersions, disks[0].record.AcceptedVersions) {
 			return fmt.Sprintf("%s remembers other numbers than %s", m.Name, disks[0].Name)
 		}
 	}
--- a/internal/controlplane/simulation/calls_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -14,11 +14,11 @@
 type tape struct {
 	*story
 	m     *Machine
-	kinds []message.Kind
-	hold  []message.Kind // answers that the earlier life does not get
+	kinds []message.Type
+	hold  []message.Type // answers that the earlier life does not get
 	kept  []letter
 	cut   bool
-	free  []message.Kind     // pass all the same
+	free  []message.Type     // pass all the same
 	sent  []*message.Message // by the life that is cut off
 }
 
@@ -28,7 +28,7 @@
 }
 
 // tape has all go over the tape from now on.
-func (s *story) tape(name string, kinds ...message.Kind) *tape {
+func (s *story) tape(name string, kinds ...message.Type) *tape {
 	t := &tape{story: s, m: s.Named(name), kinds: kinds}
 	s.Wire = t.wire
 	return t
@@ -37,16 +37,16 @@
 func (t *tape) wire(from, to string, m *message.Message) []Delivery {
 	own := t.m.self.Addr
 	switch {
-	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Kind):
+	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Type):
 		if from == own {
 			t.sent = append(t.sent, m)
 		}
 		return nil
-	case !t.cut && to == own && m.Answers():
-		if slices.Contains(t.kinds, m.Kind) {
+	case !t.cut && to == own && m.IsResponse():
+		if slices.Contains(t.kinds, m.Type) {
 			t.kept = append(t.kept, letter{from, m})
 		}
-		if slices.Contains(t.hold, m.Kind) {
+		if slices.Contains(t.hold, m.Type) {
 			return nil
 		}
 	}
@@ -90,13 +90,13 @@
 }
 
 // life has an answer say the life that gets it: as if lives were not told apart.
-func life(t *tape, m *message.Message) { m.Life = t.m.own }
+func life(t *tape, m *message.Message) { m.Incarnation = t.m.own }
 
 // and the epoch or the ballot of what that asked last.
 func lifeAndEpoch(t *tape, m *message.Message) {
 	life(t, m)
 	for _, q := range t.sent {
-		if slices.Contains(message.Questions[q.Kind], m.Kind) {
+		if slices.Contains(message.ResponseTypes[q.Type], m.Type) {
 			m.Epoch = q.Epoch
 		}
 	}
@@ -106,31 +106,31 @@
 // something with it. That life may as well be another machine that has the address now: it knows as little.
 var lateAnswers = []struct {
 	name  string
-	kinds []message.Kind
+	kinds []message.Type
 	lie   lie // that is found
 	play  func(t *tape, l lie) bool
 }{
-	{"News", []message.Kind{message.News}, life, func(t *tape, l lie) bool {
-		t.free = []message.Kind{message.Hello, message.Roll}
+	{"News", []message.Type{message.TypeWatchResponse}, life, func(t *tape, l lie) bool {
+		t.free = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
 		return t.play(func() bool { return t.m.version != 0 }, l)
 	}},
-	{"Roll", []message.Kind{message.Roll}, life, func(t *tape, l lie) bool {
+	{"Roll", []message.Type{message.TypeMemberList}, life, func(t *tape, l lie) bool {
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
-		return t.play(func() bool { return len(t.m.office.Registry()) > 0 }, l)
+		return t.play(func() bool { return len(t.m.office.Members()) > 0 }, l)
 	}},
-	{"Done", []message.Kind{message.Done}, life, func(t *tape, l lie) bool {
+	{"Done", []message.Type{message.TypeCommitted}, life, func(t *tape, l lie) bool {
 		t.change(t.m)
 		t.cut = true
 		t.anew()
 		c := t.Put(t.m, t.version+3)
 		return t.play(func() bool { return c.Acked }, l)
 	}},
-	{"Conflict", []message.Kind{message.Conflict}, life, func(t *tape, l lie) bool {
+	{"Conflict", []message.Type{message.TypeConflict}, life, func(t *tape, l lie) bool {
 		c := t.PutText(t.m, t.version, "another")
 		t.then("that is a conflict", time.Second, func() bool { return c.Conflict })
 		t.cut = true
@@ -138,7 +138,7 @@
 		c = t.Put(t.m, t.version+3)
 		return t.play(func() bool { return c.Conflict }, l)
 	}},
-	{"Copy", []message.Kind{message.Copy}, life, func(t *tape, l lie) bool {
+	{"Copy", []message.Type{message.TypeReadResult}, life, func(t *tape, l lie) bool {
 		c := t.Read(t.m)
 		t.then("it is read", time.Second, func() bool { return c.Acked })
 		t.cut = true
@@ -146,7 +146,7 @@
 		c = t.Read(t.m)
 		return t.play(func() bool { return c.Acked }, l)
 	}},
-	{"Reformed", []message.Kind{message.Reformed}, life, func(t *tape, l lie) bool {
+	{"Reformed", []message.Type{message.TypeChangeMembersResult}, life, func(t *tape, l lie) bool {
 		t.Reform(t.m, "", "")
 		t.Run(time.Second)
 		t.cut = true
@@ -154,18 +154,18 @@
 		o := t.Reform(t.m, "", "")
 		return t.play(func() bool { return o.Answer != nil }, l)
 	}},
-	{"Refuse", []message.Kind{message.Refuse}, life, func(t *tape, l lie) bool {
-		t.hold = []message.Kind{message.News} // it doesn't know the head
+	{"Refuse", []message.Type{message.TypeReject}, life, func(t *tape, l lie) bool {
+		t.hold = []message.Type{message.TypeWatchResponse} // it doesn't know the head
 		t.Put(t.m, t.version+3)
 		t.Run(time.Second)
-		t.free = []message.Kind{message.Hello, message.Roll}
+		t.free = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.cut = true
 		t.anew()
 		t.Put(t.m, t.version+3)
 		return t.play(func() bool { return t.m.epoch != 0 }, l)
 	}},
 	// A tail that is cut off would count what it was told before as a quorum, and read what is old.
-	{"Confirmed", []message.Kind{message.Confirmed}, lifeAndEpoch, func(t *tape, l lie) bool {
+	{"Confirmed", []message.Type{message.TypeEpochConfirmed}, lifeAndEpoch, func(t *tape, l lie) bool {
 		t.serves("z3-1")
 		t.reads(t.m)
 		t.anew()
@@ -176,43 +176,48 @@
 		return t.play(func() bool { return c.Acked }, l)
 	}},
 	// A machine alone would put a view into service.
-	{"Promise and Installed", []message.Kind{message.Promise, message.Installed}, lifeAndEpoch, func(t *tape,
-		l lie) bool {
-		t.serves("z1-1")
-		b, c := t.Named("z2-1"), t.Named("z3-1") // they serve nothing: it is the one to propose a view
-		t.Cut(b, c, true)
-		for _, m := range []*Machine{b, c} {
-			m.Kill()
-			m.Start()
-		}
-		t.free = []message.Kind{message.Beat}
-		t.cut = true
-		t.anew()
-		return t.play(func() bool { return t.m.Frame().State() == replica.InService }, l)
-	}},
+	{
+		"Promise and Installed",
+		[]message.Type{message.TypePromise, message.TypeViewInstalled},
+		lifeAndEpoch,
+		func(t *tape,
+			l lie) bool {
+			t.serves("z1-1")
+			b, c := t.Named("z2-1"), t.Named("z3-1") // they serve nothing: it is the one to propose a view
+			t.Cut(b, c, true)
+			for _, m := range []*Machine{b, c} {
+				m.Kill()
+				m.Start()
+			}
+			t.free = []message.Type{message.TypeHeartbeat}
+			t.cut = true
+			t.anew()
+			return t.play(func() bool { return t.m.Frame().State() == replica.StateServing }, l)
+		},
+	},
 }
 
 // serves waits until a machine is in service with the two others.
 func (t *tape) serves(name string) {
 	t.t.Helper()
 	t.then(name+" serves", 6*time.Second, func() bool {
-		return t.Named(name).Frame().Fresh() && len(t.Chain()) == 3
+		return t.Named(name).Frame().ServingWithQuorum() && len(t.Chain()) == 3
 	})
 }
 
 // taped is an exchange in which a machine has just been started again, with its answers on tape.
-func taped(t *testing.T, kinds []message.Kind) *tape {
+func taped(t *testing.T, kinds []message.Type) *tape {
 	s := given(t, 1)
 	name := "z1-2"
 	switch kinds[0] {
-	case message.Confirmed:
+	case message.TypeEpochConfirmed:
 		name = "z3-1"
-	case message.Promise:
+	case message.TypePromise:
 		name = "z1-1"
 	}
 	s.Run(2 * time.Second)
 	tape := s.tape(name, kinds...)
-	if kinds[0] == message.Promise { // all at once: otherwise those who serve take it in
+	if kinds[0] == message.TypePromise { // all at once: otherwise those who serve take it in
 		s.restartAll()
 	}
 	tape.anew()
@@ -222,8 +227,8 @@
 // Given a process that was started again, or another one that has its address, when answers to its earlier
 // life come late under the same calls, then they do nothing. Were lives not told apart, each would.
 func TestAnswersToAnEarlierLifeDoNothing(t *testing.T) {
-	tried := []message.Kind{message.Pledged, message.Drafted, // see the next test
-		message.Grant} // is the meter's: see its tests
+	tried := []message.Type{message.TypeBootstrapPromise, message.TypeBootstrapAccepted, // see the next test
+		message.TypeTokenGrant} // is the meter's: see its tests
 	for _, c := range lateAnswers {
 		tried = append(tried, c.kinds...)
 		t.Run(c.name, func(t *testing.T) {
@@ -235,7 +240,7 @@
 			}
 		})
 	}
-	for asks, kinds := range message.Questions {
+	for asks, kinds := range message.ResponseTypes {
 		for _, k := range kinds {
 			if !slices.Contains(tried, k) {
 				t.Errorf("%d, an answer to %d, is not tried", k, asks)
@@ -250,19 +255,19 @@
 func TestVotesForAnEarlierLifeNameNoCore(t *testing.T) {
 	play := func(l lie) (drafts, named bool) {
 		s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: 7}), t, 0}
-		tape := s.tape("z1-1", message.Pledged, message.Drafted)
-		tape.hold = []message.Kind{message.Drafted}
+		tape := s.tape("z1-1", message.TypeBootstrapPromise, message.TypeBootstrapAccepted)
+		tape.hold = []message.Type{message.TypeBootstrapAccepted}
 		tape.m.SetSync(2 * time.Second)
 		s.StartAll()
 		s.then("two seeds have the draft", 3*time.Second, func() bool { return len(tape.kept) == 4 })
-		tape.free = []message.Kind{message.Hello}
+		tape.free = []message.Type{message.TypeAnnounce}
 		tape.cut = true
 		tape.m.SetSync(tape.Sync) // it says that it is there once its disk's id is on it
 		tape.first()              // its disk had nothing yet
-		named = tape.play(func() bool { return len(tape.m.office.Registry()) > 0 }, l)
+		named = tape.play(func() bool { return len(tape.m.office.Members()) > 0 }, l)
 		return slices.ContainsFunc(
 			tape.sent,
-			func(m *message.Message) bool { return m.Kind == message.Draft },
+			func(m *message.Message) bool { return m.Type == message.TypeBootstrapAccept },
 		), named
 	}
 	if drafts, named := play(nil); drafts || named {
@@ -291,7 +296,7 @@
 	m := s.Named("z2-1")
 	var views []letter
 	s.Wire = func(from, to string, x *message.Message) []Delivery {
-		if x.Kind == message.Install && to == m.self.Addr {
+		if x.Type == message.TypeInstallView && to == m.self.Addr {
 			views = append(views, letter{from, x})
 		}
 		return []Delivery{{To: to, Message: x}}
@@ -299,14 +304,14 @@
 	m.Kill()
 	m.Start()
 	s.then("it is in a view again", 6*time.Second, func() bool {
-		return m.Frame().Fresh() && len(s.Chain()) == 3
+		return m.Frame().ServingWithQuorum() && len(s.Chain()) == 3
 	})
-	before, taken := message.Pack(
+	before, taken := message.NewDelta(
 		m.record.Config,
 		0,
 		nil,
-	), message.Pack(
-		message.EncodeTaken(m.record.Past),
+	), message.NewDelta(
+		message.EncodeAcceptedVersions(m.record.AcceptedVersions),
 		0,
 		nil,
 	)
@@ -315,7 +320,7 @@
 	m.Start()
 	for _, v := range views {
 		v.m.Epoch += higher
-		v.m.Config, v.m.Taken = before, taken // as it is sent again: to one that had not told what it has
+		v.m.Config, v.m.AcceptedDelta = before, taken // as it is sent again: to one that had not told what it has
 		s.deliver(v.from, Delivery{To: m.self.Addr, Message: v.m})
 	}
 	s.Run(100 * time.Millisecond)
@@ -332,12 +337,12 @@
 		if !slices.Contains(addrs, to) {
 			addrs = append(addrs, to)
 		}
-		if m.Asks() {
-			lives[from] = m.Life
+		if m.IsRequest() {
+			lives[from] = m.Incarnation
 		}
 		all := []Delivery{{To: to, Message: m}}
 		late := 4 * time.Second
-		if m.Kind == message.Beat { // nobody would be missed
+		if m.Type == message.TypeHeartbeat { // nobody would be missed
 			late = 200 * time.Millisecond
 		}
 		switch rng.IntN(10) {
@@ -346,10 +351,10 @@
 		case 1:
 			all = append(all, Delivery{to, time.Duration(rng.Int64N(int64(late))), m})
 		case 2, 3, 4, 5, 6, 7:
-			if m.Answers() {
+			if m.IsResponse() {
 				other, wrong := addrs[rng.IntN(len(addrs))], *m
 				if blind {
-					wrong.Life = lives[other]
+					wrong.Incarnation = lives[other]
 				}
 				all = append(all, Delivery{other, 0, &wrong})
 			}
@@ -396,17 +401,21 @@
 		var told []letter
 		alone := false
 		s.Wire = func(from, to string, x *message.Message) []Delivery {
-			if to == m.self.Addr && x.Kind == message.Active {
+			if to == m.self.Addr && x.Type == message.TypeActivateView {
 				told = append(told, letter{from, x})
 			}
-			if blind && alone && to == m.self.Addr && x.Kind == message.Beat {
+			if blind && alone && to == m.self.Addr && x.Type == message.TypeHeartbeat {
 				x.Epoch = 0
 			}
 			return []Delivery{{To: to, Message: x}}
 		}
 		m.Kill()
 		m.Start()
-		s.then("it serves", 6*time.Second, func() bool { return m.Frame().Fresh() && len(s.Chain()) == 3 })
+		s.then(
+			"it serves",
+			6*time.Second,
+			func() bool { return m.Frame().ServingWithQuorum() && len(s.Chain()) == 3 },
+		)
 		s.Run(2 * time.Second)
 		alone = true
 		s.Isolate(m, true)
@@ -419,7 +428,7 @@
 		s.Run(5 * time.Millisecond)
 		epoch, _ := m.Frame().View()
 		serving, _ := s.Named("z1-1").Frame().View()
-		return m.Frame().State() == replica.InService && epoch < serving
+		return m.Frame().State() == replica.StateServing && epoch < serving
 	}
 	if back(false) {
 		t.Error("it is in service in a view that is over")
@@ -436,16 +445,16 @@
 		s := given(t, 1)
 		m := s.Named("z1-2")
 		s.Run(4 * time.Second)
-		home := m.office.Asks()
+		home := m.office.ConnectedHost()
 		s.Wire = func(from, to string, x *message.Message) []Delivery {
 			all := []Delivery{{To: to, Message: x}}
-			if x.Kind == message.Poll && from == m.self.Addr {
+			if x.Type == message.TypeWatch && from == m.self.Addr {
 				if s.At(to).self.Addr != *home+":7" {
 					n++
 				}
 				late := *x
 				if blind {
-					late.Call += 1 << 40
+					late.RequestID += 1 << 40
 				}
 				all = append(all, Delivery{to, 815 * time.Millisecond, &late})
 			}
--- a/internal/controlplane/storage/changes_test.go
+++ b/internal/controlplane/storage/changes_test.go
@@ -21,13 +21,13 @@
 type history struct {
 	rng   *rand.Rand
 	items [][]byte
-	r     replica.Record
+	r     replica.PersistentState
 }
 
 func newHistory(routes int) *history {
 	h := &history{rng: rand.New(rand.NewPCG(7, 7)), items: make([][]byte, routes),
-		r: replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
-			Promised: 64, Epoch: 64, Chain: []string{"a", "b", "c"}, Content: replica.Content{Stamp: 64}}}
+		r: replica.PersistentState{CaughtUp: true, Members: []message.Node{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
+			PromisedEpoch: 64, Epoch: 64, Chain: []string{"a", "b", "c"}, Value: replica.Value{AcceptedEpoch: 64}}}
 	for i := range h.items {
 		h.items[i] = h.route(i)
 	}
@@ -43,15 +43,15 @@
 }
 
 // next changes items, and returns the record to be saved.
-func (h *history) next(items int) replica.Record {
+func (h *history) next(items int) replica.PersistentState {
 	for range items {
 		at := h.rng.IntN(len(h.items))
 		h.items[at] = h.route(at)
 	}
 	h.r.Version++
 	h.r.Config = bytes.Join(h.items, nil)
-	taken := message.Taken{Version: h.r.Version, Digest: message.SumOf(h.r.Config)}
-	h.r.Past = replica.Remember(h.r.Past, taken)
+	taken := message.AcceptedVersion{Version: h.r.Version, Digest: message.DigestOf(h.r.Config)}
+	h.r.AcceptedVersions = replica.AppendAccepted(h.r.AcceptedVersions, taken)
 	return h.r
 }
 
@@ -70,16 +70,16 @@
 // each half of it, how long the last opening took, and how many bytes a change wrote in batches.
 func changes(t testing.TB, routes, each, n int) (first, second int64, opening time.Duration, batch int) {
 	dir, h := t.TempDir(), newHistory(routes)
-	w, written := onDisk, 0
+	w, written := diskEnvironment, 0
 	w.commit = func(db *pebble.DB, b *pebble.Batch) error {
 		written += b.Len()
-		return onDisk.commit(db, b)
+		return diskEnvironment.commit(db, b)
 	}
 	v, _, err := open(dir, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var last replica.Record
+	var last replica.PersistentState
 	for i := range n {
 		if last = h.next(each); !v.save(last) {
 			t.Fatal("not saved")
@@ -150,16 +150,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r replica.Record
+	var r replica.PersistentState
 	for r.Version < 700 {
 		r.Version++
-		r.Past = replica.Remember(r.Past, message.Taken{Version: r.Version, Digest: message.Sum{byte(r.Version)}})
+		r.AcceptedVersions = replica.AppendAccepted(
+			r.AcceptedVersions,
+			message.AcceptedVersion{Version: r.Version, Digest: message.Digest{byte(r.Version)}},
+		)
 		if !v.save(r) {
 			t.Fatal("not saved")
 		}
 	}
 	v.Close(time.Minute)
-	if n := len(r.Past); n < 512 || n >= 512+message.TakenChunk {
+	if n := len(r.AcceptedVersions); n < 512 || n >= 512+message.AcceptedVersionsPerChunk {
 		t.Errorf("%d numbers are remembered", n)
 	}
 	return most
@@ -175,8 +178,8 @@
 		t.Errorf("%d bytes", most)
 	}
 	// Seeded defect: they are written whole.
-	defer func(cut message.Cut) { numbersText.cut = cut }(numbersText.cut)
-	numbersText.cut = func(text []byte, f func([]byte)) { f(text) }
+	defer func(cut message.Chunker) { acceptedVersionsValue.chunker = cut }(acceptedVersionsValue.chunker)
+	acceptedVersionsValue.chunker = func(text []byte, f func([]byte)) { f(text) }
 	if most = dearest(t); most <= bound {
 		t.Errorf("whole: %d bytes", most)
 	}
--- a/internal/controlplane/storage/closing_test.go
+++ b/internal/controlplane/storage/closing_test.go
@@ -17,17 +17,17 @@
 		t.Fatal(err)
 	}
 	told := make(chan bool, 2)
-	v.Save(replica.Record{Whole: true, Promised: 64}, func(ok bool) { told <- ok })
+	v.Save(replica.PersistentState{CaughtUp: true, PromisedEpoch: 64}, func(ok bool) { told <- ok })
 	if err := v.Close(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	v.Save(replica.Record{Whole: true, Promised: 128}, func(ok bool) { told <- ok })
+	v.Save(replica.PersistentState{CaughtUp: true, PromisedEpoch: 128}, func(ok bool) { told <- ok })
 	if first, second := <-told, <-told; !first || second {
 		t.Errorf("before it closed: %v, after: %v", first, second)
 	}
 	v, r, err := Open(dir)
-	if err != nil || r.Promised != 64 {
-		t.Errorf("promised %d, %v", r.Promised, err)
+	if err != nil || r.PromisedEpoch != 64 {
+		t.Errorf("promised %d, %v", r.PromisedEpoch, err)
 	}
 	v.Close(time.Minute)
 }
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -30,8 +30,8 @@
 	*vfs.MemFS
 	mu     sync.Mutex // one change at a time
 	n      int        // changes so far, syncs among them
-	before func(n int, o op) error
-	after  func(n int, o op) error
+	before func(n int, o operation) error
+	after  func(n int, o operation) error
 }
 
 func newDisk() *disk {
@@ -46,9 +46,9 @@
 }
 
 // ways are those of the program, over this disk, and with tables that fill up soon.
-func (d *disk) ways() ways {
-	w := onDisk
-	w.fs, w.memory, w.pause = watched{d.MemFS, d.around}, 24<<10, runtime.Gosched
+func (d *disk) ways() environment {
+	w := diskEnvironment
+	w.fs, w.memTableSize, w.retryDelay = faultFS{d.MemFS, d.around}, 24<<10, runtime.Gosched
 	began, calls := time.Now(), time.Duration(0)
 	w.now = func() time.Time { // an hour goes by between any two looks at the clock
 		calls++
@@ -57,8 +57,8 @@
 	return w
 }
 
-func (d *disk) around(o op, do func() error) error {
-	if o == opRead {
+func (d *disk) around(o operation, do func() error) error {
+	if o == operationRead {
 		return do()
 	}
 	d.mu.Lock()
@@ -96,7 +96,7 @@
 // record is the i-th that is saved, i from 1. All share the first ranges of their configurations, which come
 // to lie in tables, and no two of them the rest. Of the numbers taken, each has 24 more than the one before,
 // and the same chunks but for the first and the last.
-func record(i int) replica.Record {
+func record(i int) replica.PersistentState {
 	rng := rand.New(rand.NewPCG(uint64(i), 3))
 	var config []byte
 	for n := range 100 {
@@ -113,41 +113,52 @@
 	}
 	if i%3 == 0 { // as the one before, but for its epoch
 		r := record(i - 1)
-		r.Promised, r.Epoch = uint64(64*i), uint64(64*i)
+		r.PromisedEpoch, r.Epoch = uint64(64*i), uint64(64*i)
 		return r
 	}
-	return replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}},
-		Promised: uint64(64 * i), Epoch: uint64(64 * i), Chain: []string{"a", "b"},
-		Content: replica.Content{Stamp: uint64(64 * i), Version: uint64(i), Config: config, Past: past(24 * i)}}
+	return replica.PersistentState{
+		CaughtUp:      true,
+		Members:       []message.Node{{Addr: "a", Zone: "z"}},
+		PromisedEpoch: uint64(64 * i),
+		Epoch:         uint64(64 * i),
+		Chain:         []string{"a", "b"},
+		Value: replica.Value{
+			AcceptedEpoch:    uint64(64 * i),
+			Version:          uint64(i),
+			Config:           config,
+			AcceptedVersions: past(24 * i),
+		},
+	}
 }
 
 // past are the numbers up to one: 64 of them, and what is dropped with the next chunk.
-func past(last int) (list []message.Taken) {
-	for n := max(0, last-64) / message.TakenChunk * message.TakenChunk; n < last; n++ {
-		sum := message.SumOf([]byte{byte(n), byte(n >> 8)})
-		list = append(list, message.Taken{Version: uint64(n + 1), Digest: sum})
+func past(last int) (list []message.AcceptedVersion) {
+	const perChunk = message.AcceptedVersionsPerChunk
+	for n := max(0, last-64) / perChunk * perChunk; n < last; n++ {
+		sum := message.DigestOf([]byte{byte(n), byte(n >> 8)})
+		list = append(list, message.AcceptedVersion{Version: uint64(n + 1), Digest: sum})
 	}
 	return list
 }
 
 // number tells which record one is; -1: none that was ever saved.
-func number(r replica.Record) int {
-	i := int(r.Promised / 64)
-	if i == 0 && reflect.DeepEqual(r, replica.Record{}) || i > 0 && reflect.DeepEqual(r, record(i)) {
+func number(r replica.PersistentState) int {
+	i := int(r.PromisedEpoch / 64)
+	if i == 0 && reflect.DeepEqual(r, replica.PersistentState{}) || i > 0 && reflect.DeepEqual(r, record(i)) {
 		return i
 	}
 	return -1
 }
 
-func (v *Vault) save(r replica.Record) bool {
+func (v *Storage) save(r replica.PersistentState) bool {
 	told := make(chan bool)
 	v.Save(r, func(ok bool) { told <- ok })
 	return <-told
 }
 
 // holds opens what a disk holds, and says what is wrong with it, if the record of a number was told as saved.
-func holds(d *disk, w ways, told int) string {
-	w.fs = watched{d.MemFS, d.around}
+func holds(d *disk, w environment, told int) string {
+	w.fs = faultFS{d.MemFS, d.around}
 	v, r, err := open("data", w)
 	if err != nil {
 		return fmt.Sprint("it does not open: ", err)
@@ -157,7 +168,7 @@
 	case v.Damaged() != nil:
 		return fmt.Sprint("it is damaged: ", v.Damaged())
 	case i < 0:
-		return fmt.Sprintf("it holds what was never saved: stamp %d, version %d", r.Stamp, r.Version)
+		return fmt.Sprintf("it holds what was never saved: stamp %d, version %d", r.AcceptedEpoch, r.Version)
 	case i < told:
 		return fmt.Sprintf("it holds record %d, and %d was told as saved", i, told)
 	case !v.save(record(i + 1)):
@@ -168,13 +179,13 @@
 
 // outage saves records while the power goes at each change of the disk in turn, each time with a loss of its
 // own, and returns what is found wrong first.
-func outage(change func(*ways), saves int) (found string, changes int) {
+func outage(change func(*environment), saves int) (found string, changes int) {
 	d := newDisk()
 	rng := rand.New(rand.NewPCG(7, 1))
 	var told atomic.Int64
 	w := d.ways()
 	change(&w)
-	d.before = func(n int, _ op) error {
+	d.before = func(n int, _ operation) error {
 		for _, percent := range []int{0, 50} {
 			if found != "" || n%2 != percent/50 {
 				continue
@@ -202,7 +213,7 @@
 // was not synced is kept or lost piece by piece, then the store opens, with a record at least as new as the
 // last that was told as saved, and all of that one.
 func TestALossOfPowerAnywhere(t *testing.T) {
-	found, changes := outage(func(*ways) {}, 40)
+	found, changes := outage(func(*environment) {}, 40)
 	if found != "" {
 		t.Error(found)
 	}
@@ -214,11 +225,11 @@
 
 // Seeded defects, each of which the test above finds.
 func TestALossOfPowerFinds(t *testing.T) {
-	for name, defect := range map[string]func(*ways){
-		"a save told before its sync": func(w *ways) {
+	for name, defect := range map[string]func(*environment){
+		"a save told before its sync": func(w *environment) {
 			w.commit = func(db *pebble.DB, b *pebble.Batch) error { return db.Apply(b, pebble.NoSync) }
 		},
-		"a record written in two batches": func(w *ways) {
+		"a record written in two batches": func(w *environment) {
 			w.commit = inParts
 		},
 	} {
@@ -260,14 +271,14 @@
 
 // play saves records on a disk that begins to refuse at a change, and is well again once three saves have
 // failed. It returns how many failed, whether the change came at all, and what is found wrong.
-func (c refusals) play(at int, change func(*ways)) (failed int, begun bool, found string) {
+func (c refusals) play(at int, change func(*environment)) (failed int, begun bool, found string) {
 	const saves = 14
 	d := newDisk()
 	w := d.ways()
 	change(&w)
 	var began atomic.Bool
-	around := func(f func(int) error) func(int, op) error {
-		return func(n int, _ op) error {
+	around := func(f func(int) error) func(int, operation) error {
+		return func(n int, _ operation) error {
 			if f == nil || n < at {
 				return nil
 			}
@@ -326,7 +337,7 @@
 		for begun := true; begun; at++ {
 			var failed int
 			var found string
-			if failed, begun, found = c.play(at, func(*ways) {}); found != "" {
+			if failed, begun, found = c.play(at, func(*environment) {}); found != "" {
 				t.Fatalf("%s, at change %d: %s", c.name, at, found)
 			}
 			refused += failed
@@ -361,13 +372,19 @@
 		code   int
 		says   string
 	}{
-		{"none", fenced, 1, d.ways().memory, 0, "PASS"},
-		{"pebble meets a full disk as it opens", ownLogger, 1, d.ways().memory, 1,
+		{"none", guardPebble, 1, d.ways().memTableSize, 0, "PASS"},
+		{"pebble meets a full disk as it opens", ownLogger, 1, d.ways().memTableSize, 1,
 			"MANIFEST flush failed: no space left"},
-		{"pebble meets a full disk at a save", ownLogger, d.n, onDisk.memory, 1, // no table comes first
-			"pebble: fatal commit error: no space left"},
-		{"Fatalf alone is held back", unfenced(func(s *store) pebble.Logger { return quiet{s} }), d.n,
-			d.ways().memory, 2, "fatal error: sync: unlock of unlocked mutex"},
+		{
+			"pebble meets a full disk at a save",
+			ownLogger,
+			d.n,
+			diskEnvironment.memTableSize,
+			1, // no table comes first
+			"pebble: fatal commit error: no space left",
+		},
+		{"Fatalf alone is held back", unfenced(func(s *store) pebble.Logger { return quietLogger{s} }), d.n,
+			d.ways().memTableSize, 2, "fatal error: sync: unlock of unlocked mutex"},
 	}
 	for _, c := range defects {
 		if os.Getenv(seeded) != c.name {
@@ -375,7 +392,7 @@
 		}
 		for at, begun := c.from, true; begun; at++ {
 			var found string
-			_, begun, found = full.play(at, func(w *ways) { w.guard, w.memory = c.guard, c.memory })
+			_, begun, found = full.play(at, func(w *environment) { w.guard, w.memTableSize = c.guard, c.memory })
 			if found != "" {
 				t.Errorf("at change %d: %s", at, found)
 			}
@@ -411,7 +428,7 @@
 		left := func() *disk { return old.lose(100, rand.New(rand.NewPCG(1, 1))) }
 		for at := 1; ; at++ {
 			d := left()
-			d.before = func(n int, _ op) error {
+			d.before = func(n int, _ operation) error {
 				if n < at {
 					return nil
 				}
@@ -465,7 +482,7 @@
 	for at := 1; ; at++ {
 		d := newDisk()
 		hung, on := make(chan struct{}), make(chan struct{})
-		d.before = func(n int, _ op) error {
+		d.before = func(n int, _ operation) error {
 			if n == at {
 				close(hung)
 				<-on
@@ -473,7 +490,7 @@
 			return nil
 		}
 		var order []int
-		opened := make(chan *Vault, 1)
+		opened := make(chan *Storage, 1)
 		told := make(chan int, saves)
 		go func() {
 			v, _, err := open("data", d.ways())
@@ -534,8 +551,8 @@
 
 // damages opens a store of which one thing was altered, and says what is wrong: it must be told, and nothing
 // of it served; and the machine can keep what it is given next.
-func damages(d *disk, w ways) string {
-	w.fs = watched{d.MemFS, d.around}
+func damages(d *disk, w environment) string {
+	w.fs = faultFS{d.MemFS, d.around}
 	v, r, err := open("data", w)
 	if err != nil {
 		return fmt.Sprint("it does not open: ", err)
@@ -543,8 +560,8 @@
 	defer v.Close(time.Minute)
 	switch {
 	case v.Damaged() == nil && number(r) < 0:
-		return fmt.Sprintf("it serves what was never saved: stamp %d, version %d", r.Stamp, r.Version)
-	case v.Damaged() != nil && !reflect.DeepEqual(r, replica.Record{}):
+		return fmt.Sprintf("it serves what was never saved: stamp %d, version %d", r.AcceptedEpoch, r.Version)
+	case v.Damaged() != nil && !reflect.DeepEqual(r, replica.PersistentState{}):
 		return "it is told as damaged, and served"
 	}
 	for n := 0; !v.save(record(50)); n++ { // the damage may show only now
@@ -580,7 +597,7 @@
 	for key, value := range keys {
 		for _, drop := range []bool{false, true} {
 			left := d.lose(100, rand.New(rand.NewPCG(1, 1)))
-			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: left.MemFS, Logger: quiet{&store{}}})
+			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: left.MemFS, Logger: quietLogger{&store{}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -591,7 +608,7 @@
 				db.Set([]byte(key), value, pebble.Sync)
 			}
 			db.Close()
-			if !drop || key != string(keyHead) { // without a head it is an empty store
+			if !drop || key != string(keyState) { // without a head it is an empty store
 				f(key, left)
 			}
 		}
@@ -617,7 +634,7 @@
 	found := map[string]string{}
 	altered(t, func(key string, d *disk) {
 		w := d.ways()
-		w.same = func(message.Sum, []byte) bool { return true }
+		w.verify = func(message.Digest, []byte) bool { return true }
 		if f := damages(d, w); f != "" {
 			kind, _, _ := strings.Cut(key, "/")
 			found[kind] = fmt.Sprintf("%q: %s", key, f)
--- a/internal/controlplane/storage/golden_test.go
+++ b/internal/controlplane/storage/golden_test.go
@@ -20,58 +20,85 @@
 var update = flag.Bool("update", false, "write the golden stores anew, for a new form only")
 
 // goldenRecord is what the golden stores hold; the two earlier forms hold a part of it.
-func goldenRecord() replica.Record {
+func goldenRecord() replica.PersistentState {
 	config := []byte(`{"version":"r7","items_of":[` +
 		`{"item_kind":"routes","metadata":{"name":"a"},"desired":{"domain":"a.example"}},` +
 		`{"item_kind":"limits","metadata":{},"desired":{"idle_s":15}}]}`)
-	members := []message.Machine{{Addr: "10.1.0.1:7560", Zone: "z1", ID: 11, Seat: 1},
-		{Addr: "10.2.0.1:7560", Zone: "z2", ID: 12, Seat: 2}}
-	return replica.Record{Whole: true, ID: 11, Registry: members, Generation: 130,
-		Former:  []message.Machine{{Addr: "10.3.0.1:7560", Zone: "z3", ID: 13, Seat: 3}},
-		Removed: []message.Machine{{Addr: "10.4.0.1:7560", Zone: "z4", ID: 14, Seat: 4}}, Barred: true,
-		Promised: 258, Epoch: 193, Chain: []string{"10.1.0.1:7560", "10.2.0.1:7560"},
-		Content: replica.Content{Stamp: 193, Version: 7, Config: config,
-			Past: []message.Taken{{Version: 5, Digest: message.SumOf([]byte("five"))},
-				{Version: 7, Digest: message.SumOf(config)}}},
-		Founding: replica.Founding{Sure: true, Seeds: []string{"10.1.0.1:7560"}, Pledged: 65, Ballot: 64,
-			Draft: members}}
+	members := []message.Node{{Addr: "10.1.0.1:7560", Zone: "z1", StoreID: 11, ProposerID: 1},
+		{Addr: "10.2.0.1:7560", Zone: "z2", StoreID: 12, ProposerID: 2}}
+	return replica.PersistentState{
+		CaughtUp:        true,
+		StoreID:         11,
+		Members:         members,
+		MembershipEpoch: 130,
+		OutgoingMembers: []message.Node{{Addr: "10.3.0.1:7560", Zone: "z3", StoreID: 13, ProposerID: 3}},
+		RemovedMembers: []message.Node{
+			{Addr: "10.4.0.1:7560", Zone: "z4", StoreID: 14, ProposerID: 4},
+		},
+		RemovedByOperator: true,
+		PromisedEpoch:     258,
+		Epoch:             193,
+		Chain:             []string{"10.1.0.1:7560", "10.2.0.1:7560"},
+		Value: replica.Value{AcceptedEpoch: 193, Version: 7, Config: config,
+			AcceptedVersions: []message.AcceptedVersion{{Version: 5, Digest: message.DigestOf([]byte("five"))},
+				{Version: 7, Digest: message.DigestOf(config)}}},
+		Bootstrap: replica.BootstrapState{
+			Trusted:         true,
+			Seeds:           []string{"10.1.0.1:7560"},
+			PromisedBallot:  65,
+			AcceptedBallot:  64,
+			AcceptedMembers: members,
+		},
+	}
 }
 
 // goldenForms are the forms of a store that are read, with the record that each holds. The first two are
 // written by no program any more: their keys are set by hand.
 func goldenForms() map[string]struct {
-	want replica.Record
+	want replica.PersistentState
 	keys map[string][]byte
 } {
 	want := goldenRecord()
-	first := replica.Record{Whole: true, Registry: want.Registry, Promised: want.Promised, Epoch: want.Epoch,
-		Chain: want.Chain, Content: replica.Content{Version: 7, Config: want.Config}}
+	first := replica.PersistentState{
+		CaughtUp:      true,
+		Members:       want.Members,
+		PromisedEpoch: want.PromisedEpoch,
+		Epoch:         want.Epoch,
+		Chain:         want.Chain,
+		Value:         replica.Value{Version: 7, Config: want.Config},
+	}
 	second := want
-	h := head{
-		Whole:    true,
-		Registry: want.Registry,
-		Promised: want.Promised,
-		Epoch:    want.Epoch,
-		Chain:    want.Chain,
-		Version:  7,
+	h := storedState{
+		CaughtUp:      true,
+		Members:       want.Members,
+		PromisedEpoch: want.PromisedEpoch,
+		Epoch:         want.Epoch,
+		Chain:         want.Chain,
+		Version:       7,
 	}
 	sum := func(text []byte) []byte {
-		s := message.SumOf(text)
+		s := message.DigestOf(text)
 		return s[:]
 	}
-	numbers, list := message.Encode(nil, &earlierPast{want.Past}), sum(want.Config)
+	numbers, list := message.MarshalAppend(nil, &legacyAcceptedVersions{want.AcceptedVersions}), sum(want.Config)
 	h2 := h
-	h2.Stamp, h2.ID, h2.Generation, h2.Former = want.Stamp, want.ID, want.Generation, want.Former
-	h2.Removed, h2.Barred, h2.Sure, h2.Seeds = want.Removed, true, true, want.Founding.Seeds
-	h2.Pledged, h2.Ballot, h2.Draft = 65, 64, want.Founding.Draft
-	h2.Ranges, h2.Past = sum(list), sum(numbers)
-	text := message.Encode(nil, &h2)
+	h2.AcceptedEpoch = want.AcceptedEpoch
+	h2.StoreID = want.StoreID
+	h2.MembershipEpoch = want.MembershipEpoch
+	h2.OutgoingMembers = want.OutgoingMembers
+	h2.RemovedMembers = want.RemovedMembers
+	h2.RemovedByOperator = true
+	h2.BootstrapTrusted = true
+	h2.Seeds = want.Bootstrap.Seeds
+	h2.PromisedBallot, h2.AcceptedBallot, h2.AcceptedMembers = 65, 64, want.Bootstrap.AcceptedMembers
+	h2.ConfigIndex, h2.LegacyAcceptedVersions = sum(list), sum(numbers)
+	text := message.MarshalAppend(nil, &h2)
 	return map[string]struct {
-		want replica.Record
+		want replica.PersistentState
 		keys map[string][]byte
 	}{
-		"record": {first, map[string][]byte{"record": message.Encode(nil, &h),
-			"config": message.Encode(nil, &earlierConfig{7, want.Config})}},
+		"record": {first, map[string][]byte{"record": message.MarshalAppend(nil, &h),
+			"config": message.MarshalAppend(nil, &legacyConfig{7, want.Config})}},
 		"past": {second, map[string][]byte{"head": append(sum(text), text...), "ranges": list,
 			"range/" + string(list): want.Config, "past": numbers}},
 		"head": {want, nil},
@@ -80,7 +107,7 @@
 
 // contents returns all keys and values of a store, a line each.
 func contents(t *testing.T, dir string) []byte {
-	db, err := pebble.Open(filepath.Join(dir, "vault"), &pebble.Options{Logger: quiet{}})
+	db, err := pebble.Open(filepath.Join(dir, "vault"), &pebble.Options{Logger: quietLogger{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +124,7 @@
 	return out.Bytes()
 }
 
-func writeGolden(t *testing.T, dir string, want replica.Record, keys map[string][]byte) {
+func writeGolden(t *testing.T, dir string, want replica.PersistentState, keys map[string][]byte) {
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +138,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	db, err := pebble.Open(filepath.Join(dir, "vault"), &pebble.Options{Logger: quiet{}})
+	db, err := pebble.Open(filepath.Join(dir, "vault"), &pebble.Options{Logger: quietLogger{}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/storage/snapshot.go
+++ b/internal/controlplane/storage/snapshot.go
@@ -20,46 +20,53 @@
 // Snapshot is what a stopped machine's store holds, as a document that staff can keep and look at. The
 // configuration is in it with its tenants' keys: it is to be kept like one.
 type Snapshot struct {
-	Form    int      `json:"form"`  // of the document: 1
-	Whole   bool     `json:"whole"` // the machine had all that was acknowledged, and a vote
-	Version uint64   `json:"version"`
-	Epoch   uint64   `json:"epoch"` // the highest that it has promised or installed
-	Core    []string `json:"core"`  // addresses of the machines of the core
-	Chain   []string `json:"chain"` // of the view installed last
-	Digest  string   `json:"sha256"`
-	Config  string   `json:"config"` // as it was sent
+	Format   int      `json:"form"`  // of the document: 1
+	CaughtUp bool     `json:"whole"` // the machine had all that was acknowledged, and a vote
+	Version  uint64   `json:"version"`
+	Epoch    uint64   `json:"epoch"` // the highest that it has promised or installed
+	Members  []string `json:"core"`  // addresses of the machines of the core
+	Chain    []string `json:"chain"` // of the view installed last
+	Digest   string   `json:"sha256"`
+	Config   string   `json:"config"` // as it was sent
 }
 
-// snapshotForm is the form that this program writes and reads.
-const snapshotForm = 1
+// snapshotFormat is the form that this program writes and reads.
+const snapshotFormat = 1
 
-// Look reads the store of a stopped machine without changing it. The error is a trace.NotFound where there is
-// no store, a trace.CompareFailed where the store is in use or can't be read whole.
-func Look(dir string) (*Snapshot, error) {
+// ReadSnapshot reads the store of a stopped machine without changing it. The error is a trace.NotFound where
+// there is no store, a trace.CompareFailed where the store is in use or can't be read whole.
+func ReadSnapshot(dir string) (*Snapshot, error) {
 	path := filepath.Join(dir, "vault")
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, trace.NotFound("no store in this folder")
 	}
-	lock, err := onDisk.fs.Lock(filepath.Join(path, lockName))
+	lock, err := diskEnvironment.fs.Lock(filepath.Join(path, lockName))
 	if err != nil {
 		return nil, trace.CompareFailed("the store can't be opened; does its machine run? %v", err)
 	}
 	defer lock.Close()
-	store, err := openStore(path, onDisk, true)
+	store, err := openStore(path, diskEnvironment, true)
 	if err != nil {
 		return nil, trace.CompareFailed("the store can't be read: %v", err)
 	}
 	defer store.close()
-	r := store.record()
-	s := &Snapshot{Form: snapshotForm, Whole: r.Whole, Version: r.Version, Epoch: max(r.Promised, r.Epoch),
-		Chain: r.Chain, Digest: digest(r.Config), Config: string(r.Config)}
-	for _, m := range r.Registry {
-		s.Core = append(s.Core, m.Addr)
+	r := store.takeInitial()
+	s := &Snapshot{
+		Format:   snapshotFormat,
+		CaughtUp: r.CaughtUp,
+		Version:  r.Version,
+		Epoch:    max(r.PromisedEpoch, r.Epoch),
+		Chain:    r.Chain,
+		Digest:   configDigest(r.Config),
+		Config:   string(r.Config),
+	}
+	for _, m := range r.Members {
+		s.Members = append(s.Members, m.Addr)
 	}
 	return s, nil
 }
 
-func digest(config []byte) string {
+func configDigest(config []byte) string {
 	sum := sha256.Sum256(config)
 	return hex.EncodeToString(sum[:])
 }
@@ -78,9 +85,9 @@
 		return nil, trace.BadParameter("snapshot: can't be read: %v", err)
 	}
 	switch {
-	case s.Form != snapshotForm:
-		return nil, trace.BadParameter("snapshot: of form %d, this program reads %d", s.Form, snapshotForm)
-	case s.Digest != digest([]byte(s.Config)):
+	case s.Format != snapshotFormat:
+		return nil, trace.BadParameter("snapshot: of form %d, this program reads %d", s.Format, snapshotFormat)
+	case s.Digest != configDigest([]byte(s.Config)):
 		return nil, trace.BadParameter("snapshot: it is not as it was written: its digest differs")
 	case s.Version > 0 && s.Config == "":
 		return nil, trace.BadParameter("snapshot: the configuration is missing")
@@ -88,14 +95,14 @@
 	return s, nil
 }
 
-// epochsPassed is by how much a core that is founded anew begins above the epochs of a snapshot: those who
-// are not in it may have promised later ones.
-const epochsPassed = 1 << 20
+// restoredEpochGap is by how much a core that is founded anew begins above the epochs of a snapshot: those
+// who are not in it may have promised later ones.
+const restoredEpochGap = 1 << 20
 
-// Found makes the store of one machine of a core that is founded anew from a snapshot. All machines named
+// Restore makes the store of one machine of a core that is founded anew from a snapshot. All machines named
 // must get the same, and none of the old core may be started again with its old store. The folder must hold
 // no store; the error is a trace.AlreadyExists otherwise.
-func Found(dir string, s *Snapshot, core []message.Machine) error {
+func Restore(dir string, s *Snapshot, core []message.Node) error {
 	if len(core) == 0 {
 		return trace.BadParameter("a core needs machines")
 	}
@@ -106,16 +113,24 @@
 		return trace.ConvertSystemError(err)
 	}
 	core = slices.Clone(core)
-	slices.SortFunc(core, func(a, b message.Machine) int { return strings.Compare(a.Addr, b.Addr) })
+	slices.SortFunc(core, func(a, b message.Node) int { return strings.Compare(a.Addr, b.Addr) })
 	v, _, err := Open(dir)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	epoch := s.Epoch + epochsPassed
+	epoch := s.Epoch + restoredEpochGap
 	for i := range core { // the same on all of them, and of no store before
-		core[i].ID = epoch
+		core[i].StoreID = epoch
 	}
-	err = v.write(replica.Record{Whole: true, Registry: core, Generation: epoch, Promised: epoch, Epoch: epoch,
-		Content: replica.Content{Version: s.Version, Config: []byte(s.Config)}})
-	return trace.NewAggregate(err, v.Close(closeWait))
+	err = v.write(
+		replica.PersistentState{
+			CaughtUp:        true,
+			Members:         core,
+			MembershipEpoch: epoch,
+			PromisedEpoch:   epoch,
+			Epoch:           epoch,
+			Value:           replica.Value{Version: s.Version, Config: []byte(s.Config)},
+		},
+	)
+	return trace.NewAggregate(err, v.Close(closeTimeout))
 }
--- a/internal/controlplane/storage/vault_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -19,11 +19,15 @@
 func TestARecordOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	v, r, err := Open(dir)
-	if err != nil || !reflect.DeepEqual(r, replica.Record{}) {
+	if err != nil || !reflect.DeepEqual(r, replica.PersistentState{}) {
 		t.Fatalf("an empty store: %+v, %v", r, err)
 	}
 	saved := make(chan bool)
-	want := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}}, Promised: 128}
+	want := replica.PersistentState{
+		CaughtUp:      true,
+		Members:       []message.Node{{Addr: "a", Zone: "z"}},
+		PromisedEpoch: 128,
+	}
 	for version := range uint64(5) {
 		want.Version, want.Config = version+1, []byte{'c', byte(version)}
 		v.Save(want, func(ok bool) { saved <- ok })
@@ -32,11 +36,16 @@
 		}
 	}
 	want.Epoch, want.Chain = 128, []string{"a", "b"}
-	want.ID, want.Generation = 9, 128
-	want.Former = []message.Machine{{Addr: "a", ID: 8, Seat: 1}}
-	want.Removed, want.Barred = []message.Machine{{Addr: "b", ID: 7, Seat: 2}}, true
-	want.Founding = replica.Founding{Sure: true, Seeds: []string{"a"}, Pledged: 65, Ballot: 64,
-		Draft: want.Registry}
+	want.StoreID, want.MembershipEpoch = 9, 128
+	want.OutgoingMembers = []message.Node{{Addr: "a", StoreID: 8, ProposerID: 1}}
+	want.RemovedMembers, want.RemovedByOperator = []message.Node{{Addr: "b", StoreID: 7, ProposerID: 2}}, true
+	want.Bootstrap = replica.BootstrapState{
+		Trusted:         true,
+		Seeds:           []string{"a"},
+		PromisedBallot:  65,
+		AcceptedBallot:  64,
+		AcceptedMembers: want.Members,
+	}
 	v.Save(want, func(ok bool) { saved <- ok })
 	<-saved
 	if err := v.Close(time.Minute); err != nil {
@@ -57,17 +66,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
-		Promised: 256, Epoch: 192, Chain: []string{"a", "b"},
-		Content: replica.Content{Version: 7, Config: []byte(`{"version":"r7"}`)}}
+	old := replica.PersistentState{
+		CaughtUp:      true,
+		Members:       []message.Node{{Addr: "a"}, {Addr: "b"}, {Addr: "c"}},
+		PromisedEpoch: 256,
+		Epoch:         192,
+		Chain:         []string{"a", "b"},
+		Value:         replica.Value{Version: 7, Config: []byte(`{"version":"r7"}`)},
+	}
 	if err := v.write(old); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Look(dir); !trace.IsCompareFailed(err) {
+	if _, err := ReadSnapshot(dir); !trace.IsCompareFailed(err) {
 		t.Errorf("a store in use: %v", err)
 	}
 	v.Close(time.Minute)
-	s, err := Look(dir)
+	s, err := ReadSnapshot(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,14 +90,14 @@
 		t.Fatal(err)
 	}
 	read, err := DecodeSnapshot(text)
-	if err != nil || !reflect.DeepEqual(read, s) || s.Epoch != 256 || len(s.Core) != 3 {
+	if err != nil || !reflect.DeepEqual(read, s) || s.Epoch != 256 || len(s.Members) != 3 {
 		t.Fatalf("%+v, %v; want %+v", read, err, s)
 	}
-	core := []message.Machine{{Addr: "d", Zone: "z"}, {Addr: "a", Zone: "y"}}
-	if err := Found(fresh, read, core); err != nil {
+	core := []message.Node{{Addr: "d", Zone: "z"}, {Addr: "a", Zone: "y"}}
+	if err := Restore(fresh, read, core); err != nil {
 		t.Fatal(err)
 	}
-	if err := Found(fresh, read, core); !trace.IsAlreadyExists(err) {
+	if err := Restore(fresh, read, core); !trace.IsAlreadyExists(err) {
 		t.Errorf("over a store: %v", err)
 	}
 	v, got, err := Open(fresh)
@@ -91,18 +105,18 @@
 		t.Fatal(err)
 	}
 	v.Close(time.Minute)
-	if !got.Whole || got.Epoch <= old.Promised || got.Promised != got.Epoch || got.Version != 7 ||
-		string(got.Config) != string(old.Config) || len(got.Registry) != 2 || got.Registry[0].Addr != "a" {
+	if !got.CaughtUp || got.Epoch <= old.PromisedEpoch || got.PromisedEpoch != got.Epoch || got.Version != 7 ||
+		string(got.Config) != string(old.Config) || len(got.Members) != 2 || got.Members[0].Addr != "a" {
 		t.Errorf("%+v", got)
 	}
 }
 
 func TestASnapshotThatIsNotWholeIsNotTaken(t *testing.T) {
-	good := Snapshot{Form: 1, Version: 3, Config: "x", Digest: digest([]byte("x"))}
+	good := Snapshot{Format: 1, Version: 3, Config: "x", Digest: configDigest([]byte("x"))}
 	for name, change := range map[string]func(*Snapshot){
-		"form":          func(s *Snapshot) { s.Form = 2 },
+		"form":          func(s *Snapshot) { s.Format = 2 },
 		"digest":        func(s *Snapshot) { s.Config = "y" },
-		"configuration": func(s *Snapshot) { s.Config, s.Digest = "", digest(nil) },
+		"configuration": func(s *Snapshot) { s.Config, s.Digest = "", configDigest(nil) },
 	} {
 		s := good
 		change(&s)
@@ -114,7 +128,7 @@
 	if _, err := DecodeSnapshot([]byte("{")); !trace.IsBadParameter(err) {
 		t.Errorf("cut off: %v", err)
 	}
-	if _, err := Look(t.TempDir()); !trace.IsNotFound(err) {
+	if _, err := ReadSnapshot(t.TempDir()); !trace.IsNotFound(err) {
 		t.Errorf("no store: %v", err)
 	}
 }
@@ -122,36 +136,54 @@
 // Given the stores of machines that ran earlier programs, when they are opened, then the record is there, and
 // the first save writes it in the form that there is now.
 func TestAStoreOfAnEarlierFormIsTakenOver(t *testing.T) {
-	want := replica.Record{Whole: true, Registry: []message.Machine{{Addr: "a", Zone: "z"}}, Promised: 192,
-		Epoch: 128, Chain: []string{"a"}, Content: replica.Content{Version: 7, Config: []byte("text")}}
+	want := replica.PersistentState{
+		CaughtUp:      true,
+		Members:       []message.Node{{Addr: "a", Zone: "z"}},
+		PromisedEpoch: 192,
+		Epoch:         128,
+		Chain:         []string{"a"},
+		Value:         replica.Value{Version: 7, Config: []byte("text")},
+	}
 	numbered := want
-	numbered.Past = past(70)
-	h := head{Whole: true, Registry: want.Registry, Promised: 192, Epoch: 128, Chain: want.Chain, Version: 7}
+	numbered.AcceptedVersions = past(70)
+	h := storedState{
+		CaughtUp:      true,
+		Members:       want.Members,
+		PromisedEpoch: 192,
+		Epoch:         128,
+		Chain:         want.Chain,
+		Version:       7,
+	}
 	under := func(text []byte) []byte {
-		sum := message.SumOf(text)
+		sum := message.DigestOf(text)
 		return sum[:]
 	}
-	range1, whole, numberedHead := under(want.Config), message.Encode(nil, &earlierPast{numbered.Past}), h
-	numberedHead.Ranges, numberedHead.Past = under(range1), under(whole)
-	text := message.Encode(nil, &numberedHead)
+	range1, whole, numberedHead := under(
+		want.Config,
+	), message.MarshalAppend(
+		nil,
+		&legacyAcceptedVersions{numbered.AcceptedVersions},
+	), h
+	numberedHead.ConfigIndex, numberedHead.LegacyAcceptedVersions = under(range1), under(whole)
+	text := message.MarshalAppend(nil, &numberedHead)
 	for _, c := range []struct {
-		want replica.Record
+		want replica.PersistentState
 		keys map[string][]byte
 		gone []byte // a key that the first save removes
 	}{
 		{want, map[string][]byte{
-			string(keyEarlier):       message.Encode(nil, &h),
-			string(keyEarlierConfig): message.Encode(nil, &earlierConfig{7, want.Config}),
-		}, keyEarlier},
+			string(keyLegacyState):  message.MarshalAppend(nil, &h),
+			string(keyLegacyConfig): message.MarshalAppend(nil, &legacyConfig{7, want.Config}),
+		}, keyLegacyState},
 		{numbered, map[string][]byte{
-			string(keyHead):                append(under(text), text...),
-			string(configText.list):        range1,
-			string(configText.key(range1)): want.Config,
-			string(keyPast):                whole,
-		}, keyPast},
+			string(keyState):                     append(under(text), text...),
+			string(configValue.indexKey):         range1,
+			string(configValue.chunkKey(range1)): want.Config,
+			string(keyLegacyAcceptedVersions):    whole,
+		}, keyLegacyAcceptedVersions},
 	} {
 		dir, want := t.TempDir(), c.want
-		db, err := pebble.Open(filepath.Join(dir, storeName), &pebble.Options{Logger: quiet{}})
+		db, err := pebble.Open(filepath.Join(dir, storeName), &pebble.Options{Logger: quietLogger{}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -172,7 +204,7 @@
 			if earlier := err == nil; earlier != (stamp == 0) {
 				t.Errorf("%s: what there was before is there: %v", c.gone, earlier)
 			}
-			want.Stamp = 256
+			want.AcceptedEpoch = 256
 			if !v.save(want) || v.Close(time.Minute) != nil {
 				t.Fatal("not saved")
 			}
--- a/internal/controlplane/transport/calls_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -45,7 +45,7 @@
 
 // end is a trunk in memory, what it heard, and what it logged.
 type end struct {
-	*Trunk
+	*Transport
 	mu    sync.Mutex
 	calls []uint64
 	came  chan uint64
@@ -57,15 +57,15 @@
 	t.Helper()
 	e := &end{came: make(chan uint64, 64), log: make(chan events.Event, 64)}
 	var err error
-	e.Trunk, err = New(Options{Self: self, Life: life, Listen: l.listen, Dial: dial,
+	e.Transport, err = New(Options{Self: self, Incarnation: life, Listen: l.listen, Dial: dial,
 		Handle: func(_ string, m *message.Message) {
 			e.mu.Lock()
-			e.calls = append(e.calls, m.Call)
+			e.calls = append(e.calls, m.RequestID)
 			e.mu.Unlock()
-			e.came <- m.Call
+			e.came <- m.RequestID
 		},
 		Log: func(v events.Event, _ ...any) {
-			if v != events.LineSoft {
+			if v != events.UserTimeoutUnsupported {
 				e.log <- v
 			}
 		}})
@@ -118,7 +118,12 @@
 	b := l.end(t, "b", 2, l.dial)
 	first := true
 	var sent bytes.Buffer
-	ring := len(message.Append(nil, &message.Message{Kind: message.Ringing, From: "a", Life: 1, To: "b"}))
+	ring := len(
+		message.AppendFrame(
+			nil,
+			&message.Message{Type: message.TypeHandshake, Sender: "a", Incarnation: 1, Receiver: "b"},
+		),
+	)
 	a := l.end(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := l.dial(ctx, network, addr)
 		switch {
@@ -131,16 +136,16 @@
 		return nc, err
 	})
 	for call := range uint64(3) {
-		a.Send("b", &message.Message{Kind: message.Put, Call: call + 1})
+		a.Send("b", &message.Message{Type: message.TypePut, RequestID: call + 1})
 	}
-	if v := <-b.log; v != events.PeerGone {
+	if v := <-b.log; v != events.PeerDisconnected {
 		t.Errorf("reset after %d bytes: %s", after, v.Text)
 	}
 	for call := uint64(4); ; call++ {
-		a.Trunk.mu.Lock()
-		a.peer("b").failed = time.Time{} // it was too soon to dial again
-		a.Trunk.mu.Unlock()
-		a.Send("b", &message.Message{Kind: message.Put, Call: call})
+		a.Transport.mu.Lock()
+		a.peer("b").lastFailure = time.Time{} // it was too soon to dial again
+		a.Transport.mu.Unlock()
+		a.Send("b", &message.Message{Type: message.TypePut, RequestID: call})
 		select {
 		case c := <-b.came:
 			if c < 4 {
@@ -158,8 +163,15 @@
 // Given calls on a connection, when it is reset at any byte, then each call is heard once, or never, and none
 // in part; and the next are heard. A trunk that sends its queue anew is found out.
 func TestWhatAResetCutsOffIsNotSentTwice(t *testing.T) {
-	size := len(message.Append(nil, &message.Message{Kind: message.Ringing, From: "a", Life: 1, To: "b"})) +
-		3*len(message.Append(nil, &message.Message{Kind: message.Put, Call: 1}))
+	size := len(
+		message.AppendFrame(
+			nil,
+			&message.Message{Type: message.TypeHandshake, Sender: "a", Incarnation: 1, Receiver: "b"},
+		),
+	) +
+		3*len(
+			message.AppendFrame(nil, &message.Message{Type: message.TypePut, RequestID: 1}),
+		)
 	twice := 0
 	for after := range size {
 		heard := reset(t, after, false)
@@ -181,11 +193,11 @@
 type misdialled struct{ net.Conn }
 
 func (c misdialled) Write(p []byte) (int, error) {
-	var cut message.Cutter
+	var cut message.FrameDecoder
 	cut.Feed(p)
-	if m, _ := cut.Next(); m != nil && m.Kind == message.Ringing {
-		m.To = "b"
-		p = message.Append(nil, m)
+	if m, _ := cut.Next(); m != nil && m.Type == message.TypeHandshake {
+		m.Receiver = "b"
+		p = message.AppendFrame(nil, m)
 	}
 	return c.Conn.Write(p)
 }
@@ -203,9 +215,9 @@
 			}
 			return nc, err
 		})
-		a.Send("old", &message.Message{Kind: message.Confirm, Call: 1})
+		a.Send("old", &message.Message{Type: message.TypeConfirmEpoch, RequestID: 1})
 		if looks {
-			if v := <-b.log; v != events.PeerBad {
+			if v := <-b.log; v != events.PeerProtocolError {
 				t.Errorf("b says: %s", v.Text)
 			}
 			if len(b.came) > 0 {
@@ -213,7 +225,7 @@
 			}
 			continue
 		}
-		if v := <-a.log; v != events.PeerBad { // the defect is found at the other end, too
+		if v := <-a.log; v != events.PeerProtocolError { // the defect is found at the other end, too
 			t.Errorf("a says: %s", v.Text)
 		}
 		if len(a.came) > 0 {
@@ -227,18 +239,26 @@
 	t.Helper()
 	nc, _ := l.dial(context.Background(), "", to.Self)
 	t.Cleanup(func() { nc.Close() })
-	nc.Write(message.Append(nil, &message.Message{Kind: message.Ringing, From: from, Life: life, To: to.Self}))
-	if m := next(nc); m == nil || m.Kind != message.Ringing || m.From != to.Self || m.Life != to.Life {
+	nc.Write(
+		message.AppendFrame(
+			nil,
+			&message.Message{Type: message.TypeHandshake, Sender: from, Incarnation: life, Receiver: to.Self},
+		),
+	)
+	if m := next(
+		nc,
+	); m == nil || m.Type != message.TypeHandshake || m.Sender != to.Self ||
+		m.Incarnation != to.Incarnation {
 		t.Fatalf("answered %+v", m)
 	}
-	nc.Write(message.Append(nil, &message.Message{Kind: message.Beat}))
+	nc.Write(message.AppendFrame(nil, &message.Message{Type: message.TypeHeartbeat}))
 	<-to.came
 	return nc
 }
 
 // next reads a message; nil: the connection has ended.
 func next(nc net.Conn) *message.Message {
-	var c message.Cutter
+	var c message.FrameDecoder
 	buf := make([]byte, 1)
 	for {
 		if _, err := nc.Read(buf); err != nil {
@@ -259,7 +279,7 @@
 		l := lines{}
 		b := l.end(t, "b", 2, l.dial)
 		old := l.ring(t, "a", 1, b)
-		b.Send("a", &message.Message{Kind: message.Done, Call: 1})
+		b.Send("a", &message.Message{Type: message.TypeCommitted, RequestID: 1})
 		old.Read(make([]byte, 1)) // it stands still in the midst of it
 		young := l.ring(t, "a", life, b)
 		if _, err := old.Read(make([]byte, 1)); (err != nil) != ends {
@@ -268,8 +288,8 @@
 		if !ends {
 			continue
 		}
-		b.Send("a", &message.Message{Kind: message.Done, Call: 2})
-		if m := next(young); m == nil || m.Call != 2 {
+		b.Send("a", &message.Message{Type: message.TypeCommitted, RequestID: 2})
+		if m := next(young); m == nil || m.RequestID != 2 {
 			t.Errorf("the new life hears %+v", m)
 		}
 	}
--- a/internal/controlplane/transport/trunk_test.go
+++ b/internal/controlplane/transport/transport_test.go
@@ -12,8 +12,8 @@
 )
 
 // given makes two ends on this machine that log nothing but trouble.
-func given(t *testing.T, heard func(from string, m *message.Message)) (a, b *Trunk) {
-	var ends []*Trunk
+func given(t *testing.T, heard func(from string, m *message.Message)) (a, b *Transport) {
+	var ends []*Transport
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -22,7 +22,7 @@
 		x, err := New(Options{Self: l.Addr().String(), Dial: (&net.Dialer{}).DialContext, Handle: heard,
 			Listen: func(string, string) (net.Listener, error) { return l, nil },
 			Log: func(e events.Event, _ ...any) {
-				if e == events.LineSoft {
+				if e == events.UserTimeoutUnsupported {
 					t.Error(e.Text)
 				}
 			}})
@@ -44,15 +44,15 @@
 	}
 	came := make(chan heard, 8)
 	a, b := given(t, func(from string, m *message.Message) { came <- heard{from, m} })
-	a.Send(b.Self, &message.Message{Kind: message.Poll, Call: 7})
-	if h := <-came; h.from != a.Self || h.m.Call != 7 {
+	a.Send(b.Self, &message.Message{Type: message.TypeWatch, RequestID: 7})
+	if h := <-came; h.from != a.Self || h.m.RequestID != 7 {
 		t.Fatalf("b heard %+v of %s", h.m, h.from)
 	}
-	b.Send(a.Self, &message.Message{Kind: message.News, Call: 7})
-	if h := <-came; h.from != b.Self || h.m.Kind != message.News {
+	b.Send(a.Self, &message.Message{Type: message.TypeWatchResponse, RequestID: 7})
+	if h := <-came; h.from != b.Self || h.m.Type != message.TypeWatchResponse {
 		t.Fatalf("a heard %+v of %s", h.m, h.from)
 	}
-	for _, x := range []*Trunk{a, b} {
+	for _, x := range []*Transport{a, b} {
 		x.mu.Lock()
 		if len(x.peers) != 1 {
 			t.Errorf("%d peers, want one", len(x.peers))
@@ -64,23 +64,23 @@
 			}
 			raw.Control(func(fd uintptr) {
 				ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
-				if err != nil || ms != int(silence.Milliseconds()) {
+				if err != nil || ms != int(writeTimeout.Milliseconds()) {
 					t.Errorf("a line ends after %d ms of silence, %v", ms, err)
 				}
 			})
 		}
 		x.mu.Unlock()
 	}
-	if a.lines+b.lines != 1 {
-		t.Errorf("%d lines, want one", a.lines+b.lines)
+	if a.inbound+b.inbound != 1 {
+		t.Errorf("%d lines, want one", a.inbound+b.inbound)
 	}
 }
 
 // Given a stranger who speaks something else, when it calls, then its line is closed and nothing is heard.
 func TestAStrangerIsHungUpOn(t *testing.T) {
 	a, _ := given(t, func(from string, m *message.Message) { t.Errorf("heard %+v of %s", m, from) })
-	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.Append(nil,
-		&message.Message{Kind: message.Beat}))} {
+	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.AppendFrame(nil,
+		&message.Message{Type: message.TypeHeartbeat}))} {
 		nc, err := net.Dial("tcp", a.Self)
 		if err != nil {
 			t.Fatal(err)
@@ -114,7 +114,7 @@
 // to itself, and nothing is written behind a piece that failed.
 func TestALongQueueIsWrittenInPieces(t *testing.T) {
 	c, queue := &slow{}, make([]byte, 1<<20)
-	if err := writeAll(c, queue); err != nil || c.bytes != len(queue) || c.most > mostWritten ||
+	if err := writeAll(c, queue); err != nil || c.bytes != len(queue) || c.most > maxWriteSize ||
 		c.limits != c.pieces {
 		t.Errorf("%+v, %v", c, err)
 	}
