--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -246,7 +246,7 @@
 			d.fault("a server gets %q: %v", got, err)
 			return
 		}
-		id := r.Header.Get(hID)
+		id := r.Header.Get(headerAttemptID)
 		whole := len(got) + int(max(0, r.ContentLength))
 		away := s.Word == full || s.Word == moved
 		s.Early = s.Early && away
@@ -324,16 +324,16 @@
 
 // answer is what a server sends.
 func answer(w word, id string) []byte {
-	status, body, lines := 200, text(id, 30), hID+": "+id+"\r\n"+hSeal+": s\r\n"
+	status, body, lines := 200, text(id, 30), headerAttemptID+": "+id+"\r\n"+headerServerSeal+": s\r\n"
 	switch w {
 	case tooLong:
 		body = text(id, 70<<10)
 	case foreign:
 		return append(answer(itsOwn, "another"), answer(itsOwn, id)...)
 	case full:
-		status, lines = 503, hID+": "+id+"\r\n"+hNotRun+": 1\r\n"
+		status, lines = 503, headerAttemptID+": "+id+"\r\n"+headerNotRun+": 1\r\n"
 	case moved:
-		status, lines = 421, hID+": "+id+"\r\n"
+		status, lines = 421, headerAttemptID+": "+id+"\r\n"
 	case missing, unendingMissing:
 		status = 404
 	case ranOut:
@@ -343,9 +343,9 @@
 	case ranRefused:
 		status = 503
 	case unsealed:
-		lines = hID + ": " + id + "\r\n"
+		lines = headerAttemptID + ": " + id + "\r\n"
 	case nameless:
-		lines = hSeal + ": s\r\n"
+		lines = headerServerSeal + ": s\r\n"
 	}
 	switch w {
 	case inChunks:
@@ -409,11 +409,12 @@
 			d.fault("%s gets no answer in time", id)
 		}
 		return false
-	case r.Header.Get(hID) != "" && r.Header.Get(hID) != id:
-		d.fault("%s gets the answer to %s", id, r.Header.Get(hID))
-	case r.StatusCode == 200 && (r.Header.Get(hSeal) == "" || r.Header.Get(hID) == ""):
+	case r.Header.Get(headerAttemptID) != "" && r.Header.Get(headerAttemptID) != id:
+		d.fault("%s gets the answer to %s", id, r.Header.Get(headerAttemptID))
+	case r.StatusCode == 200 && (r.Header.Get(headerServerSeal) == "" || r.Header.Get(headerAttemptID) == ""):
 		d.fault("%s gets a success that is not the server's", id)
-	case (r.StatusCode == 200 || r.Header.Get(hID) != "") && string(body) != text(id, max(30, len(body))):
+	case (r.StatusCode == 200 || r.Header.Get(headerAttemptID) != "") &&
+		string(body) != text(id, max(30, len(body))):
 		d.fault("%s gets a body of %d bytes that is not the server's", id, len(body))
 	}
 	switch r.StatusCode {
@@ -462,28 +463,28 @@
 			up = p.Upstream(up)
 		}
 		start := time.Now()
-		f := New(Options{Zone: "a", Board: &slowlog.Board{}, Log: func(events.Event, ...any) {},
-			Clock:  func() time.Duration { return time.Since(start) },
-			Budget: flow.NewBudget(flow.Options{Bytes: 1 << 20, Least: 16 << 10, Window: 128 << 10}),
-			Core: func(_ string, set choice.Settings) (*core.Core, error) {
+		f := New(Options{Zone: "a", SlowLog: &slowlog.Log{}, Log: func(events.Event, ...any) {},
+			Clock:      func() time.Duration { return time.Since(start) },
+			BodyBudget: flow.NewBudget(flow.Options{Bytes: 1 << 20, Least: 16 << 10, Window: 128 << 10}),
+			NewCore: func(_ string, set choice.Settings) (*core.Core, error) {
 				c, err := core.New(core.Config{Settings: set, Seed: 1, Upstream: up})
 				if err == nil {
 					go c.Run(ctx)
 				}
 				return c, err
 			}})
-		config, err := routing.Read([]byte(`{"version":"r1","items_of":[` + route("r", "read_only") + "," +
+		config, err := routing.Parse([]byte(`{"version":"r1","items_of":[` + route("r", "read_only") + "," +
 			route("w", "writing") + `,{"item_kind":"backends","metadata":{"name":"s"},"desired":{}}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		servers := []message.Server{{ID: "s1", Service: "s", Addr: "a:1", Zone: "a", Capacity: 4},
+		servers := []message.Endpoint{{ID: "s1", Service: "s", Addr: "a:1", Zone: "a", Capacity: 4},
 			{ID: "s2", Service: "s", Addr: "a:2", Zone: "a", Capacity: 4}}
 		if p.Alone {
 			servers = servers[:1]
 		}
-		f.Servers(servers)
-		f.Use(config)
+		f.SetEndpoints(servers)
+		f.SetConfig(config)
 		n := scenario.NewNet()
 		l, _ := n.Listen("memory", "ingress")
 		in := accept.NewStreams(l, f, 50, accept.Streams{Head: 16 << 10, Short: 64 << 10, Wait: 3 * time.Second,
@@ -624,7 +625,7 @@
 type credulous struct{ *upstreamRequest }
 
 func (c credulous) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
-	r.Header.Set(hID, c.id)
+	r.Header.Set(headerAttemptID, c.id)
 	return c.upstreamRequest.Judge(r, a)
 }
 
--- a/internal/dataplane/proxy/message.go
+++ b/internal/dataplane/proxy/upstream_request.go
@@ -22,62 +22,72 @@
 
 // upstreamRequest is a request as servers get it. It is a forward.Streamed that judges its answers itself.
 type upstreamRequest struct {
-	f        *Front
-	method   string
-	target   string
-	host     string
-	id       string
-	header   http.Header // that goes on
-	customer string
-	upload   *transfer.Upload
-	terms    *transfer.Terms
-	trip     trip
+	handler *Handler
+	method  string
+	target  string
+	host    string
+	id      string
+	header  http.Header // that goes on
+	tenant  string
+	upload  *transfer.Upload
+	terms   *transfer.Terms
+	trace   requestTrace
 }
 
-// trip is a request's way so far, for staff. The front and the goroutines of connections write it.
-type trip struct {
-	mu       sync.Mutex
-	route    *routing.Route
-	service  string
-	came     time.Duration // of the front's clock, as the others
-	admitted time.Duration // by its tenant's quota
-	sent     time.Duration // to the first server; 0: to none yet
-	server   string        // the last
-	attempts int
+// requestTrace is a request's way so far, for staff. The front and the goroutines of connections write it.
+type requestTrace struct {
+	mu         sync.Mutex
+	route      *routing.Route
+	service    string
+	receivedAt time.Duration // of the front's clock, as the others
+	admittedAt time.Duration // by its tenant's quota
+	sentAt     time.Duration // to the first server; 0: to none yet
+	server     string        // the last
+	attempts   int
 }
 
-// admit notes that the quota lets it in.
-func (t *trip) admit(now time.Duration) {
+// recordAdmitted notes that the quota lets it in.
+func (t *requestTrace) recordAdmitted(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.admitted = now
+	t.admittedAt = now
 }
 
-// sends notes that it goes to a server.
-func (t *trip) sends(now time.Duration, server string) {
+// recordSent notes that it goes to a server.
+func (t *requestTrace) recordSent(now time.Duration, server string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.attempts++; t.sent == 0 {
-		t.sent = now
+	if t.attempts++; t.sentAt == 0 {
+		t.sentAt = now
 	}
 	t.server = server
 }
 
-// call tells the trip of a request that has ended.
-func (t *trip) call(now time.Duration, m *upstreamRequest, end slowlog.End) slowlog.Call {
+// entry tells the trip of a request that has ended.
+func (t *requestTrace) entry(now time.Duration, m *upstreamRequest, end slowlog.Outcome) slowlog.Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := slowlog.Call{At: time.Now(), ID: m.id, Route: t.route.Name, Tenant: m.customer, Service: t.service,
-		Server: t.server, Attempts: t.attempts, End: end, Target: t.route.Target, Total: now - t.came}
-	admitted, sent := cmp.Or(t.admitted, now), cmp.Or(t.sent, now)
-	c.Quota, c.Waiting, c.Serving = admitted-t.came, sent-admitted, now-sent
+	c := slowlog.Entry{
+		At:            time.Now(),
+		ID:            m.id,
+		Route:         t.route.Name,
+		Tenant:        m.tenant,
+		Service:       t.service,
+		Server:        t.server,
+		Attempts:      t.attempts,
+		Outcome:       end,
+		LatencyTarget: t.route.LatencyTarget,
+		Total:         now - t.receivedAt,
+	}
+	admitted, sent := cmp.Or(t.admittedAt, now), cmp.Or(t.sentAt, now)
+	c.Quota, c.Waiting, c.Serving = admitted-t.receivedAt, sent-admitted, now-sent
 	return c
 }
 
-// terms are what every exchange is held to. What a server is still giving is not cut off: only one that
-// stands still for long is given up. Only Not-Run says that a request has not run: of one that has left in
-// part nothing is promised, too.
-var terms = transfer.Terms{
+// defaultTerms are what every exchange is held to. What a server is still giving is not cut off: only one
+// that stands still for long is given up. Only Not-Run says that a request has not run: of one that has left
+// in part nothing is promised, too.
+var defaultTerms = transfer.Terms{
 	ClientUp:   flow.Pace{Least: 32 << 10, Grace: 3 * time.Second},
 	ClientDown: flow.Pace{Least: 32 << 10, Grace: 5 * time.Second},
 	ServerUp:   flow.Pace{Stall: 5 * time.Second},
@@ -87,40 +97,48 @@
 
 // Names of the protocol's headers, as package http writes them.
 const (
-	hID       = "Attempt-Id"
-	hLeft     = "Time-Left-Ms"
-	hServer   = "Target-Server"
-	hCustomer = "Customer"
-	hKey      = "Key"
-	hSeal     = "Server-Seal"
-	hNotRun   = "Not-Run"
+	headerAttemptID    = "Attempt-Id"
+	headerTimeLeft     = "Time-Left-Ms"
+	headerTargetServer = "Target-Server"
+	headerCustomer     = "Customer"
+	headerKey          = "Key"
+	headerServerSeal   = "Server-Seal"
+	headerNotRun       = "Not-Run"
 )
 
-// clean drops what concerns one connection only.
-func clean(h http.Header) {
-	http1.DropHops(h, hID, hSeal)
+// stripHopHeaders drops what concerns one connection only.
+func stripHopHeaders(h http.Header) {
+	http1.DropHops(h, headerAttemptID, headerServerSeal)
 	delete(h, "Expect") // it is between the client and this program
 }
 
-// own are lines that this program words itself.
-var own = []string{hID, hLeft, hServer, hCustomer, hKey, "Host", "Content-Length"}
+// ownHeaders are lines that this program words itself.
+var ownHeaders = []string{
+	headerAttemptID,
+	headerTimeLeft,
+	headerTargetServer,
+	headerCustomer,
+	headerKey,
+	"Host",
+	"Content-Length",
+}
 
 // Append writes the head for a server.
 func (m *upstreamRequest) Append(buf []byte, s core.Server, wait time.Duration) []byte {
-	m.trip.sends(m.f.Clock(), s.Name)
+	m.trace.recordSent(m.handler.Clock(), s.Name)
 	if m.terms.Head > 0 { // the attempt's time holds that of sending the body
 		wait = m.terms.Head
 	}
 	buf = append(append(buf, m.method...), ' ')
 	buf = append(append(buf, m.target...), " HTTP/1.1\r\n"...)
 	buf = http1.AppendHeader(buf, "Host", m.host)
-	buf = http1.AppendHeader(buf, hID, m.id)
-	buf = append(append(buf, hLeft...), ": "...)
+	buf = http1.AppendHeader(buf, headerAttemptID, m.id)
+	buf = append(append(buf, headerTimeLeft...), ": "...)
 	buf = strconv.AppendInt(buf, max(1, wait.Milliseconds()), 10)
 	buf = append(buf, "\r\n"...)
-	buf = http1.AppendHeader(buf, hServer, s.Name)
-	if m.customer != "" {
-		buf = http1.AppendHeader(buf, hCustomer, m.customer)
+	buf = http1.AppendHeader(buf, headerTargetServer, s.Name)
+	if m.tenant != "" {
+		buf = http1.AppendHeader(buf, headerCustomer, m.tenant)
 	}
 	buf = http1.AppendHeaders(buf, m.header)
 	switch n := m.upload.Length(); {
@@ -144,62 +162,62 @@
 // Judge says what a whole answer is to this request. Only one that bears the request's id, and if it tells of
 // success the server's seal, is the server's word on it.
 func (m *upstreamRequest) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
-	id := r.Header.Get(hID)
+	id := r.Header.Get(headerAttemptID)
 	if id != "" && id != m.id {
-		m.f.Log(events.AnswerBad, "status", r.StatusCode)
+		m.handler.Log(events.ResponseInvalid, "status", r.StatusCode)
 		return core.Result{Code: choice.Reset}, forward.Foreign
 	}
 	result, fit := m.verdict(r.Response, id, a)
 	if result.Code == choice.OK {
-		result.Body = &http1.Answer{Status: r.StatusCode, Header: lines(r.Header), Body: r.Content}
+		result.Body = &http1.Answer{Status: r.StatusCode, Header: responseHeaders(r.Header), Body: r.Content}
 	}
 	return result, fit
 }
 
 // JudgeHead judges the head of a long answer.
 func (m *upstreamRequest) JudgeHead(r *http.Response, a forward.Arrival) core.Result {
-	id := r.Header.Get(hID)
+	id := r.Header.Get(headerAttemptID)
 	if id != "" && id != m.id {
 		return core.Result{Code: choice.Reset}
 	}
 	result, _ := m.verdict(r, id, a)
 	if result.Code == choice.OK {
-		clean(r.Header)
+		stripHopHeaders(r.Header)
 	}
 	return result
 }
 
 func (m *upstreamRequest) verdict(r *http.Response, id string, a forward.Arrival) (core.Result, forward.Fit) {
-	_, notRun := r.Header[hNotRun]
+	_, notRun := r.Header[headerNotRun]
 	switch {
 	case id == "" && !a.First: // it may be what came late for another request
-		m.f.Log(events.AnswerBad, "status", r.StatusCode, "error", "no id")
+		m.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no id")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode == http.StatusMisdirectedRequest:
-		m.f.Log(events.ServerMoved)
+		m.handler.Log(events.AddressReused)
 		return core.Result{Code: choice.Busy}, forward.Doubtful
 	case notRun:
 		return core.Result{Code: choice.Busy}, forward.Good
 	case id == "":
-		m.f.Log(events.AnswerBad, "status", r.StatusCode, "error", "no id")
+		m.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no id")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode >= 500 || r.StatusCode < 200 || http1.Promises(r.StatusCode):
 		return core.Result{Code: choice.Error}, forward.Good
 	case a.Closed: // it may have been cut
-		m.f.Log(events.AnswerBad, "status", r.StatusCode, "error", "no known end")
+		m.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no known end")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode >= 300:
 		return core.Result{Code: choice.OK}, forward.Good
-	case r.Header.Get(hSeal) == "" || r.Header.Get("Content-Encoding") != "":
-		m.f.Log(events.AnswerBad, "status", r.StatusCode, "error", "no seal, or encoded")
+	case r.Header.Get(headerServerSeal) == "" || r.Header.Get("Content-Encoding") != "":
+		m.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no seal, or encoded")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	}
 	return core.Result{Code: choice.OK}, forward.Good
 }
 
-// lines returns the header lines of an answer that go on to the client, in a fixed order.
-func lines(h http.Header) [][2]string {
-	clean(h)
+// responseHeaders returns the header lines of an answer that go on to the client, in a fixed order.
+func responseHeaders(h http.Header) [][2]string {
+	stripHopHeaders(h)
 	delete(h, "Content-Length")
 	list := make([][2]string, 0, len(h))
 	for name, values := range h {
--- a/internal/dataplane/proxy/message_test.go
+++ b/internal/dataplane/proxy/upstream_request_test.go
@@ -17,17 +17,24 @@
 )
 
 func given() *upstreamRequest {
-	return &upstreamRequest{f: &Front{Options: Options{Log: func(events.Event, ...any) {},
-		Clock: func() time.Duration { return time.Hour }, Board: &slowlog.Board{}}}, method: "POST",
+	return &upstreamRequest{
+		handler: &Handler{Options: Options{Log: func(events.Event, ...any) {},
+			Clock: func() time.Duration { return time.Hour }, SlowLog: &slowlog.Log{}}},
+		method: "POST",
 		target: "/x/2?q=1",
-		host:   "one.example", id: "id-1", customer: "t1", upload: transfer.Whole([]byte("abc")), terms: &terms,
-		header: http.Header{"X-Own": {"kept"}}}
+		host:   "one.example",
+		id:     "id-1",
+		tenant: "t1",
+		upload: transfer.Whole([]byte("abc")),
+		terms:  &defaultTerms,
+		header: http.Header{"X-Own": {"kept"}},
+	}
 }
 
 // Given an answer, when it is judged, then only the request's own and whole answer is passed on.
 func TestOnlyTheRequestsOwnAnswerIsPassedOn(t *testing.T) {
 	kept, first, closed := forward.Arrival{}, forward.Arrival{First: true}, forward.Arrival{Closed: true}
-	seal := http.Header{hID: {"id-1"}, hSeal: {"s"}}
+	seal := http.Header{headerAttemptID: {"id-1"}, headerServerSeal: {"s"}}
 	with := func(name, value string) http.Header {
 		h := seal.Clone()
 		h.Set(name, value)
@@ -42,16 +49,19 @@
 		fit    forward.Fit
 	}{
 		{"its own", 200, seal, kept, choice.OK, forward.Good},
-		{"another's", 200, with(hID, "id-0"), kept, choice.Reset, forward.Foreign},
-		{"nobody's", 200, http.Header{hSeal: {"s"}}, kept, choice.Reset, forward.Doubtful},
-		{"nobody's, on a new connection", 200, http.Header{hSeal: {"s"}}, first, choice.Reset, forward.Doubtful},
-		{"without a seal", 200, http.Header{hID: {"id-1"}}, kept, choice.Reset, forward.Doubtful},
+		{"another's", 200, with(headerAttemptID, "id-0"), kept, choice.Reset, forward.Foreign},
+		{"nobody's", 200, http.Header{headerServerSeal: {"s"}}, kept, choice.Reset, forward.Doubtful},
+		{"nobody's, on a new connection", 200, http.Header{headerServerSeal: {"s"}}, first, choice.Reset,
+			forward.Doubtful},
+		{"without a seal", 200, http.Header{headerAttemptID: {"id-1"}}, kept, choice.Reset, forward.Doubtful},
 		{"with an end that may be early", 200, seal, closed, choice.Reset, forward.Doubtful},
 		{"a no with such an end", 404, seal, closed, choice.Reset, forward.Doubtful},
 		{"encoded", 200, with("Content-Encoding", "gzip"), kept, choice.Reset, forward.Doubtful},
-		{"turned away", 503, with(hNotRun, "1"), kept, choice.Busy, forward.Good},
-		{"turned away, and not told who", 503, http.Header{hNotRun: {"1"}}, kept, choice.Reset, forward.Doubtful},
-		{"turned away on a new connection", 503, http.Header{hNotRun: {"1"}}, first, choice.Busy, forward.Good},
+		{"turned away", 503, with(headerNotRun, "1"), kept, choice.Busy, forward.Good},
+		{"turned away, and not told who", 503, http.Header{headerNotRun: {"1"}}, kept, choice.Reset,
+			forward.Doubtful},
+		{"turned away on a new connection", 503, http.Header{headerNotRun: {"1"}}, first, choice.Busy,
+			forward.Good},
 		{"of another server", 421, seal, kept, choice.Busy, forward.Doubtful},
 		{"of another server on a new connection", 421, http.Header{}, first, choice.Busy, forward.Doubtful},
 		{"of another server, to somebody", 421, http.Header{}, kept, choice.Reset, forward.Doubtful},
@@ -80,8 +90,8 @@
 	m.header = http.Header{"X-Own": {"kept"}, "Connection": {"close, X-Hop"}, "X-Hop": {"dropped"},
 		"Key":      {"secret"},
 		"Customer": {"forged"}, "Target-Server": {"forged"}, "Time-Left-Ms": {"900"}}
-	clean(m.header)
-	for _, name := range own {
+	stripHopHeaders(m.header)
+	for _, name := range ownHeaders {
 		delete(m.header, name)
 	}
 	got := string(m.Append(nil, core.Server{Name: "i-7"}, 640*time.Millisecond))
@@ -99,8 +109,9 @@
 	for _, c := range []struct {
 		text string
 		want time.Duration
-	}{{"800", 800*time.Millisecond - margin}, {"5000", time.Second}, {"", time.Second}, {"-3", time.Second}} {
-		if got := patience(c.text, time.Second); got != c.want {
+	}{{"800", 800*time.Millisecond - deadlineMargin}, {"5000", time.Second}, {"", time.Second},
+		{"-3", time.Second}} {
+		if got := timeLeft(c.text, time.Second); got != c.want {
 			t.Errorf("%q: %v, want %v", c.text, got, c.want)
 		}
 	}
@@ -108,14 +119,14 @@
 
 // Given routes that are alike, then they are one class: a configuration of many routes makes few.
 func TestRoutesThatAreAlikeAreOneClass(t *testing.T) {
-	a := routing.Route{Name: "a", Kind: routing.Writing, Target: time.Second, GiveUp: 2 * time.Second,
-		Tries: 2}
+	a := routing.Route{Name: "a", Kind: routing.Writing, LatencyTarget: time.Second, Timeout: 2 * time.Second,
+		MaxAttempts: 2}
 	b := a
 	b.Name = "b"
 	if classOf(&a) != classOf(&b) || classOf(&a).Repeat != choice.Unsafe {
 		t.Errorf("%+v, %+v", classOf(&a), classOf(&b))
 	}
-	b.GiveUp = 3 * time.Second
+	b.Timeout = 3 * time.Second
 	if classOf(&a) == classOf(&b) {
 		t.Error("routes that give up at other times are one class")
 	}
@@ -126,26 +137,37 @@
 func TestWhatRanLateCanBeLookedUp(t *testing.T) {
 	m := given()
 	now := time.Hour
-	m.f.Clock = func() time.Duration { return now }
-	m.trip.route = &routing.Route{Name: "transfers", Target: 250 * time.Millisecond}
-	m.trip.service, m.trip.came = "paymove", now
+	m.handler.Clock = func() time.Duration { return now }
+	m.trace.route = &routing.Route{Name: "transfers", LatencyTarget: 250 * time.Millisecond}
+	m.trace.service, m.trace.receivedAt = "paymove", now
 	now += 20 * time.Millisecond
-	m.trip.admit(now)
+	m.trace.recordAdmitted(now)
 	now += 30 * time.Millisecond
 	m.Append(nil, core.Server{Name: "i-1"}, time.Second)
 	now += 50 * time.Millisecond
-	m.f.observe(m, core.Served)
-	if list, _ := m.f.Board.Latest(); len(list) != 0 {
+	m.handler.recordSlow(m, core.Served)
+	if list, _ := m.handler.SlowLog.Entries(); len(list) != 0 {
 		t.Fatalf("in time, and kept: %+v", list)
 	}
 	now += 200 * time.Millisecond
 	m.Append(nil, core.Server{Name: "i-2"}, time.Second)
 	now += 100 * time.Millisecond
-	m.f.observe(m, core.Served)
-	list, _ := m.f.Board.Latest()
-	want := slowlog.Call{ID: "id-1", Route: "transfers", Tenant: "t1", Service: "paymove", Server: "i-2",
-		Attempts: 2, End: slowlog.Late, Target: 250 * time.Millisecond, Quota: 20 * time.Millisecond,
-		Waiting: 30 * time.Millisecond, Serving: 350 * time.Millisecond, Total: 400 * time.Millisecond}
+	m.handler.recordSlow(m, core.Served)
+	list, _ := m.handler.SlowLog.Entries()
+	want := slowlog.Entry{
+		ID:            "id-1",
+		Route:         "transfers",
+		Tenant:        "t1",
+		Service:       "paymove",
+		Server:        "i-2",
+		Attempts:      2,
+		Outcome:       slowlog.OutcomeLate,
+		LatencyTarget: 250 * time.Millisecond,
+		Quota:         20 * time.Millisecond,
+		Waiting:       30 * time.Millisecond,
+		Serving:       350 * time.Millisecond,
+		Total:         400 * time.Millisecond,
+	}
 	if len(list) != 1 {
 		t.Fatalf("%d kept", len(list))
 	}
--- a/internal/dataplane/zonesubset/huntgroup.go
+++ b/internal/dataplane/zonesubset/zonesubset.go
@@ -16,23 +16,23 @@
 // and 0.890, which is noise), on a grown one they lowered the prices of a calm day from 0.073 to 0.065 of the
 // worth.
 const (
-	least = 2
-	many  = 10
+	minSubsetSize = 2
+	minNodes      = 10
 )
 
-// Part returns the servers that an ingress tries first, of one service in its zone. Members are the zone's
+// Select returns the servers that an ingress tries first, of one service in its zone. Members are the zone's
 // ingresses; each server is in equally many parts, give or take one. With few members, or for one who is none
 // of them, the part is all.
-func Part(self string, members, servers []string) []string {
+func Select(self string, members, servers []string) []string {
 	at, n := slices.Index(members, self), len(members)
-	if at < 0 || n < many || len(servers) <= least {
+	if at < 0 || n < minNodes || len(servers) <= minSubsetSize {
 		return servers
 	}
 	order := slices.Clone(servers) // not by name: names rise with age, and parts are to be mixed
 	slices.SortFunc(order, func(a, b string) int {
 		return cmp.Or(cmp.Compare(hash(a), hash(b)), cmp.Compare(a, b))
 	})
-	size := float64(max(least*n, len(order))) / float64(n) // of a part
+	size := float64(max(minSubsetSize*n, len(order))) / float64(n) // of a part
 	var part []string
 	for i := int(math.Round(float64(at) * size)); i < int(math.Round(float64(at+1)*size)); i++ {
 		part = append(part, order[i%len(order)])
--- a/internal/dataplane/zonesubset/huntgroup_test.go
+++ b/internal/dataplane/zonesubset/zonesubset_test.go
@@ -24,7 +24,7 @@
 		members, servers := names("m", n), names("s", m)
 		held := map[string]int{}
 		for _, self := range members {
-			part := Part(self, members, servers)
+			part := Select(self, members, servers)
 			seen := map[string]bool{}
 			for _, s := range part {
 				if seen[s] {
@@ -47,16 +47,16 @@
 }
 
 func TestAStrangerHasAll(t *testing.T) {
-	if got := Part("x", names("m", 30), names("s", 9)); len(got) != 9 {
+	if got := Select("x", names("m", 30), names("s", 9)); len(got) != 9 {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestAFewHaveAll(t *testing.T) {
-	if got := Part("m1", names("m", many-1), names("s", 9)); len(got) != 9 {
+	if got := Select("m1", names("m", minNodes-1), names("s", 9)); len(got) != 9 {
 		t.Errorf("%v", got)
 	}
-	if got := Part("m1", names("m", many), names("s", 90)); len(got) != 9 {
+	if got := Select("m1", names("m", minNodes), names("s", 90)); len(got) != 9 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/lab/scale/cause.go
+++ b/internal/lab/scale/cause.go
@@ -16,26 +16,51 @@
 )
 
 // causes says what a whole message is due to. Fields of some kinds have causes of their own: see parts.
-var causes = map[message.Kind]string{
-	message.Ringing: Starts, message.Hello: Starts, message.Roll: Starts,
-	message.Pledge: Starts, message.Pledged: Starts, message.Draft: Starts, message.Drafted: Starts,
-	message.Beat: Beats, message.Poll: Polls, message.News: Polls, message.Lineup: Servers,
-	message.Prepare: Views, message.Promise: Views, message.Install: Views, message.Installed: Views,
-	message.Active: Views, message.Refuse: Views, message.Learn: Views, message.Learned: Views,
-	message.Notice: Views, message.Reform: Views, message.Reformed: Views,
-	message.Put: Configuration, message.Done: Configuration, message.Relay: Configuration,
-	message.Read: Configuration, message.Copy: Configuration, message.Confirm: Configuration,
-	message.Confirmed: Configuration, message.Conflict: Configuration,
-	message.Ask: Tolls, message.Grant: Tolls,
+var causes = map[message.Type]string{
+	message.TypeHandshake:           Starts,
+	message.TypeAnnounce:            Starts,
+	message.TypeMemberList:          Starts,
+	message.TypeBootstrapPrepare:    Starts,
+	message.TypeBootstrapPromise:    Starts,
+	message.TypeBootstrapAccept:     Starts,
+	message.TypeBootstrapAccepted:   Starts,
+	message.TypeHeartbeat:           Beats,
+	message.TypeWatch:               Polls,
+	message.TypeWatchResponse:       Polls,
+	message.TypeEndpointUpdate:      Servers,
+	message.TypePrepare:             Views,
+	message.TypePromise:             Views,
+	message.TypeInstallView:         Views,
+	message.TypeViewInstalled:       Views,
+	message.TypeActivateView:        Views,
+	message.TypeReject:              Views,
+	message.TypeLearnerSnapshot:     Views,
+	message.TypeLearnerReady:        Views,
+	message.TypeMemberUpdate:        Views,
+	message.TypeChangeMembers:       Views,
+	message.TypeChangeMembersResult: Views,
+	message.TypePut:                 Configuration,
+	message.TypeCommitted:           Configuration,
+	message.TypeReplicate:           Configuration,
+	message.TypeRead:                Configuration,
+	message.TypeReadResult:          Configuration,
+	message.TypeConfirmEpoch:        Configuration,
+	message.TypeEpochConfirmed:      Configuration,
+	message.TypeConflict:            Configuration,
+	message.TypeTokenRequest:        Tolls,
+	message.TypeTokenGrant:          Tolls,
 }
 
 // tables says what a part of a snapshot is due to.
-var tables = map[message.Table]string{message.ConfigTable: Configuration, message.ServerTable: Servers,
-	message.MemberTable: Members}
+var tables = map[message.Resource]string{
+	message.ResourceConfig:    Configuration,
+	message.ResourceEndpoints: Servers,
+	message.ResourceNodes:     Members,
+}
 
 // parts splits a message's bytes by cause.
 func parts(m *message.Message, size int) map[string]int {
-	main := causes[m.Kind]
+	main := causes[m.Type]
 	if main == "" {
 		main = Other
 	}
@@ -46,21 +71,24 @@
 			size -= n
 		}
 	}
-	if len(m.Members) > 0 {
-		take(Members, length(&message.Message{Members: m.Members}))
+	if len(m.Nodes) > 0 {
+		take(Members, length(&message.Message{Nodes: m.Nodes}))
 	}
 	if m.Config != nil {
 		take(Configuration, length(&message.Message{Config: m.Config}))
 	}
-	for _, p := range m.Parts {
-		take(tables[p.Table], length(&message.Message{Parts: []message.Part{p}}))
+	for _, p := range m.Chunks {
+		take(tables[p.Resource], length(&message.Message{Chunks: []message.SnapshotChunk{p}}))
 	}
-	if m.Kind == message.News {
-		take(Views, length(&message.Message{Chain: m.Chain, Registry: m.Registry, Former: m.Former}))
-		if m.List != nil { // long: what is left over
+	if m.Type == message.TypeWatchResponse {
+		take(
+			Views,
+			length(&message.Message{Chain: m.Chain, Members: m.Members, OutgoingMembers: m.OutgoingMembers}),
+		)
+		if m.Endpoints != nil { // long: what is left over
 			bare := *m
-			bare.List, bare.Members, bare.Config, bare.Parts = nil, nil, nil, nil
-			bare.Chain, bare.Registry, bare.Former = nil, nil, nil
+			bare.Endpoints, bare.Nodes, bare.Config, bare.Chunks = nil, nil, nil, nil
+			bare.Chain, bare.Members, bare.OutgoingMembers = nil, nil, nil
 			take(Servers, size-length(&bare))
 		}
 	}
@@ -68,4 +96,4 @@
 	return all
 }
 
-func length(m *message.Message) int { return len(message.Encode(nil, m)) }
+func length(m *message.Message) int { return len(message.MarshalAppend(nil, m)) }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -16,8 +16,8 @@
 
 // hollow is the control side of an ingress.
 type hollow struct {
-	office *node.Office
-	trunk  *transport.Trunk
+	office *node.Node
+	trunk  *transport.Transport
 	work   chan func()
 	end    context.CancelFunc
 	began  time.Time
@@ -57,7 +57,7 @@
 func (h *hollow) Config(version uint64, _ []byte) { h.version.Store(version) }
 
 // Servers notes the list.
-func (h *hollow) Servers(list []message.Server) {
+func (h *hollow) Servers(list []message.Endpoint) {
 	h.servers.Store(int64(len(list)))
 	if len(list) > 0 {
 		h.first.Store(&list[0].ID)
@@ -65,13 +65,13 @@
 }
 
 // Members notes how many there are.
-func (h *hollow) Members(list []message.Machine) { h.members.Store(int64(len(list))) }
+func (h *hollow) Members(list []message.Node) { h.members.Store(int64(len(list))) }
 
 // View notes nothing.
 func (h *hollow) View(uint64, []string) {}
 
 // Save saves nothing: it has no disk.
-func (h *hollow) Save(uint64, replica.Record) {}
+func (h *hollow) Save(uint64, replica.PersistentState) {}
 
 // wire counts the bytes of hollow processes' lines, by the other end.
 type wire struct {
--- a/internal/lab/scale/lines.go
+++ b/internal/lab/scale/lines.go
@@ -180,7 +180,7 @@
 // begin starts a hollow process.
 func (r *lineRun) begin(i int) (*hollow, error) {
 	ip := hollowIP(i)
-	self := message.Machine{Addr: net.JoinHostPort(ip, trunkPort), Zone: zone(i % r.Real)}
+	self := message.Node{Addr: net.JoinHostPort(ip, trunkPort), Zone: zone(i % r.Real)}
 	h := &hollow{work: make(chan func(), 64), began: time.Now()}
 	ctx, end := context.WithCancel(r.ctx)
 	h.end = end
@@ -189,14 +189,14 @@
 		seeds = append(seeds, net.JoinHostPort(realIP(j), trunkPort))
 	}
 	life := uint64(time.Now().UnixNano()) >> 2
-	h.office = node.New(h.now(), node.Options{Self: self, Seeds: seeds, Life: life, Actions: h,
-		Survive: replica.Tolerance{Machines: (r.Real - 1) / 2},
-		Limits:  func(string) ratelimit.Limits { return ratelimit.Limits{} }})
+	h.office = node.New(h.now(), node.Options{Self: self, Seeds: seeds, Incarnation: life, Actions: h,
+		Tolerance: replica.FaultTolerance{Machines: (r.Real - 1) / 2},
+		Limits:    func(string) ratelimit.Limits { return ratelimit.Limits{} }})
 	var err error
-	h.trunk, err = transport.New(transport.Options{Self: self.Addr, Life: life, Listen: net.Listen,
+	h.trunk, err = transport.New(transport.Options{Self: self.Addr, Incarnation: life, Listen: net.Listen,
 		Dial: r.wire.dialer(ip), Log: h.Log, Handle: func(from string, m *message.Message) {
 			select {
-			case h.work <- func() { h.office.Handle(h.now(), from, m) }:
+			case h.work <- func() { h.office.Step(h.now(), from, m) }:
 			case <-ctx.Done():
 			}
 		}})
--- a/internal/lab/scale/made.go
+++ b/internal/lab/scale/made.go
@@ -47,11 +47,11 @@
 
 // List is the platform's list, from a server on: one less at its beginning, and so many more at its end, is
 // what a restart makes of it.
-func (m Made) List(from int) []message.Server {
-	list := make([]message.Server, m.Servers)
+func (m Made) List(from int) []message.Endpoint {
+	list := make([]message.Endpoint, m.Servers)
 	for i := range list {
 		n := from + i
-		list[i] = message.Server{ID: fmt.Sprintf("server-%06d", n), Service: service(n % max(1, m.Services)),
+		list[i] = message.Endpoint{ID: fmt.Sprintf("server-%06d", n), Service: service(n % max(1, m.Services)),
 			Addr: fmt.Sprintf("10.%d.%d.%d:8080", 16+n>>16&15, n>>8&255, n&255),
 			Zone: zone(n % max(1, m.Zones)), Capacity: 8}
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -35,40 +35,42 @@
 // cause, and all of them together are the message.
 func TestBytesAreSplitByCause(t *testing.T) {
 	made := Made{Routes: 20, Services: 3, Servers: 40, Zones: 2}
-	members := []message.Machine{{Addr: "10.0.0.1:7", Zone: "z1", Age: 300}, {Addr: "10.0.0.2:7", Zone: "z1"}}
-	list := &message.List{Epoch: 65, Seq: 3, Servers: made.List(0)}
+	members := []message.Node{{Addr: "10.0.0.1:7", Zone: "z1", LeaseAge: 300}, {Addr: "10.0.0.2:7", Zone: "z1"}}
+	list := &message.EndpointList{Epoch: 65, Sequence: 3, Endpoints: made.List(0)}
 	for _, c := range []struct {
 		m    message.Message
 		want []string
 	}{
-		{message.Message{Kind: message.Beat, OK: true, List: &message.List{Epoch: 65, Seq: 3}}, []string{Beats}},
-		{message.Message{Kind: message.Beat, Members: members}, []string{Beats, Members}},
-		{message.Message{Kind: message.News, Call: 9, OK: true, Epoch: 65, Chain: []string{"10.0.0.1:7"},
-			Registry: members, Version: 2, Config: message.Pack(made.Config(2), 1, made.Config(1)), List: list,
-			Members: members, Roster: 5}, []string{Members, Servers, Configuration, Polls, Views}},
-		{message.Message{Kind: message.News, Call: 9, OK: true, Parts: []message.Part{
-			{Table: message.ConfigTable, Size: 9, Bytes: make([]byte, 9)},
-			{Table: message.ServerTable, Size: 9, Bytes: make([]byte, 9)},
-			{Table: message.MemberTable, Size: 9, Bytes: make([]byte, 9)}}},
+		{message.Message{Type: message.TypeHeartbeat, OK: true,
+			Endpoints: &message.EndpointList{Epoch: 65, Sequence: 3}}, []string{Beats}},
+		{message.Message{Type: message.TypeHeartbeat, Nodes: members}, []string{Beats, Members}},
+		{message.Message{Type: message.TypeWatchResponse, RequestID: 9, OK: true, Epoch: 65,
+			Chain:   []string{"10.0.0.1:7"},
+			Members: members, Version: 2, Config: message.NewDelta(made.Config(2), 1, made.Config(1)), Endpoints: list,
+			Nodes: members, NodesChecksum: 5}, []string{Members, Servers, Configuration, Polls, Views}},
+		{message.Message{Type: message.TypeWatchResponse, RequestID: 9, OK: true, Chunks: []message.SnapshotChunk{
+			{Resource: message.ResourceConfig, TotalSize: 9, Data: make([]byte, 9)},
+			{Resource: message.ResourceEndpoints, TotalSize: 9, Data: make([]byte, 9)},
+			{Resource: message.ResourceNodes, TotalSize: 9, Data: make([]byte, 9)}}},
 			[]string{Members, Servers, Configuration, Polls}},
-		{message.Message{Kind: message.Install, Chain: []string{"10.0.0.1:7"},
-			Config: message.Pack(made.Config(1), 0, nil)}, []string{Configuration, Views}},
-		{message.Message{Kind: message.Lineup, List: list}, []string{Servers}},
-		{message.Message{Kind: 1 << 20, Call: 1}, []string{Other}},
+		{message.Message{Type: message.TypeInstallView, Chain: []string{"10.0.0.1:7"},
+			Config: message.NewDelta(made.Config(1), 0, nil)}, []string{Configuration, Views}},
+		{message.Message{Type: message.TypeEndpointUpdate, Endpoints: list}, []string{Servers}},
+		{message.Message{Type: 1 << 20, RequestID: 1}, []string{Other}},
 	} {
 		size := length(&c.m)
 		split := parts(&c.m, size)
 		if !whole(split, size, c.want) {
-			t.Errorf("kind %d: %v of %d bytes, want causes %v", c.m.Kind, split, size, c.want)
+			t.Errorf("kind %d: %v of %d bytes, want causes %v", c.m.Type, split, size, c.want)
 		}
 		// Seeded: bytes that are counted twice, and some that are due to nothing.
 		split[c.want[0]]++
 		if whole(split, size, c.want) {
-			t.Errorf("kind %d: a byte too many is not found", c.m.Kind)
+			t.Errorf("kind %d: a byte too many is not found", c.m.Type)
 		}
 		delete(split, c.want[0])
 		if whole(split, size, c.want) {
-			t.Errorf("kind %d: a missing cause is not found", c.m.Kind)
+			t.Errorf("kind %d: a missing cause is not found", c.m.Type)
 		}
 	}
 }
@@ -88,17 +90,17 @@
 
 // Every kind that asks, answers or tells has a cause.
 func TestEveryKindHasACause(t *testing.T) {
-	kinds := []message.Kind{
-		message.Ringing,
-		message.Beat,
-		message.Active,
-		message.Relay,
-		message.Lineup,
-		message.Learn,
-		message.Learned,
-		message.Notice,
+	kinds := []message.Type{
+		message.TypeHandshake,
+		message.TypeHeartbeat,
+		message.TypeActivateView,
+		message.TypeReplicate,
+		message.TypeEndpointUpdate,
+		message.TypeLearnerSnapshot,
+		message.TypeLearnerReady,
+		message.TypeMemberUpdate,
 	}
-	for question, answers := range message.Questions {
+	for question, answers := range message.ResponseTypes {
 		kinds = append(append(kinds, question), answers...)
 	}
 	for _, k := range kinds {
@@ -136,7 +138,9 @@
 	v := Virtual{Core: 3, Machines: []int{9, 27}, Made: Made{Routes: 30, Services: 3, Servers: 60}, Seed: 1}
 	got := played(t, v)
 	v.Made.Zones = 3
-	list := length(&message.Message{List: &message.List{Epoch: 64, Seq: 9, Servers: v.Made.List(1)}})
+	list := length(
+		&message.Message{Endpoints: &message.EndpointList{Epoch: 64, Sequence: 9, Endpoints: v.Made.List(1)}},
+	)
 	near := func(what string, want ...float64) {
 		t.Helper()
 		if len(got[what]) != len(want) {
@@ -156,7 +160,7 @@
 	if all := got["cut ingress, cut off that know of it  part"]; !slices.Equal(all, []float64{0, 0}) {
 		t.Errorf("machines that are cut off hear of changes: %v", all)
 	}
-	row := float64(length(&message.Message{Members: []message.Machine{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
+	row := float64(length(&message.Message{Nodes: []message.Node{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
 	near("restart ingress got members B", 2*9*row, 2*27*row)
 }
 
--- a/internal/lab/scale/single.go
+++ b/internal/lab/scale/single.go
@@ -107,40 +107,40 @@
 	old, text := m.Config(1), m.Config(2)
 	s.row("configuration", "text", "MB", by, size, float64(len(text))/1e6)
 	s.row("configuration", "of the longest frame", "parts", by, size,
-		float64(len(text))/float64(message.MaxFrame))
+		float64(len(text))/float64(message.MaxFrameSize))
 	took, _ := s.cost(func() {
-		_, err := routing.Check(text)
+		_, err := routing.Validate(text)
 		s.fail(err)
 	})
 	s.row("configuration", "check at the operators' desk", "ms", by, size, ms(took))
 	base := heap()
-	var d *routing.Directory
+	var d *routing.Table
 	took, allocated := s.cost(func() {
 		var err error
-		d, err = routing.Read(text)
+		d, err = routing.Parse(text)
 		s.fail(err)
 	})
 	s.row("configuration", "read", "ms", by, size, ms(took))
 	s.row("configuration", "read: allocated meanwhile", "MB", by, size, allocated/1e6)
 	s.row("configuration", "read: kept", "MB", by, size, (heap()-base)/1e6)
 	runtime.KeepAlive(d)
-	var change, whole *message.Packed
-	took, _ = s.cost(func() { change = message.Pack(text, 1, old) })
+	var change, whole *message.Delta
+	took, _ = s.cost(func() { change = message.NewDelta(text, 1, old) })
 	s.row("configuration", "pack a change of one route", "ms", by, size, ms(took))
 	s.row("configuration", "change of one route", "B", by, size,
 		float64(length(&message.Message{Config: change})))
-	took, _ = s.cost(func() { whole = message.Pack(text, 0, nil) })
+	took, _ = s.cost(func() { whole = message.NewDelta(text, 0, nil) })
 	s.row("configuration", "pack the whole", "ms", by, size, ms(took))
 	s.row("configuration", "the whole, packed", "MB", by, size,
 		float64(length(&message.Message{Config: whole}))/1e6)
 	took, allocated = s.cost(func() {
-		_, err := change.Unpack(1, old)
+		_, err := change.Apply(1, old)
 		s.fail(err)
 	})
 	s.row("configuration", "unpack a change", "ms", by, size, ms(took))
 	s.row("configuration", "unpack a change: allocated", "MB", by, size, allocated/1e6)
 	fits := 1.0
-	if _, err := whole.Unpack(0, nil); err != nil {
+	if _, err := whole.Apply(0, nil); err != nil {
 		fits = 0
 	}
 	s.row("configuration", "the whole can be sent", "1: yes", by, size, fits)
@@ -149,16 +149,19 @@
 // list times what a change of the list of servers costs its way.
 func (s *Single) list(m Made) {
 	servers := m.List(0)
-	news := &message.Message{Kind: message.News, List: &message.List{Epoch: 1, Seq: 1, Servers: servers}}
+	news := &message.Message{
+		Type:      message.TypeWatchResponse,
+		Endpoints: &message.EndpointList{Epoch: 1, Sequence: 1, Endpoints: servers},
+	}
 	var b []byte
-	took, _ := s.cost(func() { b = message.Encode(nil, news) })
+	took, _ := s.cost(func() { b = message.MarshalAppend(nil, news) })
 	s.row("list", "message", "MB", "servers", m.Servers, float64(len(b))/1e6)
 	s.row("list", "encode, for each who asks", "ms", "servers", m.Servers, ms(took))
 	base := heap()
 	var got *message.Message
 	took, _ = s.cost(func() {
 		got = new(message.Message)
-		s.fail(message.Decode(b, got))
+		s.fail(message.Unmarshal(b, got))
 	})
 	s.row("list", "decode", "ms", "servers", m.Servers, ms(took))
 	s.row("list", "kept", "MB", "servers", m.Servers, (heap()-base)/1e6)
@@ -192,16 +195,16 @@
 func (s *Single) front(m Made, members int) {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	d, err := routing.Read(Made{Routes: m.Routes, Services: m.Services}.Config(1))
+	d, err := routing.Parse(Made{Routes: m.Routes, Services: m.Services}.Config(1))
 	if err != nil {
 		s.fail(err)
 		return
 	}
 	base := heap()
 	var cores []*core.Core
-	f := proxy.New(proxy.Options{Self: "10.1.0.1:7", Zone: zone(0), Tuning: server.Tuning,
+	f := proxy.New(proxy.Options{NodeAddr: "10.1.0.1:7", Zone: zone(0), Tuning: server.Tuning,
 		Clock: func() time.Duration { return time.Hour }, Log: func(events.Event, ...any) {},
-		Core: func(service string, set choice.Settings) (*core.Core, error) {
+		NewCore: func(service string, set choice.Settings) (*core.Core, error) {
 			c, err := core.New(core.Config{Settings: set, Seed: 1, Upstream: nowhere{}, Log: func(string) {}})
 			if err == nil {
 				cores = append(cores, c)
@@ -216,19 +219,19 @@
 			<-done
 		}
 	}
-	took, _ := s.cost(func() { f.Use(d); settle() })
+	took, _ := s.cost(func() { f.SetConfig(d); settle() })
 	s.row("front", "use a configuration", "ms", "servers", m.Servers, ms(took))
-	var ingresses []message.Machine
+	var ingresses []message.Node
 	for i := range members {
 		ingresses = append(
 			ingresses,
-			message.Machine{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)},
+			message.Node{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)},
 		)
 	}
 	from := 0
-	took, _ = s.cost(func() { from++; f.Servers(m.List(from)); settle() })
+	took, _ = s.cost(func() { from++; f.SetEndpoints(m.List(from)); settle() })
 	s.row("front", "take a list that changed by one", "ms", "servers", m.Servers, ms(took))
-	took, _ = s.cost(func() { f.Members(ingresses); settle() })
+	took, _ = s.cost(func() { f.SetNodes(ingresses); settle() })
 	s.row("front", "take who is a member", "ms", "servers", m.Servers, ms(took))
 	s.row("front", "kept by gates and lists", "MB", "servers", m.Servers, (heap()-base)/1e6)
 	runtime.KeepAlive(f)
@@ -252,30 +255,32 @@
 // desk times a question to the desk of tolls.
 func (s *Single) desk(m Made) {
 	const burst = 20
-	d := ratelimit.NewDesk(func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: burst} })
+	d := ratelimit.NewAllocator(
+		func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: burst} },
+	)
 	base := heap()
-	d.Open(time.Hour, 1)
+	d.Activate(time.Hour, 1)
 	now := time.Hour + time.Minute // by when all stores are full
 	all, short := &message.Message{Epoch: 1}, &message.Message{Epoch: 1}
 	for i := range m.Tenants {
-		all.Tolls = append(all.Tolls, message.Toll{Tenant: tenant(i)})
+		all.Tokens = append(all.Tokens, message.TenantTokens{Tenant: tenant(i)})
 		if i < int(busy*float64(m.Tenants)) {
-			short.Tolls = append(short.Tolls, message.Toll{Tenant: tenant(i), Tokens: burst})
+			short.Tokens = append(short.Tokens, message.TenantTokens{Tenant: tenant(i), Tokens: burst})
 		}
 	}
 	const asker = "10.0.0.1:7"
-	all.Call, short.Call, short.Granted = 1, 2, 1
-	d.Ask(now, asker, all)
+	all.RequestID, short.RequestID, short.LastGrant = 1, 2, 1
+	d.Allocate(now, asker, all)
 	s.row("desk", "stores", "MB", "tenants", m.Tenants, (heap()-base)/1e6)
-	d.Ask(now, asker, short)
-	q := &message.Message{Kind: message.Ask, Epoch: 1, Call: 2}
+	d.Allocate(now, asker, short)
+	q := &message.Message{Type: message.TypeTokenRequest, Epoch: 1, RequestID: 2}
 	for i := range asked {
-		q.Tolls = append(q.Tolls, message.Toll{Tenant: tenant(m.Tenants - 1 - i), Spent: 1})
+		q.Tokens = append(q.Tokens, message.TenantTokens{Tenant: tenant(m.Tenants - 1 - i), Spent: 1})
 	}
 	var answer *message.Message
 	took, _ := s.cost(func() {
-		q.Call, q.Granted = q.Call+1, q.Call
-		answer = d.Ask(now, asker, q)
+		q.RequestID, q.LastGrant = q.RequestID+1, q.RequestID
+		answer = d.Allocate(now, asker, q)
 	})
 	s.row("desk", "a question", "ms", "tenants", m.Tenants, ms(took))
 	s.row("desk", "a question: message", "B", "tenants", m.Tenants, float64(length(q)))
@@ -285,19 +290,19 @@
 // meter times a question of an ingress and its answer, with so many tenants seen in the last minute.
 func (s *Single) meter(seen, members int) {
 	var out *message.Message
-	m := ratelimit.NewMeter(1, func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: 20} },
+	m := ratelimit.NewLimiter(1, func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: 20} },
 		func(q *message.Message) { out = q }, func(ratelimit.State) {})
-	m.Serve(1, members)
-	grant := &message.Message{Kind: message.Grant, Life: 1, OK: true}
+	m.SetAllocator(1, members)
+	grant := &message.Message{Type: message.TypeTokenGrant, Incarnation: 1, OK: true}
 	for i := range int(busy * float64(s.Made.Tenants)) {
-		grant.Shut = append(grant.Shut, tenant(1_000_000+i))
+		grant.ExhaustedTenants = append(grant.ExhaustedTenants, tenant(1_000_000+i))
 	}
 	now := time.Hour
 	answer := func() {
 		for q := out; q != nil; q = out {
-			out, grant.Call, grant.Tolls = nil, q.Call, q.Tolls
+			out, grant.RequestID, grant.Tokens = nil, q.RequestID, q.Tokens
 			now += 30 * time.Millisecond // past the pause between questions
-			m.Granted(now, grant)
+			m.HandleGrant(now, grant)
 		}
 	}
 	base := heap()
@@ -329,7 +334,7 @@
 	shortPage = 50
 )
 
-func newPlatform(servers []message.Server, perPage int) *platform {
+func newPlatform(servers []message.Endpoint, perPage int) *platform {
 	p := &platform{}
 	for list := range slices.Chunk(servers, perPage) {
 		zones := map[string][]map[string]any{}
--- a/internal/ratelimit/overlap_test.go
+++ b/internal/ratelimit/overlap_test.go
@@ -21,13 +21,13 @@
 func (w *town) succeeded(gives time.Duration, waits bool) {
 	earlier := w.desk
 	w.epoch++
-	w.desk = NewDesk(func(string) Limits { return w.limits })
+	w.desk = NewAllocator(func(string) Limits { return w.limits })
 	next, epoch, opens := w.desk, w.epoch, time.Duration(0)
 	until := w.now + gives
 	if waits {
 		opens = gives
 	}
-	w.at(opens, func() { next.Open(w.now, epoch) })
+	w.at(opens, func() { next.Activate(w.now, epoch) })
 	for i, m := range w.meters {
 		hears := time.Duration(w.rng.Int64N(int64(100 * time.Millisecond)))
 		if i < len(w.meters)/2 {
@@ -38,7 +38,7 @@
 		}
 		w.at(hears, func() {
 			m.send = func(q *message.Message) { w.ask(i, m, q) }
-			m.Serve(epoch, len(w.meters))
+			m.SetAllocator(epoch, len(w.meters))
 		})
 	}
 }
@@ -58,7 +58,7 @@
 	gives := earlierGives - time.Duration(r.IntN(2)*r.IntN(750))*time.Millisecond
 	w.at(time.Duration(r.IntN(5000))*time.Millisecond, func() { w.succeeded(gives, waits) })
 	w.asks(rate*times, 8*time.Second)
-	return (float64(w.most()) - w.allowed()) / (rate*window + w.limits.Burst)
+	return (float64(w.most()) - w.allowed()) / (rate*quotaWindowSeconds + w.limits.Burst)
 }
 
 // Given any tenant, ingresses and moment, when a keeper of the counts gives tokens until the next one does,
--- a/internal/ratelimit/quorum_test.go
+++ b/internal/ratelimit/quorum_test.go
@@ -19,11 +19,11 @@
 		m.send = func(q *message.Message) {
 			o := *q
 			o.Epoch = epoch
-			g := *old.Ask(w.now, fmt.Sprint(i), &o)
+			g := *old.Allocate(w.now, fmt.Sprint(i), &o)
 			if taken {
 				g.Epoch = q.Epoch
 			}
-			w.at(time.Millisecond, func() { m.Granted(w.now, &g) })
+			w.at(time.Millisecond, func() { m.HandleGrant(w.now, &g) })
 		}
 	}
 	w.asks(1600, 8*time.Second)
@@ -47,22 +47,22 @@
 // nothing, and its stores are as they were.
 func TestADeskGivesNothingUnderAnOlderEpoch(t *testing.T) {
 	now := time.Hour
-	d := NewDesk(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
-	d.Open(now, 7)
+	d := NewAllocator(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
+	d.Activate(now, 7)
 	ask := func(epoch, call uint64) *message.Message {
-		return d.Ask(now, "a", &message.Message{Kind: message.Ask, Call: call, Epoch: epoch,
-			Tolls: []message.Toll{{Tenant: "t", Tokens: 3, Spent: 1}}})
+		return d.Allocate(now, "a", &message.Message{Type: message.TypeTokenRequest, RequestID: call, Epoch: epoch,
+			Tokens: []message.TenantTokens{{Tenant: "t", Tokens: 3, Spent: 1}}})
 	}
 	now += 10 * time.Second
-	if g := ask(6, 1); g.OK || len(g.Tolls) > 0 {
+	if g := ask(6, 1); g.OK || len(g.Tokens) > 0 {
 		t.Errorf("under an older epoch: %+v", g)
 	}
-	d.Open(now, 6)
+	d.Activate(now, 6)
 	if g := ask(6, 2); g.OK {
 		t.Error("opened under an older epoch")
 	}
-	if g := ask(7, 3); !g.OK || g.Tolls[0].Tokens != 3 || d.stores["t"].tokens != 96 {
-		t.Errorf("%+v, %v left", g, d.stores["t"].tokens)
+	if g := ask(7, 3); !g.OK || g.Tokens[0].Tokens != 3 || d.buckets["t"].tokens != 96 {
+		t.Errorf("%+v, %v left", g, d.buckets["t"].tokens)
 	}
 }
 
@@ -72,20 +72,20 @@
 func TestAThirdCutOffSpendsNoMoreThanTheRulesAllow(t *testing.T) {
 	for _, rate := range []float64{20, 60, 200} {
 		w := given(3, 12, Limits{Rate: rate, Burst: rate})
-		members := func(n int) (list []message.Machine) {
+		members := func(n int) (list []message.Node) {
 			for i := range n {
-				list = append(list, message.Machine{Addr: fmt.Sprint(i)})
+				list = append(list, message.Node{Addr: fmt.Sprint(i)})
 			}
 			return list
 		}
-		w.desk.Members(w.now, members(12))
+		w.desk.SetNodes(w.now, members(12))
 		w.run(8 * time.Second)
 		w.asks(rate*3, 5*time.Second)
 		for i := 8; i < 12; i++ {
 			w.cut[i] = true
 		}
 		desk := w.desk
-		w.at(3*time.Second, func() { desk.Members(w.now, members(8)) })
+		w.at(3*time.Second, func() { desk.SetNodes(w.now, members(8)) })
 		w.asks(rate*3, 20*time.Second)
 		if most := w.most(); float64(most) > w.allowed() {
 			t.Errorf("rate %v: %d in a window, %v allowed", rate, most, w.allowed())
--- a/internal/ratelimit/toll_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -20,8 +20,8 @@
 	events queue
 	rng    *rand.Rand
 	limits Limits
-	meters []*Meter
-	desk   *Desk
+	meters []*Limiter
+	desk   *Allocator
 	epoch  uint64
 	cut    map[int]bool // ingresses that don't reach the desk
 	passed []time.Duration
@@ -51,7 +51,7 @@
 func given(seed uint64, ingresses int, l Limits) *town {
 	w := &town{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), limits: l, cut: map[int]bool{}}
 	for i := range ingresses {
-		m := NewMeter(uint64(i+1), func(string) Limits { return w.limits }, nil, func(State) {})
+		m := NewLimiter(uint64(i+1), func(string) Limits { return w.limits }, nil, func(State) {})
 		m.send = func(q *message.Message) { w.ask(i, m, q) }
 		w.meters = append(w.meters, m)
 		var tick func()
@@ -68,14 +68,14 @@
 // opens has another machine keep the counts.
 func (w *town) opens() {
 	w.epoch++
-	w.desk = NewDesk(func(string) Limits { return w.limits })
-	w.desk.Open(w.now, w.epoch)
+	w.desk = NewAllocator(func(string) Limits { return w.limits })
+	w.desk.Activate(w.now, w.epoch)
 	for _, m := range w.meters {
-		m.Serve(w.epoch, len(w.meters))
+		m.SetAllocator(w.epoch, len(w.meters))
 	}
 }
 
-func (w *town) ask(i int, m *Meter, q *message.Message) {
+func (w *town) ask(i int, m *Limiter, q *message.Message) {
 	if w.cut[i] {
 		return
 	}
@@ -84,14 +84,14 @@
 }
 
 // askAt asks a desk, unless that has gone by the time at which the question comes.
-func (w *town) askAt(i int, m *Meter, desk *Desk, q *message.Message, gone func() bool) {
+func (w *town) askAt(i int, m *Limiter, desk *Allocator, q *message.Message, gone func() bool) {
 	delay := func() time.Duration { return time.Duration(500+w.rng.IntN(3000)) * time.Microsecond }
 	w.at(delay(), func() {
 		if gone() {
 			return
 		}
-		answer := desk.Ask(w.now, fmt.Sprint(i), q)
-		w.at(delay(), func() { m.Granted(w.now, answer) })
+		answer := desk.Allocate(w.now, fmt.Sprint(i), q)
+		w.at(delay(), func() { m.HandleGrant(w.now, answer) })
 	})
 }
 
@@ -105,7 +105,7 @@
 		}
 		decided := func(ok bool, _ time.Duration) { w.decided(ok) }
 		if v, _ := w.meters[w.rng.IntN(len(w.meters))].Take(w.now, "t", decided); v != Wait {
-			w.decided(v == Pass)
+			w.decided(v == Allow)
 		}
 		w.at(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
@@ -133,7 +133,7 @@
 func (w *town) most() (most int) {
 	from := 0
 	for i, at := range w.passed {
-		for w.passed[from] < at-time.Duration(window*float64(time.Second)) {
+		for w.passed[from] < at-time.Duration(quotaWindowSeconds*float64(time.Second)) {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -143,7 +143,7 @@
 
 // allowed is the rules' bound: a tenth over the quota, and twenty requests.
 func (w *town) allowed() float64 {
-	return (w.limits.Rate*window+w.limits.Burst)*1.1 + 20
+	return (w.limits.Rate*quotaWindowSeconds+w.limits.Burst)*1.1 + 20
 }
 
 // Given any tenant, ingresses and demand, when it asks many times its quota, desks change and ingresses are
--- a/internal/ratelimit/calls_test.go
+++ b/internal/ratelimit/requests_test.go
@@ -17,19 +17,23 @@
 // what is left. forgets plays a desk that counts each question by itself.
 func left(questions []question, forgets bool) (given []float64, rest float64) {
 	now := time.Hour
-	d := NewDesk(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
-	d.Open(now, 1)
+	d := NewAllocator(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
+	d.Activate(now, 1)
 	now += 10 * time.Second
 	ask := func(from string, q question) float64 {
 		if forgets {
-			clear(d.asked)
+			clear(d.requests)
 		}
-		g := d.Ask(now, from, &message.Message{Kind: message.Ask, Epoch: 1, Life: q.life, Call: q.call,
-			Granted: q.granted, Tolls: []message.Toll{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}})
+		g := d.Allocate(
+			now,
+			from,
+			&message.Message{Type: message.TypeTokenRequest, Epoch: 1, Incarnation: q.life, RequestID: q.call,
+				LastGrant: q.granted, Tokens: []message.TenantTokens{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}},
+		)
 		if !g.OK {
 			return 0
 		}
-		return g.Tolls[0].Tokens
+		return g.Tokens[0].Tokens
 	}
 	for _, q := range questions {
 		given = append(given, ask("a", q))
@@ -71,11 +75,11 @@
 func TestAGrantForAnEarlierLifeIsNotTaken(t *testing.T) {
 	now := time.Hour
 	var out []*message.Message
-	m := NewMeter(2, func(string) Limits { return Limits{Rate: 100, Burst: 100} },
+	m := NewLimiter(2, func(string) Limits { return Limits{Rate: 100, Burst: 100} },
 		func(q *message.Message) { out = append(out, q) }, func(State) {})
-	m.Serve(1, 1)
+	m.SetAllocator(1, 1)
 	passed := 0
-	take := func() Verdict {
+	take := func() Decision {
 		v, _ := m.Take(now, "t", func(ok bool, _ time.Duration) {
 			if ok {
 				passed++
@@ -84,19 +88,25 @@
 		return v
 	}
 	grant := func(life uint64) *message.Message {
-		return &message.Message{Kind: message.Grant, Life: life, Call: out[0].Call, Epoch: 1, OK: true,
-			Tolls: []message.Toll{{Tenant: "t", Tokens: out[0].Tolls[0].Tokens}}}
+		return &message.Message{
+			Type:        message.TypeTokenGrant,
+			Incarnation: life,
+			RequestID:   out[0].RequestID,
+			Epoch:       1,
+			OK:          true,
+			Tokens:      []message.TenantTokens{{Tenant: "t", Tokens: out[0].Tokens[0].Tokens}},
+		}
 	}
 	if take() != Wait || len(out) != 1 {
 		t.Fatalf("the first request doesn't ask: %v", out)
 	}
-	if m.Granted(now, grant(1)); passed != 0 || m.granted != 0 {
+	if m.HandleGrant(now, grant(1)); passed != 0 || m.lastGrant != 0 {
 		t.Errorf("%d passed by a grant of an earlier life", passed)
 	}
-	m.Granted(now, grant(out[0].Life)) // what the grant before would be, were its life not looked at
-	tokens := m.accounts["t"].tokens
-	m.Granted(now, grant(out[0].Life))
-	if passed != 1 || m.accounts["t"].tokens != tokens {
-		t.Errorf("%d passed, %v tokens left; %v before it came again", passed, m.accounts["t"].tokens, tokens)
+	m.HandleGrant(now, grant(out[0].Incarnation)) // what the grant before would be, were its life not looked at
+	tokens := m.tenants["t"].tokens
+	m.HandleGrant(now, grant(out[0].Incarnation))
+	if passed != 1 || m.tenants["t"].tokens != tokens {
+		t.Errorf("%d passed, %v tokens left; %v before it came again", passed, m.tenants["t"].tokens, tokens)
 	}
 }
--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -9,14 +9,14 @@
 
 // Diff tells what a configuration changes against another, a line each, in a fixed order: first routes, then
 // services, tenants and limits. Keys are counted and never told.
-func Diff(old, fresh *Directory) []string {
+func Diff(old, fresh *Table) []string {
 	lines := changes("route", routesOf(old), routesOf(fresh))
 	lines = slices.Concat(lines,
 		changes("service", textsOf(old.Services, service), textsOf(fresh.Services, service)),
 		changes("customer", textsOf(old.Tenants, tenant), textsOf(fresh.Tenants, tenant)))
 	for _, name := range slices.Sorted(maps.Keys(fresh.Tenants)) {
 		if before := old.Tenants[name]; before != nil {
-			if gone, come := without(before.Keys, fresh.Tenants[name].Keys); gone+come > 0 {
+			if gone, come := countChanged(before.APIKeys, fresh.Tenants[name].APIKeys); gone+come > 0 {
 				lines = append(lines, fmt.Sprintf("~ customer %s: %d keys taken away, %d added", name, gone, come))
 			}
 		}
@@ -46,19 +46,19 @@
 	return lines
 }
 
-func routesOf(d *Directory) map[string]string {
+func routesOf(d *Table) map[string]string {
 	texts := map[string]string{}
 	for _, r := range d.Routes {
 		texts[r.Name] = fmt.Sprintf(
 			"%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v",
 			r.Domain,
-			r.Start,
+			r.PathPrefix,
 			r.Kind,
 			r.Shares,
-			r.GiveUp,
-			r.Target,
-			r.Rank,
-			r.Tries,
+			r.Timeout,
+			r.LatencyTarget,
+			r.Priority,
+			r.MaxAttempts,
 			r.Public,
 		)
 	}
@@ -74,15 +74,15 @@
 }
 
 func service(s Service) string {
-	return fmt.Sprintf("%d connections, health %s", s.Connections, s.HealthPath)
+	return fmt.Sprintf("%d connections, health %s", s.MaxConnections, s.HealthPath)
 }
 
 func tenant(t *Tenant) string {
-	return fmt.Sprintf("%g a second, burst %g, rank %d", t.Rate, t.Burst, t.Rank)
+	return fmt.Sprintf("%g a second, burst %g, rank %d", t.RatePerSecond, t.Burst, t.Priority)
 }
 
-// without counts what one list has that the other has not, both ways.
-func without(old, fresh []string) (gone, come int) {
+// countChanged counts what one list has that the other has not, both ways.
+func countChanged(old, fresh []string) (gone, come int) {
 	for _, x := range old {
 		if !slices.Contains(fresh, x) {
 			gone++
--- a/internal/routing/directory.go
+++ b/internal/routing/routing.go
@@ -19,16 +19,16 @@
 //go:embed config.schema.json
 var schemaText []byte
 
-// longest is the longest that a request may be held.
-const longest = 10 * time.Minute
+// maxTimeout is the longest that a request may be held.
+const maxTimeout = 10 * time.Minute
 
-// Kind says how often a request of a route may run.
-type Kind string
+// RequestKind says how often a request of a route may run.
+type RequestKind string
 
 // The kinds of routes.
 const (
-	ReadOnly Kind = "read_only" // any number of times
-	Writing  Kind = "writing"   // at most once per try
+	ReadOnly RequestKind = "read_only" // any number of times
+	Writing  RequestKind = "writing"   // at most once per try
 )
 
 // Share is the part of a route's requests that goes to a service.
@@ -39,75 +39,75 @@
 
 // Route is where some requests go.
 type Route struct {
-	Name   string
-	Domain string
-	Start  string // of the path: it begins and ends with a slash
-	Kind   Kind
-	GiveUp time.Duration // the longest that a request is held
-	Target time.Duration // an answer within it has its full worth
-	Rank   int           // 0 is the highest
-	Shares []Share
-	Tries  int  // servers that one try may be sent to
-	Public bool // no key is asked for
+	Name          string
+	Domain        string
+	PathPrefix    string // of the path: it begins and ends with a slash
+	Kind          RequestKind
+	Timeout       time.Duration // the longest that a request is held
+	LatencyTarget time.Duration // an answer within it has its full worth
+	Priority      int           // 0 is the highest
+	Shares        []Share
+	MaxAttempts   int  // servers that one try may be sent to
+	Public        bool // no key is asked for
 }
 
 // Service is a group of servers that do the same.
 type Service struct {
-	Name        string
-	HealthPath  string
-	Connections int // that each server takes, of all callers
+	Name           string
+	HealthPath     string
+	MaxConnections int // that each server takes, of all callers
 }
 
 // Tenant is whose requests count together.
 type Tenant struct {
-	Name  string
-	Keys  []string
-	Rank  int
-	Rate  float64 // requests a second; 0: no limit
-	Burst float64
+	Name          string
+	APIKeys       []string
+	Priority      int
+	RatePerSecond float64 // requests a second; 0: no limit
+	Burst         float64
 }
 
 // Limits are on what a client may send.
 type Limits struct {
-	Head, Body       int // bytes
-	HeadWait, IdleIn time.Duration
+	MaxHeaderBytes, MaxBodyBytes int // bytes
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
-// Directory is a whole configuration.
-type Directory struct {
-	Version  uint64
-	Routes   []Route
-	Services map[string]Service
-	Tenants  map[string]*Tenant
-	Limits   Limits
-	Keyed    bool // requests carry keys
-
-	hosts map[string][]*Route // by domain, the longest start first
-	keys  map[string]*Tenant
+// Table is a whole configuration.
+type Table struct {
+	Version      uint64
+	Routes       []Route
+	Services     map[string]Service
+	Tenants      map[string]*Tenant
+	Limits       Limits
+	RequiresKeys bool // requests carry keys
+
+	routesByHost map[string][]*Route // by domain, the longest start first
+	tenantsByKey map[string]*Tenant
 }
 
-type item struct {
+type configItem struct {
 	Kind     string `json:"item_kind"`
 	Metadata struct{ Name string }
 	Desired  json.RawMessage
 }
 
-type document struct {
-	Version string `json:"version"`
-	Items   []item `json:"items_of"`
+type configDocument struct {
+	Version string       `json:"version"`
+	Items   []configItem `json:"items_of"`
 }
 
 type routeJSON struct {
-	Domain  string      `json:"domain"`
-	Start   string      `json:"path_start"`
-	Kind    Kind        `json:"kind"`
-	GiveUp  float64     `json:"give_up_s"`
-	Target  float64     `json:"target_s"`
-	Rank    int         `json:"rank"`
-	Backend string      `json:"backend"`
-	Shares  []shareJSON `json:"shares"`
-	Tries   int         `json:"tries"`
-	Public  bool        `json:"public"`
+	Domain               string      `json:"domain"`
+	PathPrefix           string      `json:"path_start"`
+	Kind                 RequestKind `json:"kind"`
+	TimeoutSeconds       float64     `json:"give_up_s"`
+	LatencyTargetSeconds float64     `json:"target_s"`
+	Priority             int         `json:"rank"`
+	Backend              string      `json:"backend"`
+	Shares               []shareJSON `json:"shares"`
+	MaxAttempts          int         `json:"tries"`
+	Public               bool        `json:"public"`
 }
 
 type shareJSON struct {
@@ -116,33 +116,33 @@
 }
 
 type serviceJSON struct {
-	HealthPath  string `json:"health_path"`
-	Connections int    `json:"max_conns"`
+	HealthPath     string `json:"health_path"`
+	MaxConnections int    `json:"max_conns"`
 }
 
 type tenantJSON struct {
-	Keys  []string `json:"api_keys"`
-	Rank  int      `json:"rank"`
-	Rate  float64  `json:"allowed_per_s"`
-	Burst float64  `json:"burst_size"`
+	APIKeys       []string `json:"api_keys"`
+	Priority      int      `json:"rank"`
+	RatePerSecond float64  `json:"allowed_per_s"`
+	Burst         float64  `json:"burst_size"`
 }
 
 type limitsJSON struct {
-	Head     int     `json:"max_header_bytes"`
-	Body     int     `json:"max_body_bytes"`
-	HeadWait float64 `json:"header_wait_s"`
-	Idle     float64 `json:"idle_s"`
+	MaxHeaderBytes       int     `json:"max_header_bytes"`
+	MaxBodyBytes         int     `json:"max_body_bytes"`
+	HeaderTimeoutSeconds float64 `json:"header_wait_s"`
+	IdleTimeoutSeconds   float64 `json:"idle_s"`
 }
 
 var configSchema = schema.New("config", schemaText)
 
-// Check reads a configuration that an operator has sent. An error is a trace.BadParameter that names what is
-// wrong.
-func Check(body []byte) (*Directory, error) {
-	if err := configSchema.Check(body); err != nil {
+// Validate reads a configuration that an operator has sent. An error is a trace.BadParameter that names what
+// is wrong.
+func Validate(body []byte) (*Table, error) {
+	if err := configSchema.Validate(body); err != nil {
 		return nil, trace.Wrap(err, "configuration")
 	}
-	return Read(body)
+	return Parse(body)
 }
 
 // Version reads a version such as r12. Numbers begin with 1: 0 is what the core holds before the first, so
@@ -156,9 +156,9 @@
 	return n, nil
 }
 
-// Read reads a configuration and checks what it means.
-func Read(body []byte) (*Directory, error) {
-	var doc document
+// Parse reads a configuration and checks what it means.
+func Parse(body []byte) (*Table, error) {
+	var doc configDocument
 	if err := json.Unmarshal(body, &doc); err != nil {
 		return nil, trace.BadParameter("configuration: can't be read whole: %v", err)
 	}
@@ -166,10 +166,10 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Directory{Version: version, Services: map[string]Service{}, Tenants: map[string]*Tenant{},
-		hosts: map[string][]*Route{}, keys: map[string]*Tenant{}}
+	d := &Table{Version: version, Services: map[string]Service{}, Tenants: map[string]*Tenant{},
+		routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
 	for i, it := range doc.Items {
-		if err := d.item(it); err != nil {
+		if err := d.addItem(it); err != nil {
 			return nil, trace.BadParameter(
 				"configuration: item %d (%s %q): %v",
 				i+1,
@@ -179,7 +179,7 @@
 			)
 		}
 	}
-	if err := d.link(); err != nil {
+	if err := d.index(); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -187,7 +187,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (d *Directory) item(it item) error {
+func (d *Table) addItem(it configItem) error {
 	name := it.Metadata.Name
 	switch it.Kind {
 	case "routes":
@@ -195,9 +195,19 @@
 		if err := json.Unmarshal(it.Desired, &r); err != nil {
 			return trace.Wrap(err)
 		}
-		route := Route{Name: name, Domain: strings.ToLower(r.Domain), Start: r.Start, Kind: r.Kind,
-			GiveUp: seconds(r.GiveUp), Target: seconds(r.Target), Rank: r.Rank, Tries: max(1, r.Tries),
-			Public: r.Public}
+		route := Route{
+			Name:       name,
+			Domain:     strings.ToLower(r.Domain),
+			PathPrefix: r.PathPrefix,
+			Kind:       r.Kind,
+			Timeout: seconds(
+				r.TimeoutSeconds,
+			),
+			LatencyTarget: seconds(r.LatencyTargetSeconds),
+			Priority:      r.Priority,
+			MaxAttempts:   max(1, r.MaxAttempts),
+			Public:        r.Public,
+		}
 		for _, s := range r.Shares {
 			route.Shares = append(route.Shares, Share{s.Backend, s.Share})
 		}
@@ -205,34 +215,45 @@
 			route.Shares = []Share{{r.Backend, 1}}
 		}
 		d.Routes = append(d.Routes, route)
-		return route.check(r.GiveUp)
+		return route.validate(r.TimeoutSeconds)
 	case "backends":
 		var s serviceJSON
 		if err := json.Unmarshal(it.Desired, &s); err != nil {
 			return trace.Wrap(err)
 		}
-		d.Services[name] = Service{Name: name, HealthPath: s.HealthPath, Connections: s.Connections}
+		d.Services[name] = Service{Name: name, HealthPath: s.HealthPath, MaxConnections: s.MaxConnections}
 	case "customers":
 		var t tenantJSON
 		if err := json.Unmarshal(it.Desired, &t); err != nil {
 			return trace.Wrap(err)
 		}
-		d.Keyed = true
-		if t.Rate < 0 || t.Burst < 0 {
+		d.RequiresKeys = true
+		if t.RatePerSecond < 0 || t.Burst < 0 {
 			return trace.BadParameter("a quota below 0")
 		}
-		d.Tenants[name] = &Tenant{Name: name, Keys: t.Keys, Rank: t.Rank, Rate: t.Rate, Burst: t.Burst}
+		d.Tenants[name] = &Tenant{
+			Name:          name,
+			APIKeys:       t.APIKeys,
+			Priority:      t.Priority,
+			RatePerSecond: t.RatePerSecond,
+			Burst:         t.Burst,
+		}
 	case "limits":
 		var l limitsJSON
 		if err := json.Unmarshal(it.Desired, &l); err != nil {
 			return trace.Wrap(err)
 		}
-		d.Limits = Limits{l.Head, l.Body, seconds(l.HeadWait), seconds(l.Idle)}
+		d.Limits = Limits{
+			l.MaxHeaderBytes,
+			l.MaxBodyBytes,
+			seconds(l.HeaderTimeoutSeconds),
+			seconds(l.IdleTimeoutSeconds),
+		}
 	}
 	return nil // kinds that this program doesn't know are kept, and told again as they came
 }
 
-func (r *Route) check(giveUp float64) error {
+func (r *Route) validate(giveUp float64) error {
 	total := 0.0
 	for _, s := range r.Shares {
 		if s.Weight < 0 {
@@ -245,18 +266,18 @@
 		return trace.BadParameter("an empty domain")
 	case !(giveUp > 0):
 		return trace.BadParameter("give_up_s must be above 0")
-	case giveUp > longest.Seconds():
+	case giveUp > maxTimeout.Seconds():
 		return trace.BadParameter("give_up_s is over ten minutes")
 	case total <= 0:
 		return trace.BadParameter("shares that add up to nothing")
-	case !strings.HasPrefix(r.Start, "/") || !strings.HasSuffix(r.Start, "/"):
+	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
 		return trace.BadParameter("path_start must begin and end with a slash")
 	}
 	return nil
 }
 
-// link makes the tables, and checks what items say of each other.
-func (d *Directory) link() error {
+// index makes the tables, and checks what items say of each other.
+func (d *Table) index() error {
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		for _, s := range r.Shares {
@@ -264,45 +285,45 @@
 				return trace.BadParameter("configuration: route %q names an unknown service %q", r.Name, s.Service)
 			}
 		}
-		d.hosts[r.Domain] = append(d.hosts[r.Domain], r)
+		d.routesByHost[r.Domain] = append(d.routesByHost[r.Domain], r)
 	}
-	for host, list := range d.hosts {
-		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Start) - len(a.Start) })
+	for host, list := range d.routesByHost {
+		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 		for i := range list[1:] {
 			for _, other := range list[i+1:] {
-				if other.Start == list[i].Start {
+				if other.PathPrefix == list[i].PathPrefix {
 					return trace.BadParameter("configuration: routes %q and %q have the same place %s%s",
-						list[i].Name, other.Name, host, other.Start)
+						list[i].Name, other.Name, host, other.PathPrefix)
 				}
 			}
 		}
 	}
 	for _, t := range d.Tenants {
-		for _, k := range t.Keys {
-			if other := d.keys[k]; other != nil && other != t {
+		for _, k := range t.APIKeys {
+			if other := d.tenantsByKey[k]; other != nil && other != t {
 				return trace.BadParameter("configuration: customers %q and %q share a key", other.Name, t.Name)
 			}
-			d.keys[k] = t
+			d.tenantsByKey[k] = t
 		}
 	}
 	return nil
 }
 
-// Route finds the route of a request, whose host may have a port; nil: there is none.
-func (d *Directory) Route(host, path string) *Route {
+// FindRoute finds the route of a request, whose host may have a port; nil: there is none.
+func (d *Table) FindRoute(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
-	for _, r := range d.hosts[strings.ToLower(host)] {
-		if strings.HasPrefix(path, r.Start) {
+	for _, r := range d.routesByHost[strings.ToLower(host)] {
+		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
 	}
 	return nil
 }
 
-// Key finds whose key this is; nil: nobody's.
-func (d *Directory) Key(key string) *Tenant { return d.keys[key] }
+// FindTenant finds whose key this is; nil: nobody's.
+func (d *Table) FindTenant(key string) *Tenant { return d.tenantsByKey[key] }
 
 // Pick chooses the service for a request, by the route's shares and a number between 0 and 1.
 func (r *Route) Pick(at float64) string {
@@ -320,7 +341,7 @@
 }
 
 // String tells a directory's size, for logs: never a key.
-func (d *Directory) String() string {
+func (d *Table) String() string {
 	return fmt.Sprintf("r%d: %d routes, %d services, %d customers", d.Version, len(d.Routes), len(d.Services),
 		len(d.Tenants))
 }
--- a/internal/routing/directory_test.go
+++ b/internal/routing/routing_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestARequestFindsItsRouteAndItsTenant(t *testing.T) {
-	d, err := Check(config("", ""))
+	d, err := Validate(config("", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,14 +38,14 @@
 		{"[::1]", "/x/z", ""}, {"two.example", "/x/z", ""}, {"one.example", "/", ""},
 	} {
 		got := ""
-		if r := d.Route(c.host, c.path); r != nil {
+		if r := d.FindRoute(c.host, c.path); r != nil {
 			got = r.Name
 		}
 		if got != c.want {
 			t.Errorf("%s%s: route %q, want %q", c.host, c.path, got, c.want)
 		}
 	}
-	if d.Key("k2").Name != "t1" || d.Key("k9") != nil || d.Version != 7 || !d.Keyed {
+	if d.FindTenant("k2").Name != "t1" || d.FindTenant("k9") != nil || d.Version != 7 || !d.RequiresKeys {
 		t.Errorf("keys or version: %v", d)
 	}
 	n := map[string]int{}
@@ -75,7 +75,7 @@
 		{`"idle_s":15}}]}`, `"idle_s":15}}`, "can't be read whole"},
 		{`"path_start":"/x/"`, `"path_start":"/x"`, "path_start"},
 	} {
-		if _, err := Check(config(c.old, c.fresh)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := Validate(config(c.old, c.fresh)); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s for %s: %v, want it to say %q", c.fresh, c.old, err, c.says)
 		}
 	}
@@ -87,13 +87,13 @@
 	f.Add(config("", ""))
 	f.Add([]byte(`{"version":"r0","items_of":[]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d, err := Check(b)
+		d, err := Validate(b)
 		if err != nil {
 			return
 		}
 		for i := range d.Routes {
 			r := &d.Routes[i]
-			if _, ok := d.Services[r.Pick(0.5)]; !ok || r.GiveUp <= 0 && r.GiveUp > longest {
+			if _, ok := d.Services[r.Pick(0.5)]; !ok || r.Timeout <= 0 && r.Timeout > maxTimeout {
 				t.Errorf("%s", fmt.Sprint(r))
 			}
 		}
@@ -102,8 +102,8 @@
 
 // Given two configurations, when they are compared, then each change has its line, and no key is told.
 func TestADiffTellsEachChangeAndNoKey(t *testing.T) {
-	read := func(old, fresh string) *Directory {
-		d, err := Check(config(old, fresh))
+	read := func(old, fresh string) *Table {
+		d, err := Validate(config(old, fresh))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,9 +122,9 @@
 			t.Errorf("%s for %s: %q, want %s", c.fresh, c.old, lines, c.want)
 		}
 	}
-	before := &Directory{Tenants: map[string]*Tenant{"t": {Name: "t", Keys: []string{"secret-1", "secret-2"}}}}
-	after := &Directory{Tenants: map[string]*Tenant{"t": {Name: "t", Rate: 5,
-		Keys: []string{"secret-2", "secret-3"}}}}
+	before := &Table{Tenants: map[string]*Tenant{"t": {Name: "t", APIKeys: []string{"secret-1", "secret-2"}}}}
+	after := &Table{Tenants: map[string]*Tenant{"t": {Name: "t", RatePerSecond: 5,
+		APIKeys: []string{"secret-2", "secret-3"}}}}
 	lines := strings.Join(Diff(before, after), "\n")
 	if strings.Contains(lines, "secret") || !strings.Contains(lines, "1 keys taken away, 1 added") ||
 		!strings.Contains(lines, "5 a second") {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -31,11 +31,11 @@
 	})}
 }
 
-// mostFaults bounds an error: a long document may have a fault in each item.
-const mostFaults = 8
+// maxFaults bounds an error: a long document may have a fault in each item.
+const maxFaults = 8
 
-// Check checks a document of JSON. An error is a trace.BadParameter that names its faults.
-func (s Schema) Check(text []byte) error {
+// Validate checks a document of JSON. An error is a trace.BadParameter that names its faults.
+func (s Schema) Validate(text []byte) error {
 	compiled, err := s.compiled()
 	if err != nil {
 		return trace.Wrap(err)
@@ -46,7 +46,7 @@
 	}
 	if err := compiled.Validate(doc); err != nil {
 		lines := strings.Split(err.Error(), "\n")
-		return trace.BadParameter("%s", strings.Join(lines[:min(len(lines), mostFaults)], "; "))
+		return trace.BadParameter("%s", strings.Join(lines[:min(len(lines), maxFaults)], "; "))
 	}
 	return nil
 }
--- a/internal/server/loop_test.go
+++ b/internal/server/eventloop_test.go
@@ -11,16 +11,16 @@
 func TestABusyLoopLooksAfterWhatIsDue(t *testing.T) {
 	const most = 30_000_000 // some seconds, where the loop never looks; else it ends after some 60 ms
 	ctx, end := context.WithCancel(context.Background())
-	l, done, ticked := newLoop(), 0, 0
+	l, done, ticked := newEventLoop(), 0, 0
 	var again func()
 	again = func() {
 		if done++; done < most && ticked < 3 {
-			l.do(again)
+			l.post(again)
 		} else {
 			end()
 		}
 	}
-	l.do(again)
+	l.post(again)
 	l.run(ctx, func() time.Duration { ticked++; return time.Hour })
 	if ticked < 3 {
 		t.Errorf("looked after what is due %d times while %d things were done", ticked, done)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,22 +21,22 @@
 
 // Settings are what a process is told. Times are in seconds.
 type Settings struct {
-	Node       string             `toml:"node_name"`
-	Serves     []string           `toml:"serves"`
-	IP         string             `toml:"ip_address"`
-	Zone       string             `toml:"zone"`
-	Region     string             `toml:"region"`
-	SparePorts []int              `toml:"spare_ports"`
-	Seeds      []string           `toml:"seed_nodes"`
-	Fresh      bool               `toml:"fresh_start"`
-	DataDir    string             `toml:"data_dir"`
-	Bounds     []string           `toml:"bounds"`
-	Zones      map[string]string  `toml:"zones"`
-	Listen     Listen             `toml:"listen"`
-	Limits     Limits             `toml:"limits"`
-	Survive    Survive            `toml:"survive"`
-	Cloud      Cloud              `toml:"cloud_api"`
-	Figures    map[string]float64 `toml:"-"` // the bounds that are numbers, by name
+	NodeName      string             `toml:"node_name"`
+	Serves        []string           `toml:"serves"`
+	IPAddress     string             `toml:"ip_address"`
+	Zone          string             `toml:"zone"`
+	Region        string             `toml:"region"`
+	SparePorts    []int              `toml:"spare_ports"`
+	SeedNodes     []string           `toml:"seed_nodes"`
+	FreshStart    bool               `toml:"fresh_start"`
+	DataDir       string             `toml:"data_dir"`
+	Bounds        []string           `toml:"bounds"`
+	Zones         map[string]string  `toml:"zones"`
+	Listen        Listen             `toml:"listen"`
+	Limits        Limits             `toml:"limits"`
+	Survive       Survive            `toml:"survive"`
+	CloudAPI      CloudAPI           `toml:"cloud_api"`
+	NumericBounds map[string]float64 `toml:"-"` // the bounds that are numbers, by name
 }
 
 // Listen holds the addresses for what a process serves; empty: it does not serve that.
@@ -48,10 +48,10 @@
 
 // Limits are the machine's.
 type Limits struct {
-	CPUShare float64 `toml:"cpu_share"`
-	MemoryMB int     `toml:"memory_mb"`
-	Files    int     `toml:"open_files"`
-	DiskMB   int     `toml:"disk_mb"`
+	CPUShare  float64 `toml:"cpu_share"`
+	MemoryMB  int     `toml:"memory_mb"`
+	OpenFiles int     `toml:"open_files"`
+	DiskMB    int     `toml:"disk_mb"`
 }
 
 // Survive is what may be lost at once with all rules kept: so many machines, or zones, or regions.
@@ -61,11 +61,11 @@
 	Regions  int `toml:"regions"`
 }
 
-// Cloud is where the platform holds the list of servers.
-type Cloud struct {
-	Address string  `toml:"address"`
-	PerS    float64 `toml:"allowed_per_s"`
-	Delay   float64 `toml:"delay_s"`
+// CloudAPI is where the platform holds the list of servers.
+type CloudAPI struct {
+	Address          string  `toml:"address"`
+	AllowedPerSecond float64 `toml:"allowed_per_s"`
+	DelaySeconds     float64 `toml:"delay_s"`
 }
 
 var settingsSchema = schema.New("settings", schemaText)
@@ -91,21 +91,21 @@
 	if err != nil {
 		return nil, trace.BadParameter("%v", err)
 	}
-	if err := settingsSchema.Check(b); err != nil {
+	if err := settingsSchema.Validate(b); err != nil {
 		return nil, err
 	}
 	s := new(Settings)
 	if err := toml.Unmarshal(text, s); err != nil {
 		return nil, trace.BadParameter("%v", err)
 	}
-	if err := s.bounds(); err != nil {
+	if err := s.parseBounds(); err != nil {
 		return s, err
 	}
-	return s, s.regions()
+	return s, s.checkRegion()
 }
 
-// regions holds the settings to telling the region of this process's zone, where regions may be lost.
-func (s *Settings) regions() error {
+// checkRegion holds the settings to telling the region of this process's zone, where regions may be lost.
+func (s *Settings) checkRegion() error {
 	switch region, known := s.Zones[s.Zone]; {
 	case s.Survive.Regions == 0:
 	case !known:
@@ -117,13 +117,13 @@
 	return nil
 }
 
-func (s *Settings) bounds() error {
-	s.Figures = map[string]float64{}
+func (s *Settings) parseBounds() error {
+	s.NumericBounds = map[string]float64{}
 	for _, line := range s.Bounds {
 		for part := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 			if n, err := strconv.ParseFloat(value, 64); err == nil {
-				s.Figures[name] = n
+				s.NumericBounds[name] = n
 			}
 		}
 	}
@@ -133,21 +133,23 @@
 	return nil
 }
 
-// Figure is a bound, or the given value where the file has none.
-func (s *Settings) Figure(name string, otherwise float64) float64 {
-	if n, ok := s.Figures[name]; ok {
+// Bound is a bound, or the given value where the file has none.
+func (s *Settings) Bound(name string, otherwise float64) float64 {
+	if n, ok := s.NumericBounds[name]; ok {
 		return n
 	}
 	return otherwise
 }
 
-// Trunk is this process's address for the system's other processes.
-func (s *Settings) Trunk() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.SparePorts[0])) }
+// PeerAddr is this process's address for the system's other processes.
+func (s *Settings) PeerAddr() string {
+	return net.JoinHostPort(s.IPAddress, strconv.Itoa(s.SparePorts[0]))
+}
 
-// SeedTrunks are the seeds' addresses for the system's own processes: ports are alike on all machines.
-func (s *Settings) SeedTrunks() []string {
+// SeedPeerAddrs are the seeds' addresses for the system's own processes: ports are alike on all machines.
+func (s *Settings) SeedPeerAddrs() []string {
 	var list []string
-	for _, seed := range s.Seeds {
+	for _, seed := range s.SeedNodes {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
 			list = append(list, net.JoinHostPort(host, strconv.Itoa(s.SparePorts[0])))
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Trunk() != "127.0.0.1:7560" || len(s.SeedTrunks()) != 1 || s.Figure("grace_period_s", 1) != 6 ||
-		s.Figure("unknown", 7) != 7 || !s.Fresh || s.Survive.Machines != 0 {
+	if s.PeerAddr() != "127.0.0.1:7560" || len(s.SeedPeerAddrs()) != 1 || s.Bound("grace_period_s", 1) != 6 ||
+		s.Bound("unknown", 7) != 7 || !s.FreshStart || s.Survive.Machines != 0 {
 		t.Errorf("%+v", s)
 	}
 }
