--- a/cmd/dunespoke-gateway/members.go
+++ b/cmd/dunespoke-gateway/members.go
@@ -41,7 +41,7 @@
 		}
 		row(w, x.Addr, x.Zone, x.StoreID, part)
 	}
-	for _, x := range m.Candidates {
+	for _, x := range m.Learners {
 		row(w, x.Addr, x.Zone, x.StoreID, "no member, has a disk")
 	}
 	return trace.Wrap(w.Flush())
--- a/cmd/dunespoke-gateway/staff.go
+++ b/cmd/dunespoke-gateway/staff.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	fmt.Printf("node %s in %s, ready %v\n", v.Node, v.Zone, v.Ready)
-	fmt.Printf("configuration %s, %d servers, %d members\n", v.Version, v.Servers, v.Members)
+	fmt.Printf("configuration %s, %d servers, %d members\n", v.Version, v.Endpoints, v.Nodes)
 	fmt.Printf("asks %s for news\n", cmp.Or(v.ConnectedTo, "nobody"))
 	fmt.Printf("view %d: %s\n", v.Epoch, cmp.Or(strings.Join(v.Chain, " -> "), "none known"))
 	if k := v.Replica; k != nil {
--- a/internal/controlplane/api/api_test.go
+++ b/internal/controlplane/api/api_test.go
@@ -6,13 +6,14 @@
 	"strings"
 	"testing"
 
+	"dunespoke/internal/controlplane/client"
 	"dunespoke/internal/controlplane/message"
 	"dunespoke/internal/dataplane/slowlog"
 	"dunespoke/internal/events"
 	"dunespoke/internal/http1"
 )
 
-// fakeCluster is a stand-in for what the desk passes on to.
+// fakeCluster is a stand-in for what the API passes on to.
 type fakeCluster struct {
 	held     uint64
 	config   []byte
@@ -22,40 +23,33 @@
 	put      []uint64
 }
 
-func (c *fakeCluster) Put(version uint64, _ []byte, done func(*message.Message)) {
+func (c *fakeCluster) Put(version uint64, _ []byte, done client.PutDone) {
 	c.put = append(c.put, version)
-	if c.silent {
-		done(nil)
-		return
-	}
-	if c.conflict {
-		done(&message.Message{Type: message.TypeConflict, Version: c.held})
-		return
+	switch {
+	case c.silent:
+		done(0, client.ErrNoResponse)
+	case c.conflict:
+		done(c.held, &client.ConflictError{Committed: c.held})
+	default:
+		done(max(version, c.held), nil)
 	}
-	done(&message.Message{Type: message.TypeCommitted, Version: max(version, c.held)})
 }
 
-func (c *fakeCluster) Read(done func(uint64, []byte)) { done(c.held, c.config) }
-func (c *fakeCluster) NearestReplica() string         { return c.nearer }
-func (c *fakeCluster) Status(done func(NodeStatus))   { done(NodeStatus{Node: "n-1", Version: "r7"}) }
-func (c *fakeCluster) ChangeMembers(add, _ string, done func(*message.Message)) {
+func (c *fakeCluster) Read(done client.ReadDone)    { done(c.held, c.config, nil) }
+func (c *fakeCluster) NearestReplica() string       { return c.nearer }
+func (c *fakeCluster) Status(done func(NodeStatus)) { done(NodeStatus{Node: "n-1", Version: "r7"}) }
+func (c *fakeCluster) ChangeMembers(add, _ string, done client.ChangeMembersDone) {
 	switch {
 	case c.silent:
-		done(nil)
+		done(nil, client.ErrNoResponse)
 	case add == "x:1":
-		done(&message.Message{Type: message.TypeChangeMembersResult, Reason: "no quorum would be left"})
+		done(&message.ChangeMembersResult{Reason: "no quorum would be left"}, nil)
 	default:
-		done(
-			&message.Message{
-				Type:    message.TypeChangeMembersResult,
-				OK:      true,
-				Members: []message.Node{{Addr: "y:1", StoreID: 10}},
-			},
-		)
+		done(&message.ChangeMembersResult{OK: true, Members: []message.Node{{Addr: "y:1", StoreID: 10}}}, nil)
 	}
 }
 
-// Given a desk, when calls come in, then each gets its answer, and only what is valid and new is passed on.
+// Given the API, when calls come in, then each gets its answer, and only what is valid and new is passed on.
 func TestCallsAndTheirAnswers(t *testing.T) {
 	valid, err := os.ReadFile("../../../example/cluster/config.json")
 	if err != nil {
@@ -120,16 +114,8 @@
 			t.Errorf("%s: no answer", c.name)
 			continue
 		case got.Status != c.status || !strings.Contains(string(got.Body), c.says) || len(k.put) != c.put:
-			t.Errorf(
-				"%s: %d %.80q, %d passed on; want %d %q, %d",
-				c.name,
-				got.Status,
-				got.Body,
-				len(k.put),
-				c.status,
-				c.says,
-				c.put,
-			)
+			t.Errorf("%s: %d %.80q, %d passed on; want %d %q, %d", c.name, got.Status, got.Body, len(k.put),
+				c.status, c.says, c.put)
 		}
 		has := c.header == ""
 		for _, h := range got.Header {
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -1,6 +1,6 @@
-// Package extension is every machine's line to the core: it finds the core by the seeds, asks one of its
-// machines for news with the versions that it has, and by asking renews this machine's lease. What it holds
-// only ever moves on. It knows no sockets and no clock.
+// Package client is every process's client of the control plane: it finds the replicas by the seeds, watches one of
+// them with the versions that it has, and by watching renews this process's lease. What it holds only ever moves on.
+// It knows no sockets and no clock: the caller drives it by Step and Tick, and it acts through Actions.
 package client
 
 import (
@@ -13,546 +13,345 @@
 	"dunespoke/internal/events"
 )
 
-// Tuned times, each with its reason.
+// Times of finding and changing the replica that is watched.
 const (
-	announceInterval = 200 * time.Millisecond // while nothing is known
-	// that the core may keep a question: leases last for three
-	watchWait = 800 * time.Millisecond
-	// and beyond, without an answer, another machine is asked
-	responseGrace            = 450 * time.Millisecond
-	firstResponseTimeout     = 250 * time.Millisecond   // for the first answer of a machine
-	slowFirstResponseTimeout = 2 * firstResponseTimeout // the same, where answers have come later than that
-	retryDelay               = 60 * time.Millisecond    // between questions to machines that are out of service
-	maxRetryDelay            = 250 * time.Millisecond   // between questions to machines that are silent
-	chunkTargetTime          = firstResponseTimeout / 2 // that a part of a snapshot is to take
-	nearestRetryInterval     = 3 * time.Second          // after which the nearest machine is tried again
-	// a call to the core is sent again, to who is in charge by then
-	callRetryInterval = 200 * time.Millisecond
-	// for a call: operators move on after a second of silence
-	CallTimeout = 880 * time.Millisecond
+	announceInterval       = 200 * time.Millisecond // while no replica is known
+	firstResponseTimeout   = 250 * time.Millisecond // of a replica that was just chosen: it answers at once
+	congestedFirstResponse = 2 * firstResponseTimeout
+	retryDelay             = 60 * time.Millisecond // before the next replica, after one that doesn't serve
+	maxRetryDelay          = 250 * time.Millisecond
+	nearestRetryInterval   = 3 * time.Second // after which the nearest replica is tried again
 )
 
-// ResponseTimeout is how long an answer is awaited and taken; TurnMost: until another machine than one that
-// has fallen silent has answered, or has not.
+// Times of watching.
 const (
+	watchWait     = 800 * time.Millisecond // for which a replica may hold a request: leases last for three of these
+	responseGrace = 450 * time.Millisecond // beyond that, until another replica is asked
+)
+
+// Bounds that others rely on.
+const (
+	// ResponseTimeout is how long a response is awaited and taken.
 	ResponseTimeout = watchWait + responseGrace
-	FailoverTimeout = ResponseTimeout + slowFirstResponseTimeout
-	// the same, from the answer of one that says that it is out of touch
-	RedirectTimeout = retryDelay + slowFirstResponseTimeout
+	// FailoverTimeout is how long it takes until another replica than one that has fallen silent has answered, or
+	// has not.
+	FailoverTimeout = ResponseTimeout + congestedFirstResponse
+	// RedirectTimeout is the same, from the answer of a replica that says that it doesn't serve.
+	RedirectTimeout = retryDelay + congestedFirstResponse
 )
 
-// Actions are what an Extension does. They must not call it back.
+// Actions are what a Client does. They must not call it back.
 type Actions interface {
 	Send(to string, m *message.Message)
 	Log(e events.Event, pairs ...any)
-	// Config takes a configuration that is newer than the one before.
-	Config(version uint64, config []byte)
-	// Servers takes the list of servers.
-	Servers(list []message.Endpoint)
-	// Members takes the machines that hold leases, in an agreed order.
-	Members(list []message.Node)
-	// View takes the machines in charge.
-	View(epoch uint64, chain []string)
+	// ApplyConfig takes a configuration that is newer than the one before.
+	ApplyConfig(version uint64, config []byte)
+	// SetEndpoints takes the list of servers.
+	SetEndpoints(list []message.Endpoint)
+	// SetNodes takes the processes that hold leases, in an agreed order.
+	SetNodes(list []message.Node)
+	// SetView takes the replicas that serve, the head of the chain first.
+	SetView(epoch uint64, chain []string)
 }
 
-// State is what an Extension is in.
+// State is what a Client is in.
 type State int
 
-// The states of an Extension.
+// The states of a Client.
 const (
-	StateDiscovering State = iota // it knows no machine of the core
-	StateConnecting               // it has asked one, and awaits the first answer
-	StateConnected                // it is answered by one that is in service
+	StateDiscovering State = iota // it knows no replica
+	StateConnecting               // it has asked one, and awaits the first response
+	StateConnected                // it is answered by one that serves
 )
 
 // Options are what New needs.
 type Options struct {
 	Self        message.Node
 	Seeds       []string // addresses for the system's own processes
-	HasDisk     bool
-	FirstStart  bool // the whole system starts for the first time
-	Incarnation uint64
+	HasDisk     bool     // this process holds a replica
+	FirstStart  bool     // the whole system starts for the first time
+	Incarnation uint64   // of the process: no other has or had it
 	Actions     Actions
 }
 
-// Client is one machine's line to the core.
+// Client is one process's client of the control plane. Its methods must not be called concurrently.
 type Client struct {
-	Options
-	now             time.Duration
-	state           State
-	members         []message.Node
-	membershipEpoch uint64         // of the registry
-	removedMembers  []message.Node // that go with it
-	joint           bool           // the change to it is not known to be complete
-	epoch           uint64
-	chain           []string
-	version         uint64
-	config          []byte
-	needFullConfig  bool // what came did not come out right: the whole is asked for
-	endpoints       *message.EndpointList
-	nodesChecksum   uint64
-
-	transfers     snapshotTransfers
-	heldConfig    configVersion // a configuration that is held and not in force
-	chunkBudget   uint64        // that an answer may have for snapshots
-	congested     bool          // an answer came after another machine was asked
-	silentServers int           // machines that were asked in a row and gave no answer in time
-
-	server         string // the machine that is asked
-	requestID      uint64
-	requestSentAt  time.Duration
-	nextRequest    time.Duration // when to ask next; 0: a question is out
-	nearestTriedAt time.Duration
-	lastFresh      time.Duration
-	failures       int
-
-	lastResponses map[string]lastResponse // what each machine of the core answered last
-
-	calls    map[uint64]*pendingCall
-	lastCall uint64
+	options Options
+	now     time.Duration
+	state   State
+
+	members membership
+	epoch   uint64 // of the view that is known
+	chain   []string
+
+	server        string // the replica that is watched
+	requestID     uint64 // of the last watch
+	requestSentAt time.Duration
+	nextRequest   time.Duration // 0: a request is out
+	triedNearest  time.Duration
+	failures      int  // replicas that were given up since the nearest was tried
+	silent        int  // of these, in a row, those that gave no response in time
+	congested     bool // a response came after another replica was asked
+	lastResponses map[string]lastResponse
+
+	resources resources
+	calls     calls
 }
 
-// lastResponse is the last answer of a machine to a question for news.
+// lastResponse is the last response of a replica to a watch.
 type lastResponse struct {
 	requestID uint64
 	at        time.Duration
 }
 
-// configVersion is a configuration and its number.
-type configVersion struct {
-	version uint64
-	config  []byte
-}
-
-// pendingCall is a Put or a Read that awaits its end.
-type pendingCall struct {
-	request   message.Message
-	startedAt time.Duration
-	sentAt    time.Duration
-	attempts  int
-	done      func(*message.Message)
-}
-
-// New returns an Extension. The members of the core may be known from before, as a Roll tells them.
-func New(now time.Duration, o Options, known *message.Message) *Client {
-	e := &Client{
-		Options:        o,
-		now:            now,
-		calls:          map[uint64]*pendingCall{},
-		lastResponses:  map[string]lastResponse{},
-		nearestTriedAt: now,
-		transfers:      snapshotTransfers{},
-		chunkBudget:    message.InitialChunkBudget,
-	}
-	e.learnMembers(known)
-	return e
+// New returns a Client. The members of the core may be known from before.
+func New(now time.Duration, options Options, known *message.MemberList) *Client {
+	c := &Client{options: options, now: now, triedNearest: now, lastResponses: map[string]lastResponse{},
+		resources: newResources(), calls: newCalls()}
+	c.learnMembers(known)
+	return c
 }
 
 // transition is the one place where the state changes.
-func (e *Client) transition(s State) {
-	if s == e.state {
+func (c *Client) transition(to State) {
+	if to == c.state {
 		return
 	}
-	if s == StateConnected {
-		e.Actions.Log(events.Connected, "to", e.server, "epoch", e.epoch)
-	} else if e.state == StateConnected && e.failures > 0 {
-		e.Actions.Log(events.Disconnected, "from", e.server)
+	if to == StateConnected {
+		c.options.Actions.Log(events.Connected, "to", c.server, "epoch", c.epoch)
+	} else if c.state == StateConnected && c.failures > 0 {
+		c.options.Actions.Log(events.Disconnected, "from", c.server)
 	}
-	e.state = s
+	c.state = to
 }
 
-// ConnectedHost returns the host of the machine of the core that answers this one; nil: none does.
-func (e *Client) ConnectedHost() *string {
-	if e.state != StateConnected {
+// ConnectedHost returns the host of the replica that answers this process; nil: none does.
+func (c *Client) ConnectedHost() *string {
+	if c.state != StateConnected {
 		return nil
 	}
-	host, _, _ := strings.Cut(e.server, ":")
+	host, _, _ := strings.Cut(c.server, ":")
 	return &host
 }
 
-// Members returns the machines of the core, as far as known.
-func (e *Client) Members() []message.Node { return e.members }
+// Seeds returns the seeds.
+func (c *Client) Seeds() []string { return c.options.Seeds }
 
-// MemberList returns what this machine may tell others of the core; the registry is empty where it knows
-// nothing for sure.
-func (e *Client) MemberList() *message.Message {
-	m := &message.Message{Type: message.TypeMemberList, MembershipEpoch: e.membershipEpoch}
-	if !e.joint {
-		m.Members, m.RemovedMembers = e.members, e.removedMembers
-	}
-	return m
-}
+// SetSeeds replaces the seeds.
+func (c *Client) SetSeeds(seeds []string) { c.options.Seeds = seeds }
 
-// learnMembers takes what is said of the members. Of a change that is not known to be complete it is taken
-// where nothing else is known, and not told on.
-func (e *Client) learnMembers(m *message.Message) {
-	joint := len(m.OutgoingMembers) > 0
-	if len(m.Members) == 0 || m.MembershipEpoch < e.membershipEpoch || joint && len(e.members) > 0 {
-		return
-	}
-	e.removedMembers = m.RemovedMembers
-	if e.members, e.joint = m.Members, joint; !joint {
-		e.membershipEpoch = m.MembershipEpoch
-	}
-	if e.state == StateDiscovering {
-		e.selectServer()
+// Step takes a message.
+func (c *Client) Step(now time.Duration, from string, m *message.Message) {
+	c.now = now
+	switch body := m.Body.(type) {
+	case *message.MemberList:
+		c.learnMembers(body)
+	case *message.MemberUpdate:
+		c.learnMembers((*message.MemberList)(body))
+	case *message.WatchResponse:
+		c.handleWatchResponse(from, m.RequestID, body)
+	case *message.Reject:
+		c.handleReject(m.RequestID, body)
+	case *message.Committed, *message.Conflict, *message.ReadResult, *message.ChangeMembersResult:
+		c.calls.complete(m)
 	}
 }
 
-// selectServer chooses the machine to ask: this one, then those of its zone, then the others; the next one
-// each time.
-func (e *Client) selectServer() {
-	order := slices.Clone(e.members)
-	rank := func(m message.Node) int {
-		switch {
-		case m.Addr == e.Self.Addr:
-			return 0
-		case m.Zone == e.Self.Zone:
-			return 1
-		}
-		return 2
-	}
-	slices.SortStableFunc(order, func(a, b message.Node) int { return rank(a) - rank(b) })
-	e.server = order[e.failures%len(order)].Addr
-	e.transition(StateConnecting)
-	e.nextRequest = max(e.now, 1)
+// Tick does what is due, and returns when it wants the next call at the latest.
+func (c *Client) Tick(now time.Duration) (next time.Duration) {
+	c.now = now
+	return min(c.tickWatch(), c.tickCalls())
 }
 
-// Tick does what is due, and returns when it wants the next call at the latest.
-func (e *Client) Tick(now time.Duration) (next time.Duration) {
-	e.now = now
-	next = now + watchWait
+// tickWatch looks after the watch, and returns when it wants the next call.
+func (c *Client) tickWatch() (next time.Duration) {
+	next = c.now + watchWait
 	switch {
-	case e.state == StateDiscovering:
-		if now >= e.nextRequest {
-			e.Announce(0)
-			e.nextRequest = now + announceInterval
+	case c.state == StateDiscovering:
+		if c.now >= c.nextRequest {
+			c.Announce(0)
+			c.nextRequest = c.now + announceInterval
 		}
-		next = e.nextRequest
-	case e.nextRequest == 0 && now >= e.requestSentAt+e.responseTimeout():
-		e.silentServers++
-		e.chunkBudget = max(e.chunkBudget/4, message.MinChunkBudget)
-		e.failOver(e.retryPause())
+		return c.nextRequest
+	case c.nextRequest == 0 && c.now >= c.requestSentAt+c.responseTimeout():
+		c.silent++
+		c.resources.shrinkBudget()
+		c.failOver(c.retryPause())
 	}
-	if e.state == StateConnected && e.failures > 0 && now >= e.nearestTriedAt+nearestRetryInterval &&
-		len(e.transfers) == 0 {
-		e.failures, e.nearestTriedAt = 0, now
-		e.selectServer()
+	if c.state == StateConnected && c.failures > 0 && c.now >= c.triedNearest+nearestRetryInterval &&
+		!c.resources.transferring() {
+		c.failures, c.triedNearest = 0, c.now
+		c.selectServer()
 	}
-	if e.state != StateDiscovering && e.nextRequest == 0 {
-		next = min(next, e.requestSentAt+e.responseTimeout())
+	if c.nextRequest == 0 {
+		return min(next, c.requestSentAt+c.responseTimeout())
 	}
-	if e.state != StateDiscovering && e.nextRequest != 0 {
-		if now >= e.nextRequest {
-			e.sendWatch()
-		} else {
-			next = e.nextRequest
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(e.calls)) {
-		c := e.calls[id]
-		switch {
-		case now >= c.startedAt+CallTimeout:
-			delete(e.calls, id)
-			c.done(nil)
-		case now >= c.sentAt+callRetryInterval:
-			e.send(c)
-		}
-		next = min(next, c.sentAt+callRetryInterval, c.startedAt+CallTimeout)
+	if c.now >= c.nextRequest {
+		c.sendWatch()
+		return next
 	}
-	return next
+	return c.nextRequest
 }
 
-// Announce tells the seeds, and the core as far as it is known, that this machine is there. One with a disk
-// that would be a member tells the id of its store.
-func (e *Client) Announce(id uint64) {
-	to := slices.Clone(e.Seeds)
-	for _, m := range e.members {
-		to = append(to, m.Addr)
+// Announce tells the seeds, and the core as far as it is known, that this process is there. One with a disk that would
+// be a member tells the id of its store; 0: it would not.
+func (c *Client) Announce(storeID uint64) {
+	to := slices.Clone(c.options.Seeds)
+	for _, member := range c.members.list {
+		to = append(to, member.Addr)
 	}
 	slices.Sort(to)
-	for _, s := range slices.Compact(to) {
-		e.Actions.Send(
-			s,
-			&message.Message{Type: message.TypeAnnounce, Zone: e.Self.Zone, HasDisk: e.HasDisk && id != 0,
-				FirstStart: e.FirstStart, StoreID: id},
-		)
+	for _, addr := range slices.Compact(to) {
+		c.options.Actions.Send(addr, &message.Message{Body: &message.Announce{Zone: c.options.Self.Zone,
+			HasDisk: c.options.HasDisk && storeID != 0, FirstStart: c.options.FirstStart, StoreID: storeID}})
+	}
+}
+
+// selectServer chooses the replica to watch: this process's own, then those of its zone, then the others; the next one
+// after each failure.
+func (c *Client) selectServer() {
+	order := slices.Clone(c.members.list)
+	rank := func(member message.Node) int {
+		switch {
+		case member.Addr == c.options.Self.Addr:
+			return 0
+		case member.Zone == c.options.Self.Zone:
+			return 1
+		}
+		return 2
 	}
+	slices.SortStableFunc(order, func(a, b message.Node) int { return rank(a) - rank(b) })
+	c.server = order[c.failures%len(order)].Addr
+	c.transition(StateConnecting)
+	c.nextRequest = max(c.now, 1)
 }
 
-// responseTimeout is how long an answer may take. A machine that is newly asked answers at once.
-func (e *Client) responseTimeout() time.Duration {
+// responseTimeout is how long a response may take. A replica that was just chosen answers at once.
+func (c *Client) responseTimeout() time.Duration {
 	switch {
-	case e.state == StateConnected:
+	case c.state == StateConnected:
 		return ResponseTimeout
-	case e.congested:
-		return slowFirstResponseTimeout
+	case c.congested:
+		return congestedFirstResponse
 	}
 	return firstResponseTimeout
 }
 
-// retryPause is how long to wait before the next machine is asked, when some have been silent, and late
-// answers say that there is congestion: not at all after the first, and then longer each time. Many lines
-// that fail at the same moment ask again at moments of their own. It stays short, since a cut that ends must
-// be over for all soon after; where no answers come at all, as in a cut, there is none.
-func (e *Client) retryPause() time.Duration {
-	if !e.congested || e.silentServers < 2 {
+// retryPause is how long to wait before the next replica is asked, when some have been silent, and late responses tell
+// of congestion: not at all after the first, and then longer each time, with jitter, so that clients that fail at the
+// same moment ask again at moments of their own. It stays short, since a partition that ends must be over for all soon
+// after; where no responses come at all, as in a partition, there is none.
+func (c *Client) retryPause() time.Duration {
+	if !c.congested || c.silent < 2 {
 		return 0
 	}
-	d := min(retryDelay<<min(e.silentServers-2, 4), maxRetryDelay)
-	return d/2 + time.Duration(mix(e.Incarnation^e.requestID)%uint64(d/2))
+	const maxDoublings = 4
+	pause := min(retryDelay<<min(c.silent-2, maxDoublings), maxRetryDelay)
+	return pause/2 + time.Duration(mix(c.options.Incarnation^c.requestID)%uint64(pause/2))
 }
 
-// failOver turns to another machine.
-func (e *Client) failOver(wait time.Duration) {
-	e.failures++
-	if e.failures%len(e.members) == 0 { // none of them answers: they may be members no longer
-		e.Announce(0)
-	}
-	e.nearestTriedAt = e.now
-	e.selectServer()
-	e.nextRequest = e.now + max(wait, 1)
+// mix spreads a number over all numbers: what differs by a little goes far apart. It is the finalizer of splitmix64.
+func mix(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
 }
 
-func (e *Client) sendWatch() {
-	e.requestID++
-	e.nextRequest, e.requestSentAt = 0, e.now
-	m := &message.Message{
-		Type:          message.TypeWatch,
-		RequestID:     e.requestID,
-		Epoch:         e.epoch,
-		Version:       e.version,
-		NodesChecksum: e.nodesChecksum,
-		WaitMillis:    uint64(watchWait.Milliseconds()),
-		Zone:          e.Self.Zone,
-		Chunks:        e.transfers.progress(),
-	}
-	// so that it knows when this was sent: the lease counts from then
-	if h, ok := e.lastResponses[e.server]; ok {
-		m.EchoSequence, m.EchoDelayMillis = h.requestID, uint64((e.now - h.at).Milliseconds())
-	}
-	if e.chunkBudget != message.InitialChunkBudget {
-		m.ChunkBudget = e.chunkBudget
-	}
-	if e.heldConfig.version > e.version {
-		m.BaseVersion = e.heldConfig.version
-	}
-	if e.endpoints != nil {
-		m.Endpoints = &message.EndpointList{Epoch: e.endpoints.Epoch, Sequence: e.endpoints.Sequence}
+// failOver turns to another replica.
+func (c *Client) failOver(pause time.Duration) {
+	c.failures++
+	if c.failures%len(c.members.list) == 0 { // none of them answers: they may be members no longer
+		c.Announce(0)
 	}
-	if e.needFullConfig {
-		m.Version, m.BaseVersion = 0, 0
-	}
-	if e.state != StateConnected {
-		m.WaitMillis = 0 // a machine that is newly asked says at once how it is
-	}
-	e.Actions.Send(e.server, m)
-}
-
-// Step takes a message.
-func (e *Client) Step(now time.Duration, from string, m *message.Message) {
-	e.now = now
-	switch m.Type {
-	case message.TypeMemberList, message.TypeMemberUpdate:
-		e.learnMembers(m)
-	case message.TypeWatchResponse:
-		// What comes later was held up on its way, or with this process and its turn to ask elsewhere: it is no
-		// fresh word.
-		if from == e.server && m.RequestID == e.requestID && e.nextRequest == 0 &&
-			now < e.requestSentAt+e.responseTimeout() {
-			e.lastResponses[from] = lastResponse{m.RequestID, now}
-			e.handleWatchResponse(m)
-		} else {
-			e.handleLateResponse(m)
-		}
-	case message.TypeCommitted, message.TypeConflict, message.TypeReadResult, message.TypeChangeMembersResult:
-		if c := e.calls[m.RequestID]; c != nil && slices.Contains(message.ResponseTypes[c.request.Type], m.Type) {
-			delete(e.calls, m.RequestID)
-			c.done(m)
-		}
-	case message.TypeReject:
-		if c := e.calls[m.RequestID]; c != nil && m.Epoch > e.epoch && len(m.Chain) > 0 {
-			e.setView(m.Epoch, m.Chain)
-			e.send(c)
-		}
-	}
-}
-
-func (e *Client) setView(epoch uint64, chain []string) {
-	e.epoch, e.chain = epoch, chain
-	e.Actions.View(epoch, chain)
+	c.triedNearest = c.now
+	c.selectServer()
+	c.nextRequest = c.now + max(pause, 1)
 }
 
-// handleWatchResponse takes an answer, and asks for more.
-func (e *Client) handleWatchResponse(m *message.Message) {
-	e.silentServers = 0
-	if !m.OK { // it is out of service, or cut off: what it says may be old
-		e.failOver(retryDelay)
-		return
-	}
-	if e.state != StateConnected {
-		e.congested = e.now >= e.requestSentAt+firstResponseTimeout
+// sendWatch asks the chosen replica for what is new.
+func (c *Client) sendWatch() {
+	c.requestID++
+	c.nextRequest, c.requestSentAt = 0, c.now
+	watch := &message.Watch{Epoch: c.epoch, Zone: c.options.Self.Zone}
+	if c.state == StateConnected { // a replica that was just chosen says at once how it is
+		watch.WaitMillis = uint64(watchWait.Milliseconds())
 	}
-	e.transition(StateConnected)
-	if m.Epoch > e.epoch {
-		e.learnMembers(m)
-		e.setView(m.Epoch, m.Chain)
+	if last, ok := c.lastResponses[c.server]; ok { // so that it knows when this was sent: the lease counts from then
+		watch.EchoRequestID = last.requestID
+		watch.EchoDelayMillis = uint64((c.now - last.at).Milliseconds())
 	}
-	e.applyResources(m)
-	e.applyChunks(m.Chunks)
-	e.sendWatch()
+	c.resources.describe(watch)
+	c.options.Actions.Send(c.server, &message.Message{RequestID: c.requestID, Body: watch})
 }
 
-// applyResources takes what is the newest of some tables.
-func (e *Client) applyResources(m *message.Message) {
-	if m.Version > e.version && m.Config != nil {
-		config, err := e.applyDelta(m)
-		if e.needFullConfig = err != nil; e.needFullConfig {
-			e.Actions.Log(events.DeltaInvalid, "version", m.Version, "error", err.Error())
-		} else {
-			e.version, e.config = m.Version, config
-			e.Actions.Config(m.Version, config)
-		}
+// handleWatchResponse takes a response to a watch. One that comes later than it is awaited was held up on its way, or
+// with this process and its turn to ask another replica: it says nothing of what is the newest.
+func (c *Client) handleWatchResponse(from string, requestID uint64, response *message.WatchResponse) {
+	expected := from == c.server && requestID == c.requestID && c.nextRequest == 0
+	if !expected || c.now >= c.requestSentAt+c.responseTimeout() {
+		c.congested = true
+		c.resources.takeLate(response.Chunks)
+		return
 	}
-	if e.heldConfig.version <= e.version {
-		e.heldConfig = configVersion{}
+	c.lastResponses[from] = lastResponse{requestID, c.now}
+	c.silent = 0
+	if !response.Fresh { // it doesn't serve, or is cut off: what it says may be old
+		c.failOver(retryDelay)
+		return
 	}
-	if l := m.Endpoints; l != nil && (e.endpoints == nil || l.Epoch > e.endpoints.Epoch ||
-		l.Epoch == e.endpoints.Epoch && l.Sequence > e.endpoints.Sequence) {
-		e.endpoints = l
-		e.Actions.Servers(l.Endpoints)
+	if c.state != StateConnected {
+		c.congested = c.now >= c.requestSentAt+firstResponseTimeout
 	}
-	if m.NodesChecksum != 0 && m.NodesChecksum != e.nodesChecksum {
-		e.nodesChecksum = m.NodesChecksum
-		e.Actions.Members(m.Nodes)
+	c.transition(StateConnected)
+	if response.Epoch > c.epoch {
+		c.learnMembers(response.MemberList())
+		c.setView(response.Epoch, response.Chain)
 	}
+	c.resources.take(response, c.now-c.requestSentAt, c.options.Actions)
+	c.sendWatch()
 }
 
-// applyDelta returns a configuration, which may be a change of the one in force or of the one that is held.
-func (e *Client) applyDelta(m *message.Message) ([]byte, error) {
-	base := configVersion{e.version, e.config}
-	if m.Config.BaseVersion != base.version && m.Config.BaseVersion == e.heldConfig.version {
-		base = e.heldConfig
-	}
-	return m.Config.Apply(base.version, base.config)
+func (c *Client) setView(epoch uint64, chain []string) {
+	c.epoch, c.chain = epoch, chain
+	c.options.Actions.SetView(epoch, chain)
 }
 
-// applyChunks takes what an answer to the present question brings of snapshots. Each that the answer names as
-// the newest, and that is whole by now, comes into force. What it doesn't name is of no use any more.
-func (e *Client) applyChunks(list []message.SnapshotChunk) {
-	named := snapshotTransfers{}
-	bytes := 0
-	for i := range list {
-		p := &list[i]
-		bytes += len(p.Data)
-		t := e.transfers.merge(p, false)
-		switch {
-		case t == nil:
-		case !t.complete():
-			named[p.Resource] = t
-		case p.Stale:
-			e.holdConfig(t)
-		default:
-			if m, ok := t.decode(); ok {
-				e.applyResources(m)
-			}
-		}
-	}
-	e.transfers = named
-	if len(named) == 0 {
-		e.chunkBudget = message.InitialChunkBudget
-		return
-	}
-	// As much as comes in that time at the rate of this answer, which counts the wait for it, too.
-	rate := uint64(bytes) * uint64(chunkTargetTime) / uint64(max(e.now-e.requestSentAt, time.Millisecond))
-	e.chunkBudget = min(max(e.chunkBudget, rate), message.MaxChunkBudget)
+// membership is what a Client knows of the members of the core.
+type membership struct {
+	list    []message.Node
+	epoch   uint64         // of the view that installed them
+	removed []message.Node // that operators have removed last
+	joint   bool           // the change to them is not known to be complete
 }
 
-// handleLateResponse takes what an answer to an earlier question brings: bytes, and not a word of what is
-// newest, or of who is in service.
-func (e *Client) handleLateResponse(m *message.Message) {
-	e.congested = true
-	for i := range m.Chunks {
-		p := &m.Chunks[i]
-		if t := e.transfers.merge(p, true); t != nil && t.complete() && p.Resource == message.ResourceConfig {
-			e.holdConfig(t)
-			delete(e.transfers, p.Resource)
-		}
+// Members returns the members of the core, as far as known.
+func (c *Client) Members() []message.Node { return c.members.list }
+
+// MemberList returns what this process may tell others of the core; without members where it knows nothing for sure.
+func (c *Client) MemberList() *message.MemberList {
+	list := &message.MemberList{MembershipEpoch: c.members.epoch}
+	if !c.members.joint {
+		list.Members, list.RemovedMembers = c.members.list, c.members.removed
 	}
+	return list
 }
 
-// holdConfig keeps a configuration that is whole and may be old, as the base of changes: the next answer
-// tells what is newer, or that nothing is, in a few bytes, and that puts it in force.
-func (e *Client) holdConfig(t *snapshotTransfer) {
-	m, ok := t.decode()
-	if !ok || m.Config == nil || m.Version <= max(e.version, e.heldConfig.version) {
+// learnMembers takes what is said of the members. Of a change that is not known to be complete it is taken where
+// nothing else is known, and not passed on.
+func (c *Client) learnMembers(list *message.MemberList) {
+	joint := len(list.OutgoingMembers) > 0
+	if len(list.Members) == 0 || list.MembershipEpoch < c.members.epoch || joint && len(c.members.list) > 0 {
 		return
 	}
-	if config, err := e.applyDelta(m); err == nil {
-		e.heldConfig = configVersion{m.Version, config}
-	}
-}
-
-// Put hands a configuration to the core. done gets the answer, or nil when there was none in time.
-func (e *Client) Put(now time.Duration, version uint64, config []byte, done func(*message.Message)) {
-	e.begin(
-		now,
-		message.Message{Type: message.TypePut, Version: version, Config: message.NewDelta(config, 0, nil)},
-		done,
-	)
-}
-
-// ChangeMembers has the core change its members, or tell them. done gets the answer, or nil when there was
-// none in time.
-func (e *Client) ChangeMembers(now time.Duration, add, remove string, done func(*message.Message)) {
-	e.begin(now, message.Message{Type: message.TypeChangeMembers, AddMember: add, RemoveMember: remove}, done)
-}
-
-// Read asks the core for the newest configuration. done gets it, or nil when there was no clear answer.
-func (e *Client) Read(now time.Duration, done func(version uint64, config []byte)) {
-	have, text := e.version, e.config
-	e.begin(now, message.Message{Type: message.TypeRead, Version: have}, func(m *message.Message) {
-		switch {
-		case m == nil:
-			done(0, nil)
-		case m.Config == nil:
-			done(have, text)
-		default:
-			config, err := m.Config.Apply(have, text)
-			if err != nil {
-				done(0, nil)
-				return
-			}
-			done(m.Version, config)
-		}
-	})
-}
-
-func (e *Client) begin(now time.Duration, m message.Message, done func(*message.Message)) {
-	e.now = now
-	e.lastCall++
-	m.RequestID = e.lastCall
-	c := &pendingCall{request: m, startedAt: now, done: done}
-	e.calls[m.RequestID] = c
-	e.send(c)
-}
-
-// send sends a call to who is in charge: puts to the head, reads to the tail; and where nobody is known, to
-// one machine of the core after the other.
-func (e *Client) send(c *pendingCall) {
-	c.sentAt = e.now
-	c.attempts++
-	to := ""
-	switch {
-	case len(e.chain) > 0 && c.attempts%3 != 0:
-		if to = e.chain[0]; c.request.Type == message.TypeRead {
-			to = e.chain[len(e.chain)-1]
-		}
-	case len(e.members) > 0:
-		to = e.members[c.attempts%len(e.members)].Addr
+	c.members.list, c.members.removed, c.members.joint = list.Members, list.RemovedMembers, joint
+	if !joint {
+		c.members.epoch = list.MembershipEpoch
 	}
-	if to != "" {
-		m := c.request
-		e.Actions.Send(to, &m)
+	if c.state == StateDiscovering {
+		c.selectServer()
 	}
 }
+
+// sortedKeys returns the keys of a map in rising order, so that a simulation repeats by its seed.
+func sortedKeys[V any](m map[uint64]V) []uint64 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/controlplane/message/chunks.go
+++ b/internal/controlplane/message/chunks.go
@@ -1,27 +1,26 @@
 package message
 
 import (
-	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
 	"hash/crc32"
 )
 
-// A long configuration is cut into ranges, whose ends follow from the items in them alone: a change of an
-// item changes its range, and leaves all others as they are, wherever they move. The disk keeps ranges by
-// their digests, so that a change writes only what is new; and a machine that is behind tells the digests of
-// what it has, whatever that is, and is sent the ranges that differ.
+// A long configuration is cut into content-defined chunks, whose ends follow from the items in them alone: a change of
+// an item changes its chunk, and leaves all others as they are, wherever they move. The disk keeps chunks by their
+// digests, so that a change writes only what is new; and a replica that is behind tells the digests of what it has,
+// whatever that is, and is sent the chunks that differ.
 
-// Sizes of ranges, in items and bytes.
+// Sizes of chunks.
 const (
 	itemsPerChunk = 32       // on average; a power of two
-	maxChunkSize  = 32 << 10 // a range this long ends with the item, and a longer item is cut
+	maxChunkSize  = 32 << 10 // bytes: a chunk this long ends with the item, and a longer item is cut
 )
 
-// digestSize is the length of a digest.
+// digestSize is the length of a Digest in bytes.
 const digestSize = 16
 
-// Digest is the digest of a text, or of a part of one: the first 128 bits of its SHA-256.
+// Digest names a text, or a part of one: the first 128 bits of its SHA-256.
 type Digest [digestSize]byte
 
 // DigestOf returns the digest of a text.
@@ -30,77 +29,77 @@
 	return Digest(sum[:digestSize])
 }
 
-// Chunker cuts a text into parts and calls f with each, in order: Ranges or TakenChunks.
-type Chunker func(text []byte, f func(part []byte))
+// Chunker cuts a text into chunks and calls do with each, in order: ConfigChunks or AcceptedVersionChunks.
+type Chunker func(text []byte, do func(chunk []byte))
 
-// ConfigChunks cuts a text into its ranges and calls f with each, in order.
-func ConfigChunks(text []byte, f func(part []byte)) {
+var (
+	_ Chunker = ConfigChunks
+	_ Chunker = AcceptedVersionChunks
+)
+
+// ConfigChunks cuts a configuration into its chunks and calls do with each, in order.
+func ConfigChunks(text []byte, do func(chunk []byte)) {
 	begin := 0
-	end := func(at int) {
-		f(text[begin:at])
-		begin = at
+	endAt := func(offset int) {
+		do(text[begin:offset])
+		begin = offset
 	}
-	forEachItem(text, func(at int, item []byte) {
-		after := at + len(item)
-		for after-begin > 2*maxChunkSize {
-			end(begin + maxChunkSize)
+	forEachItem(text, func(offset int, item []byte) {
+		end := offset + len(item)
+		for end-begin > 2*maxChunkSize {
+			endAt(begin + maxChunkSize)
 		}
-		if after-begin >= maxChunkSize || crc32.ChecksumIEEE(item)%itemsPerChunk == 0 {
-			end(after)
+		if end-begin >= maxChunkSize || crc32.ChecksumIEEE(item)%itemsPerChunk == 0 {
+			endAt(end)
 		}
 	})
 	if begin < len(text) {
-		end(len(text))
+		endAt(len(text))
 	}
 }
 
-// ChunkIndex returns the digests and lengths of a text's parts: some twenty bytes for a range of eight
-// thousand. It is what a machine tells of the text that it has.
-func ChunkIndex(text []byte, cut Chunker) []byte {
-	var b []byte
-	cut(text, func(part []byte) {
-		sum := DigestOf(part)
-		b = binary.AppendUvarint(append(b, sum[:]...), uint64(len(part)))
+// ChunkIndex returns the digests and lengths of a text's chunks: some twenty bytes for a chunk of eight thousand. It is
+// what a replica tells of the text that it has.
+func ChunkIndex(text []byte, chunker Chunker) []byte {
+	var index []byte
+	chunker(text, func(chunk []byte) {
+		digest := DigestOf(chunk)
+		index = binary.AppendUvarint(append(index, digest[:]...), uint64(len(chunk)))
 	})
-	return b
+	return index
 }
 
-// NewDeltaOver packs a text as a change of what the receiver has, of which only the outline is known, and the
-// version, which may be of any age. Without an outline, or with one that can't be read, the text goes whole.
-func NewDeltaOver(text []byte, base uint64, outline []byte, cut Chunker) *Delta {
-	places := map[Digest]uint64{}
-	at := uint64(0)
-	for len(outline) > digestSize {
-		size, n := binary.Uvarint(outline[digestSize:])
+// chunkOffsets reads a ChunkIndex: the offsets of the chunks by their digests. It returns nil for an index that can't
+// be read.
+func chunkOffsets(index []byte) map[Digest]uint64 {
+	offsets := map[Digest]uint64{}
+	offset := uint64(0)
+	for len(index) > digestSize {
+		size, n := binary.Uvarint(index[digestSize:])
 		if n <= 0 {
-			return NewDelta(text, 0, nil)
+			return nil
 		}
-		places[Digest(outline[:digestSize])] = at
-		at += size
-		outline = outline[digestSize+n:]
+		offsets[Digest(index[:digestSize])] = offset
+		offset += size
+		index = index[digestSize+n:]
 	}
-	if base == 0 || len(places) == 0 || len(outline) > 0 {
-		return NewDelta(text, 0, nil)
+	if len(index) > 0 {
+		return nil
 	}
-	c := &patch{}
-	cut(text, func(part []byte) {
-		from, same := places[DigestOf(part)]
-		c.add(from, same, part)
-	})
-	return compressed(&Delta{BaseVersion: base, Checksum: Checksum(text), Raw: MarshalAppend(nil, c)})
+	return offsets
 }
 
-// add puts a part behind the others: a piece of the old text if it is the same as one there.
-func (c *patch) add(from uint64, same bool, part []byte) {
-	n := len(c.Segments)
-	switch {
-	case same && n > 0 && c.Segments[n-1].Length > 0 && c.Segments[n-1].Offset+c.Segments[n-1].Length == from:
-		c.Segments[n-1].Length += uint64(len(part))
-	case same:
-		c.Segments = append(c.Segments, segment{Offset: from, Length: uint64(len(part))})
-	case n > 0 && c.Segments[n-1].Length == 0:
-		c.Segments[n-1].Literal = append(c.Segments[n-1].Literal, part...)
-	default:
-		c.Segments = append(c.Segments, segment{Literal: bytes.Clone(part)})
+// NewDeltaOver returns a text as a delta over what the receiver has, of which only the version, which may be of any age,
+// and the index of chunks are known. Without an index, or with one that can't be read, the text goes in full.
+func NewDeltaOver(text []byte, baseVersion uint64, index []byte, chunker Chunker) *Delta {
+	offsets := chunkOffsets(index)
+	if baseVersion == 0 || len(offsets) == 0 {
+		return NewDelta(text, 0, nil)
 	}
+	p := &patch{}
+	chunker(text, func(chunk []byte) {
+		offset, found := offsets[DigestOf(chunk)]
+		p.add(offset, found, chunk)
+	})
+	return newPatchDelta(text, baseVersion, p)
 }
--- a/internal/controlplane/message/codec.go
+++ b/internal/controlplane/message/codec.go
@@ -4,191 +4,310 @@
 	"errors"
 	"math"
 	"reflect"
+	"slices"
 	"strconv"
 	"sync"
 
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
+// typeNumber is the field of a message that says of which type it is. It is written first.
+const typeNumber = 1
+
+// fieldOrder is the order in which the fields of a message's header and body are written. Readers take them in any
+// order; it is kept so that the same message has the same bytes in all versions.
+var fieldOrder = []protowire.Number{2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 17, 18, 19, 20, 21, 22, 39, 40,
+	41, 42, 45, 46, 47, 30, 31, 32, 33, 34, 35, 36, 37, 38, 48, 53, 54, 50, 51, 52, 60, 61, 62, 70, 71}
+
+// errFieldType tells of a field whose wire type is not the one that its Go type has.
+var errFieldType = errors.New("message: field of another wire type")
+
 // fieldCodec is how a field of a struct is written.
 type fieldCodec struct {
-	num   protowire.Number
-	index int
-	kind  reflect.Kind // of the field; Slice: of its elements, see elem; Array: of bytes
-	elem  reflect.Kind
+	number protowire.Number
+	index  int          // of the field in its struct
+	kind   reflect.Kind // of the field; Array: of bytes
+	elem   reflect.Kind // of a slice's elements
 }
 
-var structCodecs sync.Map // of []field, by reflect.Type
+// structCodecs caches a []fieldCodec by reflect.Type.
+var structCodecs sync.Map
 
-// codecOf reads a struct's tags, once.
+// codecOf returns the codecs of a struct's fields that have a tag "pb", in the order in which they are declared.
 func codecOf(t reflect.Type) []fieldCodec {
-	if p, ok := structCodecs.Load(t); ok {
-		return p.([]fieldCodec)
+	if known, ok := structCodecs.Load(t); ok {
+		return known.([]fieldCodec)
 	}
-	var plan []fieldCodec
+	var codec []fieldCodec
 	for i := range t.NumField() {
-		n, err := strconv.Atoi(t.Field(i).Tag.Get("pb"))
+		number, err := strconv.Atoi(t.Field(i).Tag.Get("pb"))
 		if err != nil {
 			continue
 		}
-		f := fieldCodec{num: protowire.Number(n), index: i, kind: t.Field(i).Type.Kind()}
-		if f.kind == reflect.Slice {
-			f.elem = t.Field(i).Type.Elem().Kind()
+		field := fieldCodec{number: protowire.Number(number), index: i, kind: t.Field(i).Type.Kind()}
+		if field.kind == reflect.Slice {
+			field.elem = t.Field(i).Type.Elem().Kind()
 		}
-		plan = append(plan, f)
+		codec = append(codec, field)
+	}
+	structCodecs.Store(t, codec)
+	return codec
+}
+
+// messageField is a field of a message: of its header or of its body.
+type messageField struct {
+	fieldCodec
+	inBody bool
+}
+
+// messageCodecs caches a []messageField by the reflect.Type of the body.
+var messageCodecs sync.Map
+
+// messageCodecOf returns the fields of a message with a body of the given struct, in the order in which they are
+// written.
+func messageCodecOf(body reflect.Type) []messageField {
+	if known, ok := messageCodecs.Load(body); ok {
+		return known.([]messageField)
 	}
-	structCodecs.Store(t, plan)
-	return plan
+	var fields []messageField
+	for _, field := range codecOf(reflect.TypeFor[Message]()) {
+		fields = append(fields, messageField{field, false})
+	}
+	for _, field := range codecOf(body) {
+		fields = append(fields, messageField{field, true})
+	}
+	slices.SortFunc(fields, func(a, b messageField) int {
+		return slices.Index(fieldOrder, a.number) - slices.Index(fieldOrder, b.number)
+	})
+	messageCodecs.Store(body, fields)
+	return fields
 }
 
-// MarshalAppend writes a struct, or a pointer to one, whose fields have tags, behind buf. Empty fields take
-// no bytes.
+// MarshalAppend writes a struct whose fields have tags, or a pointer to one, behind buf. Empty fields take no bytes.
 func MarshalAppend(buf []byte, v any) []byte {
+	if m, ok := v.(*Message); ok {
+		return marshalMessage(buf, m)
+	}
 	return marshalStruct(buf, reflect.Indirect(reflect.ValueOf(v)))
 }
 
-func marshalStruct(buf []byte, v reflect.Value) []byte {
-	for _, f := range codecOf(v.Type()) {
-		fv := v.Field(f.index)
-		if f.kind != reflect.Slice && fv.IsZero() {
-			continue
+func marshalMessage(buf []byte, m *Message) []byte {
+	if m.Body == nil {
+		return marshalStruct(buf, reflect.ValueOf(m).Elem())
+	}
+	buf = protowire.AppendTag(buf, typeNumber, protowire.VarintType)
+	buf = protowire.AppendVarint(buf, uint64(m.Type()))
+	header, body := reflect.ValueOf(m).Elem(), reflect.ValueOf(m.Body).Elem()
+	for _, field := range messageCodecOf(body.Type()) {
+		if field.inBody {
+			buf = marshalField(buf, field.fieldCodec, body)
+		} else {
+			buf = marshalField(buf, field.fieldCodec, header)
 		}
-		switch f.kind {
-		case reflect.Uint64:
-			buf = protowire.AppendTag(buf, f.num, protowire.VarintType)
-			buf = protowire.AppendVarint(buf, fv.Uint())
-		case reflect.Bool:
-			buf = protowire.AppendTag(buf, f.num, protowire.VarintType)
-			buf = protowire.AppendVarint(buf, 1)
-		case reflect.Float64:
-			buf = protowire.AppendTag(buf, f.num, protowire.Fixed64Type)
-			buf = protowire.AppendFixed64(buf, math.Float64bits(fv.Float()))
-		case reflect.String:
-			buf = protowire.AppendTag(buf, f.num, protowire.BytesType)
-			buf = protowire.AppendString(buf, fv.String())
-		case reflect.Array:
-			buf = protowire.AppendTag(buf, f.num, protowire.BytesType)
-			buf = protowire.AppendVarint(buf, uint64(fv.Len()))
-			for i := range fv.Len() {
-				buf = append(buf, byte(fv.Index(i).Uint()))
-			}
-		case reflect.Pointer, reflect.Struct:
-			buf = appendStruct(buf, f.num, reflect.Indirect(fv))
-		case reflect.Slice:
-			buf = appendSlice(buf, f, fv)
+	}
+	return buf
+}
+
+func marshalStruct(buf []byte, v reflect.Value) []byte {
+	for _, field := range codecOf(v.Type()) {
+		buf = marshalField(buf, field, v)
+	}
+	return buf
+}
+
+// marshalField writes a field of a struct, unless it is empty.
+func marshalField(buf []byte, field fieldCodec, of reflect.Value) []byte {
+	v := of.Field(field.index)
+	if field.kind != reflect.Slice && v.IsZero() {
+		return buf
+	}
+	switch field.kind {
+	case reflect.Uint64:
+		buf = protowire.AppendTag(buf, field.number, protowire.VarintType)
+		buf = protowire.AppendVarint(buf, v.Uint())
+	case reflect.Bool:
+		buf = protowire.AppendTag(buf, field.number, protowire.VarintType)
+		buf = protowire.AppendVarint(buf, 1)
+	case reflect.Float64:
+		buf = protowire.AppendTag(buf, field.number, protowire.Fixed64Type)
+		buf = protowire.AppendFixed64(buf, math.Float64bits(v.Float()))
+	case reflect.String:
+		buf = protowire.AppendTag(buf, field.number, protowire.BytesType)
+		buf = protowire.AppendString(buf, v.String())
+	case reflect.Array:
+		buf = protowire.AppendTag(buf, field.number, protowire.BytesType)
+		buf = protowire.AppendVarint(buf, uint64(v.Len()))
+		for i := range v.Len() {
+			buf = append(buf, byte(v.Index(i).Uint()))
 		}
+	case reflect.Pointer, reflect.Struct:
+		buf = appendStruct(buf, field.number, reflect.Indirect(v))
+	case reflect.Slice:
+		buf = appendSlice(buf, field, v)
 	}
 	return buf
 }
 
-func appendStruct(buf []byte, num protowire.Number, v reflect.Value) []byte {
-	buf = protowire.AppendTag(buf, num, protowire.BytesType)
+func appendStruct(buf []byte, number protowire.Number, v reflect.Value) []byte {
+	buf = protowire.AppendTag(buf, number, protowire.BytesType)
 	return protowire.AppendBytes(buf, marshalStruct(nil, v))
 }
 
-func appendSlice(buf []byte, f fieldCodec, v reflect.Value) []byte {
-	if f.elem == reflect.Uint8 {
+func appendSlice(buf []byte, field fieldCodec, v reflect.Value) []byte {
+	if field.elem == reflect.Uint8 {
 		if v.Len() > 0 {
-			buf = protowire.AppendTag(buf, f.num, protowire.BytesType)
+			buf = protowire.AppendTag(buf, field.number, protowire.BytesType)
 			buf = protowire.AppendBytes(buf, v.Bytes())
 		}
 		return buf
 	}
 	for i := range v.Len() {
-		if f.elem == reflect.String {
-			buf = protowire.AppendTag(buf, f.num, protowire.BytesType)
+		if field.elem == reflect.String {
+			buf = protowire.AppendTag(buf, field.number, protowire.BytesType)
 			buf = protowire.AppendString(buf, v.Index(i).String())
 		} else {
-			buf = appendStruct(buf, f.num, v.Index(i))
+			buf = appendStruct(buf, field.number, v.Index(i))
 		}
 	}
 	return buf
 }
 
-var errFieldType = errors.New("a field has another type")
-
-// Unmarshal reads a struct that Encode wrote. Fields that it does not know are passed over. Slices of bytes
-// are copies.
+// Unmarshal reads a struct that MarshalAppend wrote; v points to it. Fields that the struct does not have are
+// skipped. Slices of bytes are copies.
 func Unmarshal(b []byte, v any) error {
-	return unmarshalStruct(b, reflect.Indirect(reflect.ValueOf(v)))
+	if m, ok := v.(*Message); ok {
+		return unmarshalMessage(b, m)
+	}
+	return unmarshalStruct(b, reflect.ValueOf(v).Elem())
+}
+
+func unmarshalMessage(b []byte, m *Message) error {
+	number := Type(0)
+	err := forEachField(b, func(n protowire.Number, t protowire.Type, value []byte) error {
+		if n != typeNumber {
+			return nil
+		}
+		if t != protowire.VarintType {
+			return errFieldType
+		}
+		v, _ := protowire.ConsumeVarint(value)
+		number = Type(v)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	header := reflect.ValueOf(m).Elem()
+	if makeBody := newBody[number]; makeBody != nil {
+		m.Body = makeBody()
+		if err := unmarshalStruct(b, reflect.ValueOf(m.Body).Elem()); err != nil {
+			return err
+		}
+	} else if number != 0 {
+		m.Body = &Unknown{number}
+	}
+	return unmarshalStruct(b, header)
 }
 
 func unmarshalStruct(b []byte, v reflect.Value) error {
-	plan := codecOf(v.Type())
+	codec := codecOf(v.Type())
+	return forEachField(b, func(number protowire.Number, t protowire.Type, value []byte) error {
+		for _, field := range codec {
+			if field.number == number {
+				return unmarshalField(v.Field(field.index), field, t, value)
+			}
+		}
+		return nil
+	})
+}
+
+// forEachField calls do with the number, the wire type and the encoded value of each field.
+func forEachField(b []byte, do func(number protowire.Number, t protowire.Type, value []byte) error) error {
 	for len(b) > 0 {
-		num, typ, n := protowire.ConsumeTag(b)
+		number, t, n := protowire.ConsumeTag(b)
 		if n < 0 {
 			return protowire.ParseError(n)
 		}
 		b = b[n:]
-		n = protowire.ConsumeFieldValue(num, typ, b)
+		n = protowire.ConsumeFieldValue(number, t, b)
 		if n < 0 {
 			return protowire.ParseError(n)
 		}
-		value := b[:n]
-		b = b[n:]
-		for _, f := range plan {
-			if f.num == num {
-				if err := unmarshalField(v.Field(f.index), f, typ, value); err != nil {
-					return err
-				}
-				break
-			}
+		if err := do(number, t, b[:n]); err != nil {
+			return err
 		}
+		b = b[n:]
 	}
 	return nil
 }
 
-func unmarshalField(fv reflect.Value, f fieldCodec, typ protowire.Type, b []byte) error {
-	want := protowire.BytesType
+// wireType returns the wire type of a field.
+func (f fieldCodec) wireType() protowire.Type {
 	switch f.kind {
 	case reflect.Uint64, reflect.Bool:
-		want = protowire.VarintType
+		return protowire.VarintType
 	case reflect.Float64:
-		want = protowire.Fixed64Type
+		return protowire.Fixed64Type
 	}
-	if typ != want {
+	return protowire.BytesType
+}
+
+func unmarshalField(v reflect.Value, field fieldCodec, t protowire.Type, b []byte) error {
+	if t != field.wireType() {
 		return errFieldType
 	}
-	var inner []byte
-	if want == protowire.BytesType {
-		inner, _ = protowire.ConsumeBytes(b)
-	}
-	switch f.kind {
-	case reflect.Uint64:
-		n, _ := protowire.ConsumeVarint(b)
-		fv.SetUint(n)
-	case reflect.Bool:
+	switch t {
+	case protowire.VarintType:
 		n, _ := protowire.ConsumeVarint(b)
-		fv.SetBool(n != 0)
-	case reflect.Float64:
+		if field.kind == reflect.Bool {
+			v.SetBool(n != 0)
+		} else {
+			v.SetUint(n)
+		}
+		return nil
+	case protowire.Fixed64Type:
 		n, _ := protowire.ConsumeFixed64(b)
-		fv.SetFloat(math.Float64frombits(n))
+		v.SetFloat(math.Float64frombits(n))
+		return nil
+	}
+	inner, _ := protowire.ConsumeBytes(b)
+	return unmarshalBytes(v, field, inner)
+}
+
+// unmarshalBytes reads a field that is written with its length.
+func unmarshalBytes(v reflect.Value, field fieldCodec, b []byte) error {
+	switch field.kind {
 	case reflect.String:
-		fv.SetString(string(inner))
+		v.SetString(string(b))
 	case reflect.Array:
-		if len(inner) != fv.Len() {
+		if len(b) != v.Len() {
 			return errFieldType
 		}
-		reflect.Copy(fv, reflect.ValueOf(inner))
+		reflect.Copy(v, reflect.ValueOf(b))
 	case reflect.Struct:
-		return unmarshalStruct(inner, fv)
+		return unmarshalStruct(b, v)
 	case reflect.Pointer:
-		fv.Set(reflect.New(fv.Type().Elem()))
-		return unmarshalStruct(inner, fv.Elem())
+		v.Set(reflect.New(v.Type().Elem()))
+		return unmarshalStruct(b, v.Elem())
 	case reflect.Slice:
-		switch f.elem {
-		case reflect.Uint8:
-			fv.SetBytes(append([]byte(nil), inner...))
-		case reflect.String:
-			fv.Set(reflect.Append(fv, reflect.ValueOf(string(inner))))
-		default:
-			e := reflect.New(fv.Type().Elem())
-			if err := unmarshalStruct(inner, e.Elem()); err != nil {
-				return err
-			}
-			fv.Set(reflect.Append(fv, e.Elem()))
+		return unmarshalElement(v, field, b)
+	}
+	return nil
+}
+
+// unmarshalElement appends an element to a slice; a slice of bytes is read whole.
+func unmarshalElement(v reflect.Value, field fieldCodec, b []byte) error {
+	switch field.elem {
+	case reflect.Uint8:
+		v.SetBytes(append([]byte(nil), b...))
+	case reflect.String:
+		v.Set(reflect.Append(v, reflect.ValueOf(string(b))))
+	default:
+		element := reflect.New(v.Type().Elem())
+		if err := unmarshalStruct(b, element.Elem()); err != nil {
+			return err
 		}
+		v.Set(reflect.Append(v, element.Elem()))
 	}
 	return nil
 }
--- a/internal/controlplane/message/golden_test.go
+++ b/internal/controlplane/message/golden_test.go
@@ -6,6 +6,7 @@
 	"encoding/hex"
 	"flag"
 	"fmt"
+	"maps"
 	"os"
 	"reflect"
 	"slices"
@@ -102,16 +103,10 @@
 // golden returns the frame of a message of each type with all fields that the type carries.
 func golden() []byte {
 	var out bytes.Buffer
-	for _, number := range slices.Sorted(func(yield func(uint64) bool) {
-		for n := range fieldsOf {
-			if !yield(n) {
-				return
-			}
-		}
-	}) {
-		m := new(Message)
-		m.Type = Type(number)
+	for _, number := range slices.Sorted(maps.Keys(fieldsOf)) {
+		m := &Message{Body: newBody[Type(number)]()}
 		fill(reflect.ValueOf(m).Elem(), fieldsOf[number])
+		fill(reflect.ValueOf(m.Body).Elem(), nil)
 		fmt.Fprintf(&out, "%d %s\n", number, hex.EncodeToString(AppendFrame(nil, m)))
 	}
 	return out.Bytes()
@@ -143,10 +138,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var c FrameDecoder
-		c.Feed(frame)
-		m, err := c.Next()
-		if err != nil || m == nil || uint64(m.Type) != number {
+		var decoder FrameDecoder
+		decoder.Feed(frame)
+		m, err := decoder.Next()
+		if err != nil || m == nil || uint64(m.Type()) != number {
 			t.Fatalf("type %d: %v, %v", number, m, err)
 		}
 		if !bytes.Equal(AppendFrame(nil, m), frame) {
--- a/internal/controlplane/message/message_test.go
+++ b/internal/controlplane/message/message_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"reflect"
+	"slices"
 	"testing"
 
 	"github.com/leanovate/gopter"
@@ -16,29 +17,35 @@
 	p.Property("round trip", prop.ForAll(func(call, version uint64, chain []string, config []byte,
 		tokens float64,
 		ok bool, cut int) bool {
-		in := &Message{
-			Type:      TypeWatchResponse,
-			RequestID: call,
-			Version:   version,
-			Chain:     chain,
-			Config: &Delta{BaseVersion: call,
-				Raw: config},
-			OK: ok,
+		response := &WatchResponse{
+			Version: version,
+			Chain:   chain,
+			Config:  &Delta{BaseVersion: call, Raw: config},
+			Fresh:   ok,
 			Endpoints: &EndpointList{
 				Epoch:     call,
 				Endpoints: []Endpoint{{ID: "i-1", Addr: "10.0.0.1:80", Capacity: version}},
 			},
-			Nodes:            []Node{{Addr: "a", Zone: "z"}, {Addr: "b"}},
-			Tokens:           []TenantTokens{{"t", tokens, -tokens}},
-			AcceptedVersions: []AcceptedVersion{{version, DigestOf(config)}, {Version: call}},
+			Nodes: []Node{{Addr: "a", Zone: "z"}, {Addr: "b"}},
 		}
 		if len(chain) == 0 {
-			in.Chain = nil
+			response.Chain = nil
 		}
 		if len(config) == 0 {
-			in.Config.Raw = nil
+			response.Config.Raw = nil
+		}
+		sent := []*Message{
+			{RequestID: call, Body: response},
+			{RequestID: call, Incarnation: version, Body: &TokenRequest{Epoch: version,
+				Tokens: []TenantTokens{{"t", tokens, -tokens}}}},
+			{Body: &Replicate{Version: version,
+				AcceptedVersions: []AcceptedVersion{{version, DigestOf(config)}, {Version: call}}}},
+			{Body: &Heartbeat{}},
+		}
+		var b []byte
+		for _, m := range sent {
+			b = AppendFrame(b, m)
 		}
-		b := AppendFrame(AppendFrame(nil, in), &Message{Type: TypeHeartbeat})
 		var c FrameDecoder
 		var got []*Message
 		for len(b) > 0 {
@@ -56,7 +63,7 @@
 		if m, _ := c.Next(); m != nil {
 			got = append(got, m)
 		}
-		return len(got) == 2 && reflect.DeepEqual(got[0], in) && got[1].Type == TypeHeartbeat
+		return reflect.DeepEqual(got, sent)
 	}, gen.UInt64(), gen.UInt64(), gen.SliceOf(gen.AlphaString()), gen.SliceOf(gen.UInt8()), gen.Float64(),
 		gen.Bool(), gen.IntRange(1, 64)))
 	p.TestingRun(t)
@@ -65,12 +72,7 @@
 // Given bytes of a peer that is broken, when they are read, then there is an error or a message, and no
 // crash.
 func FuzzFrames(f *testing.F) {
-	f.Add(
-		AppendFrame(
-			nil,
-			&Message{Type: TypePut, Version: 7, Config: NewDelta([]byte("{}"), 0, nil), Chain: []string{"a"}},
-		),
-	)
+	f.Add(AppendFrame(nil, &Message{Body: &Put{Version: 7, Config: NewDelta([]byte("{}"), 0, nil)}}))
 	f.Add([]byte{0, 0, 0, 2, 0x0a, 0xff})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -143,14 +145,45 @@
 
 // Given all that is written by numbered fields, then no two fields of one have the same number.
 func TestNumbersOfFieldsStandForOne(t *testing.T) {
-	for _, v := range []any{Message{}, AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{},
-		TenantTokens{}, Delta{}} {
+	written := []any{AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{}, TenantTokens{}, Delta{}, SnapshotChunk{},
+		patch{}, segment{}}
+	for _, v := range written {
 		seen := map[protowire.Number]bool{}
 		for _, f := range codecOf(reflect.TypeOf(v)) {
-			if seen[f.num] {
-				t.Errorf("%T: two fields have the number %d", v, f.num)
+			if seen[f.number] {
+				t.Errorf("%T: two fields have the number %d", v, f.number)
 			}
-			seen[f.num] = true
+			seen[f.number] = true
+		}
+	}
+}
+
+// Given the body of each type, then it says its type, none of its fields has the number of another or of the header,
+// and each has its place in the order of writing.
+func TestBodiesShareTheNumbersOfTheHeader(t *testing.T) {
+	for number, makeBody := range newBody {
+		body := makeBody()
+		if body.Type() != number {
+			t.Errorf("the body of %d says that it is of type %d", number, body.Type())
 		}
+		seen := map[protowire.Number]bool{typeNumber: true}
+		for _, field := range messageCodecOf(reflect.TypeOf(body).Elem()) {
+			if seen[field.number] || !slices.Contains(fieldOrder, field.number) {
+				t.Errorf("%v: field %d stands twice, or has no place in the order", number, field.number)
+			}
+			seen[field.number] = true
+		}
+	}
+}
+
+// Given a message of a type that a later version of the program has added, when it is read, then it is passed on as
+// unknown, and not taken for broken.
+func TestAnUnknownTypeIsNoError(t *testing.T) {
+	b := AppendFrame(nil, &Message{RequestID: 7, Body: &Unknown{99}})
+	var decoder FrameDecoder
+	decoder.Feed(b)
+	m, err := decoder.Next()
+	if err != nil || m.Type() != 99 || m.RequestID != 7 || m.IsRequest() || m.IsResponse() {
+		t.Errorf("%+v, %v", m, err)
 	}
 }
--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -1,5 +1,6 @@
-// Package office is the central office: all that one process does for control, put together. It is pure, and
-// is driven by one goroutine, or by the in-memory fleet of the tests.
+// Package node puts together all that one process does for the control plane: its client, its replica if it has a disk,
+// its part in the first start, and its rate-limit allocator. It is pure, and is driven by one goroutine, or by the
+// simulation of the tests: Step for a message, HandleSaved for a save that has ended, Tick when it says so.
 package node
 
 import (
@@ -13,10 +14,22 @@
 	"dunespoke/internal/ratelimit"
 )
 
-// Actions are what an Office does. They must not call it back.
+// Times of a node.
+const (
+	// announceInterval is how often a replica that is of no core says that it is there.
+	announceInterval = 300 * time.Millisecond
+	// seedUpdateInterval is how often a member tells its seeds who the members are: those that have no disk know nothing
+	// after a start, and all processes find the core by them.
+	seedUpdateInterval = 2 * time.Second
+	// replicaTickInterval is how often a replica is to be looked after.
+	replicaTickInterval = 50 * time.Millisecond
+)
+
+// Actions are what a Node does. They must not call it back.
 type Actions interface {
 	client.Actions
-	Save(token uint64, r replica.PersistentState)
+	// Save writes a state and syncs it, and then calls HandleSaved with the token. Saves are done in order.
+	Save(token uint64, state replica.PersistentState)
 }
 
 // Options are what New needs.
@@ -24,320 +37,305 @@
 	Self      message.Node
 	Seeds     []string               // addresses for the system's own processes
 	Tolerance replica.FaultTolerance // of the machines with a disk
-	// ReplaceAfter is for how long a machine of the core must be silent before another takes its place; 0: two
-	// seconds.
+	// ReplaceAfter is for how long a member must be silent before another takes its place; 0: two seconds.
 	ReplaceAfter time.Duration
-	FirstStart   bool // the whole system starts for the first time
-	Saved        *replica.PersistentState
-	Incarnation  uint64 // of the process: no other has or had it
+	FirstStart   bool                     // the whole system starts for the first time
+	Saved        *replica.PersistentState // as found on disk; nil without a disk
+	Incarnation  uint64                   // of the process: no other has or had it
 	Actions      Actions
 	Limits       func(tenant string) ratelimit.Limits
 }
 
-// Node is one process's part in control.
+// Node is one process's part in the control plane. Its methods must not be called concurrently.
 type Node struct {
-	options        Options
-	replica        *replica.Replica // nil without a disk
-	client         *client.Client
-	bootstrapper   *replica.Bootstrapper // at seeds, until they are started again without anything kept
-	allocator      *ratelimit.Allocator
-	allocating     bool
-	nextAnnounce   time.Duration // when a machine that is of no core yet says so again
-	nextSeedUpdate time.Duration // and when one of the core tells the seeds
-	now            time.Duration
+	options      Options
+	now          time.Duration
+	replica      *replica.Replica // nil without a disk
+	client       *client.Client
+	bootstrapper *replica.Bootstrapper // at seeds, until they are restarted with nothing kept; nil elsewhere
+
+	allocator  *ratelimit.Allocator
+	allocating bool
+
+	nextAnnounce   time.Duration // when a replica that is of no core yet says so again
+	nextSeedUpdate time.Duration // and when a member tells the seeds
 }
 
-// requestStamper has every question of this process say its life, and a machine that staff have removed that
-// it was.
+// requestStamper has every request of this process tell its incarnation, and that it was a member that an operator has
+// removed, if it was.
 type requestStamper struct {
 	Actions
 	node *Node
 }
 
-func (a requestStamper) Send(to string, m *message.Message) {
+// Send stamps requests and passes all on.
+func (s requestStamper) Send(to string, m *message.Message) {
 	if m.IsRequest() {
-		m.Incarnation = a.node.options.Incarnation
+		m.Incarnation = s.node.options.Incarnation
 	}
-	if m.Type == message.TypeAnnounce && a.node.replica != nil {
-		m.RemovedByOperator = a.node.replica.PersistentState().RemovedByOperator
+	if announce, ok := m.Body.(*message.Announce); ok && s.node.replica != nil {
+		announce.RemovedByOperator = s.node.replica.PersistentState().RemovedByOperator
 	}
-	a.Actions.Send(to, m)
+	s.Actions.Send(to, m)
 }
 
-// nodesObserver passes an extension's actions on, and takes the members for the desk.
+// nodesObserver passes a client's actions on, and takes the nodes for the allocator.
 type nodesObserver struct {
 	Actions
 	node *Node
 }
 
-func (w nodesObserver) Members(list []message.Node) {
-	w.node.allocator.SetNodes(w.node.now, list)
-	w.Actions.Members(list)
+// SetNodes tells the allocator, too.
+func (o nodesObserver) SetNodes(list []message.Node) {
+	o.node.allocator.SetNodes(o.node.now, list)
+	o.Actions.SetNodes(list)
 }
 
-// New returns an Office.
-func New(now time.Duration, o Options) *Node {
-	f := &Node{now: now, allocator: ratelimit.NewAllocator(o.Limits)}
-	o.Actions = requestStamper{o.Actions, f}
-	o.Seeds = slices.Sorted(slices.Values(o.Seeds))
-	f.options = o
-	known := &message.Message{}
-	if o.Saved != nil {
-		f.replica = replica.New(
-			now,
-			replica.Options{
-				Self:         o.Self,
-				Tolerance:    o.Tolerance,
-				ReplaceAfter: o.ReplaceAfter,
-				Incarnation:  o.Incarnation,
-				FirstStart:   o.FirstStart,
-				Seeds:        o.Seeds,
-				Saved:        *o.Saved,
-				Actions:      o.Actions,
-			},
-		)
-		known = f.replica.MemberList()
+// New returns a Node.
+func New(now time.Duration, options Options) *Node {
+	n := &Node{now: now, allocator: ratelimit.NewAllocator(options.Limits)}
+	options.Actions = requestStamper{options.Actions, n}
+	options.Seeds = slices.Sorted(slices.Values(options.Seeds))
+	n.options = options
+	known := &message.MemberList{}
+	if options.Saved != nil {
+		n.replica = replica.New(now, replica.Options{Self: options.Self, Tolerance: options.Tolerance,
+			ReplaceAfter: options.ReplaceAfter, Incarnation: options.Incarnation, FirstStart: options.FirstStart,
+			Seeds: options.Seeds, Saved: *options.Saved, Actions: options.Actions})
+		known = n.replica.MemberList()
 	}
-	f.newBootstrapper(now)
-	f.client = client.New(now, client.Options{Self: o.Self, Seeds: o.Seeds, HasDisk: o.Saved != nil,
-		FirstStart: f.firstStart(), Incarnation: o.Incarnation, Actions: nodesObserver{o.Actions, f}}, known)
-	return f
+	n.bootstrapper = n.newBootstrapper(now)
+	n.client = client.New(now, client.Options{Self: options.Self, Seeds: options.Seeds,
+		HasDisk: options.Saved != nil, FirstStart: n.isFirstStart(), Incarnation: options.Incarnation,
+		Actions: nodesObserver{options.Actions, n}}, known)
+	return n
 }
 
-// firstStart reports whether the whole system starts for the first time: by the settings, or by what the disk
-// says from before this process was started again.
-func (f *Node) firstStart() bool {
-	if f.replica == nil {
-		return f.options.FirstStart
+// isFirstStart reports whether the whole system starts for the first time: by the settings, or by what the disk says
+// from before this process was restarted.
+func (n *Node) isFirstStart() bool {
+	if n.replica == nil {
+		return n.options.FirstStart
 	}
-	return f.replica.Bootstrap().Trusted && !f.options.Saved.CaughtUp
+	return n.replica.Bootstrap().Trusted && !n.options.Saved.CaughtUp
 }
 
-// newBootstrapper makes this machine's founder. One that is started again votes by what it has on its disk;
-// without a disk it may have forgotten what it promised, and has no vote.
-func (f *Node) newBootstrapper(now time.Duration) {
-	o := replica.BootstrapOptions{
-		Self:         f.options.Self.Addr,
-		Seeds:        f.options.Seeds,
-		Tolerance:    f.options.Tolerance,
-		Actions:      f.options.Actions,
-		ClusterKnown: func() bool { return len(f.knownMembers()) > 0 },
-	}
-	if f.replica == nil {
-		o.Saved = replica.BootstrapState{Trusted: true, Seeds: o.Seeds}
-		o.Save = func(_ replica.BootstrapState, then func()) { then() }
-		if f.options.FirstStart && slices.Contains(o.Seeds, o.Self) {
-			f.bootstrapper = replica.NewBootstrapper(now, o)
+// newBootstrapper makes this process's bootstrapper; nil: it has no part in a first start. One that is restarted votes
+// by what it has on its disk; without a disk it may have forgotten what it promised, and has no vote.
+func (n *Node) newBootstrapper(now time.Duration) *replica.Bootstrapper {
+	options := replica.BootstrapOptions{Self: n.options.Self.Addr, Seeds: n.options.Seeds,
+		Tolerance: n.options.Tolerance, Actions: n.options.Actions,
+		ClusterKnown: func() bool { return len(n.knownMembers()) > 0 }}
+	isSeed := func() bool { return slices.Contains(options.Seeds, options.Self) }
+	if n.replica == nil {
+		if !n.options.FirstStart || !isSeed() {
+			return nil
 		}
-		return
+		options.Saved = replica.BootstrapState{Trusted: true, Seeds: options.Seeds}
+		options.Save = func(_ replica.BootstrapState, onSaved func()) { onSaved() }
+		return replica.NewBootstrapper(now, options)
+	}
+	options.Saved = n.replica.Bootstrap()
+	options.Save = func(state replica.BootstrapState, onSaved func()) {
+		n.replica.SaveBootstrap(n.now, state, onSaved)
 	}
-	o.Saved = f.replica.Bootstrap()
-	o.Save = func(k replica.BootstrapState, then func()) { f.replica.SaveBootstrap(f.now, k, then) }
-	if o.Saved.Trusted {
-		o.Seeds = o.Saved.Seeds
+	if options.Saved.Trusted {
+		options.Seeds = options.Saved.Seeds
 	}
-	if !f.options.Saved.CaughtUp && (slices.Contains(o.Seeds, o.Self) || !o.Saved.Trusted) {
-		f.bootstrapper = replica.NewBootstrapper(now, o)
+	if n.options.Saved.CaughtUp || !isSeed() && options.Saved.Trusted {
+		return nil
 	}
+	return replica.NewBootstrapper(now, options)
 }
 
-// Step takes a message of another process, or of this one. An answer that an earlier life of this process
-// asked for, or another process at its address, is dropped.
-func (f *Node) Step(now time.Duration, from string, m *message.Message) {
-	f.now = now
-	if m.IsResponse() && m.Incarnation != f.options.Incarnation {
+// Step takes a message of another process, or of this one. A response that an earlier incarnation of this process asked
+// for, or another process at its address, is dropped.
+func (n *Node) Step(now time.Duration, from string, m *message.Message) {
+	n.now = now
+	if m.IsResponse() && m.Incarnation != n.options.Incarnation {
 		return
 	}
-	switch m.Type {
-	case message.TypeAnnounce:
-		f.handleAnnounce(now, from, m)
-	case message.TypeTokenRequest:
-		f.handleTokenRequest(now, from, m)
-	case message.TypeBootstrapPrepare,
-		message.TypeBootstrapPromise,
-		message.TypeBootstrapAccept,
-		message.TypeBootstrapAccepted:
-		if f.bootstrapper != nil {
-			f.bootstrapper.Handle(now, from, m)
+	switch body := m.Body.(type) {
+	case *message.Announce:
+		n.handleAnnounce(from, m, body)
+	case *message.TokenRequest:
+		n.handleTokenRequest(from, m, body)
+	case *message.BootstrapPrepare, *message.BootstrapPromise, *message.BootstrapAccept, *message.BootstrapAccepted:
+		if n.bootstrapper != nil {
+			n.bootstrapper.Step(now, from, m)
 		}
-	case message.TypeWatchResponse,
-		message.TypeReadResult,
-		message.TypeConflict,
-		message.TypeChangeMembersResult:
-		f.client.Step(now, from, m)
-	case message.TypeMemberList, message.TypeMemberUpdate:
-		f.client.Step(now, from, m)
-		f.stepReplica(now, from, m)
-	case message.TypeCommitted, message.TypeReject:
-		if m.RequestID != 0 {
-			f.client.Step(now, from, m)
+	case *message.WatchResponse, *message.ReadResult, *message.Conflict, *message.ChangeMembersResult:
+		n.client.Step(now, from, m)
+	case *message.MemberList, *message.MemberUpdate:
+		n.client.Step(now, from, m)
+		n.stepReplica(from, m)
+	case *message.Committed, *message.Reject:
+		if m.RequestID != 0 { // the response to a call
+			n.client.Step(now, from, m)
 		} else {
-			f.stepReplica(now, from, m)
+			n.stepReplica(from, m)
 		}
 	default:
-		f.stepReplica(now, from, m)
+		n.stepReplica(from, m)
 	}
 }
 
-func (f *Node) stepReplica(now time.Duration, from string, m *message.Message) {
-	if f.replica != nil {
-		f.replica.Step(now, from, m)
+func (n *Node) stepReplica(from string, m *message.Message) {
+	if n.replica != nil {
+		n.replica.Step(n.now, from, m)
 	}
 }
 
-// handleAnnounce tells a machine that starts what this one knows of the core.
-func (f *Node) handleAnnounce(now time.Duration, from string, m *message.Message) {
-	if f.bootstrapper != nil {
-		f.bootstrapper.HandleAnnounce(now, from, m)
+// handleAnnounce tells a process that starts what this one knows of the core.
+func (n *Node) handleAnnounce(from string, m *message.Message, announce *message.Announce) {
+	if n.bootstrapper != nil {
+		n.bootstrapper.HandleAnnounce(n.now, from, announce)
 	}
-	if f.replica != nil && m.HasDisk {
-		f.replica.HandleAnnounce(now, from, m)
+	if n.replica != nil && announce.HasDisk {
+		n.replica.HandleAnnounce(n.now, from, announce)
 	}
-	if r := f.memberList(); len(r.Members) > 0 {
-		r.Incarnation = m.Incarnation
-		f.options.Actions.Send(from, r)
+	if list := n.memberList(); len(list.Members) > 0 {
+		n.options.Actions.Send(from, m.Reply(list))
 	}
 }
 
-// memberList is what this machine tells of the core: what its frame has or what it was told, whichever is
-// newer; and what a founder has decided where nothing is known.
-func (f *Node) memberList() *message.Message {
-	m := f.client.MemberList()
-	if f.replica != nil {
-		if own := f.replica.MemberList(); len(own.Members) > 0 && own.MembershipEpoch >= m.MembershipEpoch {
+// memberList is what this process tells of the core: what its replica has or what it was told, whichever is newer; and
+// what a bootstrapper has decided where nothing is known.
+func (n *Node) memberList() *message.MemberList {
+	list := n.client.MemberList()
+	if n.replica != nil {
+		if own := n.replica.MemberList(); len(own.Members) > 0 && own.MembershipEpoch >= list.MembershipEpoch {
 			return own
 		}
 	}
-	if len(m.Members) == 0 && f.bootstrapper != nil {
-		m.Members = f.bootstrapper.Members()
+	if len(list.Members) == 0 && n.bootstrapper != nil {
+		list.Members = n.bootstrapper.Members()
 	}
-	return m
+	return list
 }
 
-// Members returns the machines of the core, as far as known.
-func (f *Node) Members() []message.Node { return f.memberList().Members }
+// Members returns the members of the core, as far as known.
+func (n *Node) Members() []message.Node { return n.memberList().Members }
 
-// knownMembers returns the machines of the core as this one was told them.
-func (f *Node) knownMembers() []message.Node {
-	if f.replica != nil && len(f.replica.PersistentState().Members) > 0 {
-		return f.replica.PersistentState().Members
+// knownMembers returns the members of the core as this process was told them.
+func (n *Node) knownMembers() []message.Node {
+	if n.replica != nil {
+		if members := n.replica.PersistentState().Members; len(members) > 0 {
+			return members
+		}
 	}
-	return f.client.Members()
+	return n.client.Members()
 }
 
-func (f *Node) handleTokenRequest(now time.Duration, from string, m *message.Message) {
-	if f.updateAllocator(now) {
-		f.options.Actions.Send(from, f.allocator.Allocate(now, from, m))
+func (n *Node) handleTokenRequest(from string, m *message.Message, request *message.TokenRequest) {
+	if !n.updateAllocator(n.now) {
+		return
 	}
+	grant := n.allocator.Allocate(n.now, ratelimit.Requester{Addr: from, Incarnation: m.Incarnation}, m.RequestID,
+		request)
+	n.options.Actions.Send(from, m.Reply(grant))
 }
 
-// updateAllocator opens the desk as soon as that is this machine's duty: stores fill from then on.
-func (f *Node) updateAllocator(now time.Duration) bool {
-	epoch, ok := f.HoldsRole(now, replica.QuotaAllocator)
-	if ok && !f.allocating {
-		f.options.Actions.Log(events.AllocatorActive, "epoch", epoch)
+// updateAllocator activates the allocator as soon as this process holds that role: buckets fill from then on. It reports
+// whether it does.
+func (n *Node) updateAllocator(now time.Duration) bool {
+	epoch, ok := n.HoldsRole(now, replica.QuotaAllocator)
+	if ok && !n.allocating {
+		n.options.Actions.Log(events.AllocatorActive, "epoch", epoch)
 	}
-	if f.allocating = ok; ok {
-		f.allocator.Activate(now, epoch)
+	n.allocating = ok
+	if ok {
+		n.allocator.Activate(now, epoch)
 	}
 	return ok
 }
 
-// HoldsRole reports whether this process is to do a duty now, and under which epoch.
-func (f *Node) HoldsRole(now time.Duration, d replica.Role) (epoch uint64, ok bool) {
-	if f.replica == nil {
+// HoldsRole reports whether this process holds a role now, and under which epoch.
+func (n *Node) HoldsRole(now time.Duration, role replica.Role) (epoch uint64, ok bool) {
+	if n.replica == nil {
 		return 0, false
 	}
-	return f.replica.HoldsRole(now, d)
+	return n.replica.HoldsRole(now, role)
 }
 
-// SetEndpoints takes the list of servers, as this process read it by its duty: with the epoch under which it
-// held that when the reading began.
-func (f *Node) SetEndpoints(now time.Duration, epoch uint64, list []message.Endpoint) {
-	if f.replica != nil {
-		f.replica.SetEndpoints(now, epoch, list)
+// SetEndpoints takes the list of servers, as this process read it by its role: with the epoch under which it held that
+// when the reading began.
+func (n *Node) SetEndpoints(now time.Duration, epoch uint64, list []message.Endpoint) {
+	if n.replica != nil {
+		n.replica.SetEndpoints(now, epoch, list)
 	}
 }
 
-// HandleSaved tells that a save is done, or has failed.
-func (f *Node) HandleSaved(now time.Duration, token uint64, ok bool) {
-	if f.replica != nil {
-		f.replica.HandleSaved(now, token, ok)
+// HandleSaved tells that a save has ended, and whether the state is on disk.
+func (n *Node) HandleSaved(now time.Duration, token uint64, ok bool) {
+	if n.replica != nil {
+		n.replica.HandleSaved(now, token, ok)
 	}
 }
 
-// announceInterval is how often a machine with a disk that is of no core says that it is there.
-const announceInterval = 300 * time.Millisecond
-
-// seedUpdateInterval is how often a machine of the core tells its seeds who that is: those that have no disk
-// know nothing after a start, and all machines find the core by them.
-const seedUpdateInterval = 2 * time.Second
-
-// replicaTickInterval is how often a frame is to be looked after.
-const replicaTickInterval = 50 * time.Millisecond
-
 // Tick does what is due, and returns when it wants the next call at the latest.
-func (f *Node) Tick(now time.Duration) (next time.Duration) {
-	f.now = now
-	next = f.client.Tick(now)
-	if f.bootstrapper != nil {
-		f.bootstrapper.Tick(now)
+func (n *Node) Tick(now time.Duration) (next time.Duration) {
+	n.now = now
+	next = n.client.Tick(now)
+	if n.bootstrapper != nil {
+		n.bootstrapper.Tick(now)
 	}
-	if f.replica != nil {
-		if f.replica.IsUninitialized() &&
-			now >= f.nextAnnounce { // its line may know the core, and it is none of that yet
-			f.nextAnnounce = now + announceInterval
-			f.client.Announce(f.replica.PersistentState().StoreID)
-		}
-		if f.replica.State() == replica.StateServing && now >= f.nextSeedUpdate {
-			f.nextSeedUpdate = now + seedUpdateInterval
-			for _, s := range f.client.Seeds {
-				m := f.memberList()
-				if m.Type = message.TypeMemberUpdate; !slices.ContainsFunc(m.Members, func(r message.Node) bool {
-					return r.Addr == s
-				}) {
-					f.options.Actions.Send(s, m)
-				}
-			}
+	if n.replica == nil {
+		return next
+	}
+	if n.replica.IsUninitialized() && now >= n.nextAnnounce { // its client may know the core, and it is none of that yet
+		n.nextAnnounce = now + announceInterval
+		n.client.Announce(n.replica.PersistentState().StoreID)
+	}
+	if n.replica.State() == replica.StateServing && now >= n.nextSeedUpdate {
+		n.nextSeedUpdate = now + seedUpdateInterval
+		n.updateSeeds()
+	}
+	n.replica.Tick(now)
+	n.updateAllocator(now)
+	return min(next, now+replicaTickInterval)
+}
+
+// updateSeeds tells the seeds that are no members who the members are.
+func (n *Node) updateSeeds() {
+	list := n.memberList()
+	for _, seed := range n.client.Seeds() {
+		isMember := slices.ContainsFunc(list.Members, func(m message.Node) bool { return m.Addr == seed })
+		if !isMember {
+			update := message.MemberUpdate(*list)
+			n.options.Actions.Send(seed, &message.Message{Body: &update})
 		}
-		f.replica.Tick(now)
-		f.updateAllocator(now)
-		next = min(next, now+replicaTickInterval)
 	}
-	return next
 }
 
 // Drain notes that this process was told to stop.
-func (f *Node) Drain(now time.Duration) {
-	if f.replica != nil {
-		f.replica.Drain(now)
+func (n *Node) Drain(now time.Duration) {
+	if n.replica != nil {
+		n.replica.Drain(now)
 	}
 }
 
-// HandingOver reports whether another machine is about to take this one's place in the core.
-func (f *Node) HandingOver() bool { return f.replica != nil && f.replica.HandingOver() }
+// HandingOver reports whether another replica is about to take this one's place in the core.
+func (n *Node) HandingOver() bool { return n.replica != nil && n.replica.HandingOver() }
 
 // Put hands a configuration to the core.
-func (f *Node) Put(now time.Duration, version uint64, config []byte, done func(*message.Message)) {
-	f.client.Put(now, version, config, done)
+func (n *Node) Put(now time.Duration, version uint64, config []byte, done client.PutDone) {
+	n.client.Put(now, version, config, done)
 }
 
-// ChangeMembers has the core change its members by hand, or tell them where both addresses are empty. done
-// gets the answer, or nil when there was none in time.
-func (f *Node) ChangeMembers(now time.Duration, add, remove string, done func(*message.Message)) {
-	f.client.ChangeMembers(now, add, remove, done)
+// ChangeMembers has the core change its members by hand, or tell them where both addresses are empty.
+func (n *Node) ChangeMembers(now time.Duration, add, remove string, done client.ChangeMembersDone) {
+	n.client.ChangeMembers(now, add, remove, done)
 }
 
-// Read asks the core for the newest configuration. done gets nil when there was no clear answer.
-func (f *Node) Read(now time.Duration, done func(version uint64, config []byte)) {
-	f.client.Read(now, done)
-}
+// Read asks the core for the newest configuration.
+func (n *Node) Read(now time.Duration, done client.ReadDone) { n.client.Read(now, done) }
 
-// Replica returns the frame; nil without a disk.
-func (f *Node) Replica() *replica.Replica { return f.replica }
+// Replica returns the replica; nil without a disk.
+func (n *Node) Replica() *replica.Replica { return n.replica }
 
-// SetSeeds takes seeds as they now are.
-func (f *Node) SetSeeds(seeds []string) { f.client.Seeds = seeds }
+// SetSeeds replaces the seeds.
+func (n *Node) SetSeeds(seeds []string) { n.client.SetSeeds(seeds) }
 
-// ConnectedHost returns the host of the machine of the core that answers this one; nil: none does.
-func (f *Node) ConnectedHost() *string { return f.client.ConnectedHost() }
+// ConnectedHost returns the host of the replica that answers this process; nil: none does.
+func (n *Node) ConnectedHost() *string { return n.client.ConnectedHost() }
--- a/internal/controlplane/replica/allocator_lease.go
+++ b/internal/controlplane/replica/allocator_lease.go
@@ -6,96 +6,101 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Who keeps the counts gives tokens away, and two who do so at once give twice what there is: the epoch of a
-// grant can't tell, since each is asked by those who know of no other. So that duty is held by a lease, and
-// its next holder waits until no lease of an earlier one can be left.
+// The rate-limit allocator grants tokens, and two of them at once grant twice what there is: the epoch of a grant can't
+// tell, since each is asked by those who know of no other. So that role is held by a lease, and its next holder waits
+// until no lease of an earlier one can be left.
 //
-// A holder has a lease of each machine that has told it, in service in its view, of a beat that the holder
-// sent less than keepFor ago, and gives only with those of a majority. A later view has the promises of a
-// majority, so that one of these has left the holder's view: it told of beats that had come to it by then. So
-// the lease has run out keepFor after the later view began; sooner, if that machine has had nothing for so
-// long from who took no part in the later view, or those have heard it in that. Who took part, in the chain
-// or by leaving the core, has left the view before.
+// A holder has a lease of each replica that has told it, serving in its view, of a heartbeat that the holder sent less
+// than allocatorLeaseDuration ago, and grants only with those of a quorum. A later view has the promises of a quorum, so
+// that one of these has left the holder's view: it told of heartbeats that had come to it by then. So the lease has run
+// out allocatorLeaseDuration after the later view began; sooner, if that replica has had nothing for so long from who
+// took no part in the later view, or those have heard it in that. Who took part, in the chain or by leaving the core,
+// has left the view before.
 
-// allocatorLeaseDuration is how long a lease of the counts lasts, from the holder's own sending. A machine
-// that falls silent to all is missed, and the wish for another view has lasted, after more than that: nothing
-// is waited for.
+// allocatorLeaseDuration is how long a lease lasts, from the holder's own sending. A replica that falls silent to all is
+// missed, and another view has been wished for, after more than that: nothing is waited for.
 const allocatorLeaseDuration = contactTimeout
 
-// allocatorLease is what a machine knows of leases of the counts in the view that it has in service.
+// allocatorLease is what a replica knows of allocator leases in the view that it serves in.
 type allocatorLease struct {
-	participants     []string // the machines that took part in it
-	firstHeartbeat   uint64   // this machine's first beat under it
-	oldLeasesExpired bool     // it has said that no other machine can have a lease of it any more
+	participants     []string // the replicas that took part in the view
+	firstHeartbeat   uint64   // this replica's first heartbeat under it
+	oldLeasesExpired bool     // it has said that no other replica can hold a lease of it any more
 }
 
-// noteFirstHeartbeat notes the first beat under a view, and reports whether none who took no part in that can
-// have a lease of this machine any more.
-func (f *Replica) noteFirstHeartbeat(beat uint64) bool {
-	if f.allocatorLease.firstHeartbeat == 0 {
-		f.allocatorLease.firstHeartbeat = beat
+// noteHeartbeatInView notes the first heartbeat under a view, and reports whether none who took no part in that can hold
+// a lease of this replica any more.
+func (r *Replica) noteHeartbeatInView(sequence uint64) bool {
+	lease := &r.allocator
+	if lease.firstHeartbeat == 0 {
+		lease.firstHeartbeat = sequence
 	}
-	f.allocatorLease.oldLeasesExpired = f.allocatorLease.oldLeasesExpired || f.outsideLeasesExpired()
-	return f.allocatorLease.oldLeasesExpired
+	lease.oldLeasesExpired = lease.oldLeasesExpired || r.outsideLeasesExpired()
+	return lease.oldLeasesExpired
 }
 
-// outsideLeasesExpired reports that anew. What an earlier life of this process told, it does not know; that
-// is nothing to those who have heard it in this view.
-func (f *Replica) outsideLeasesExpired() bool {
-	knows := func(addr string) bool {
-		p := f.peers[addr]
-		return slices.Contains(f.allocatorLease.participants, addr) || p != nil && p.sawUsInEpoch == f.epoch
+// outsideLeasesExpired reports that anew. What an earlier incarnation of this process told, it does not know; that is
+// nothing to those who have heard it in this view.
+func (r *Replica) outsideLeasesExpired() bool {
+	knowsView := func(addr string) bool {
+		p := r.peers.byAddr[addr]
+		return slices.Contains(r.allocator.participants, addr) || p != nil && p.sawUsInEpoch == r.epoch
 	}
-	for addr, p := range f.peers {
-		if f.now <= p.lastHeartbeatAt+allocatorLeaseDuration && !knows(addr) {
+	for addr, p := range r.peers.byAddr {
+		if r.now <= p.lastHeartbeatAt+allocatorLeaseDuration && !knowsView(addr) {
 			return false
 		}
 	}
-	return f.now > f.startedAt+allocatorLeaseDuration ||
-		!slices.ContainsFunc(f.allMembers(), func(m message.Node) bool {
-			return !knows(m.Addr)
-		})
+	if r.now > r.startedAt+allocatorLeaseDuration {
+		return true
+	}
+	return !slices.ContainsFunc(r.store.saved.allMembers(), func(m message.Node) bool { return !knowsView(m.Addr) })
 }
 
-// recordLease takes what a beat tells of leases: that of its sender, counted from the beat that it answers;
-// that the sender has heard this machine in its view, and has none of it in an earlier one any more; and
-// whether others may have one of the sender.
-func (f *Replica) recordLease(p *peerState, m *message.Message) {
-	sent, known := f.heartbeats.sentTime(m.EchoSequence)
-	if p.leaseSentAt = 0; known && p.epoch == m.Epoch {
-		p.leaseSentAt = sent
+// recordAllocatorLease takes what a heartbeat tells of leases: that of its sender, counted from the heartbeat that it
+// echoes; that the sender has heard this replica in its view, and holds none of it in an earlier one any more; and
+// whether others may hold one of the sender.
+func (r *Replica) recordAllocatorLease(p *peerState, h *message.Heartbeat) {
+	sentAt, known := r.peers.sent.sentTime(h.EchoSequence)
+	p.leaseSentAt = 0
+	if known && p.epoch == h.Epoch {
+		p.leaseSentAt = sentAt
 	}
-	if m.OldLeasesExpired {
-		p.oldLeasesExpiredIn = max(p.oldLeasesExpiredIn, m.Epoch)
+	if h.OldLeasesExpired {
+		p.oldLeasesExpiredIn = max(p.oldLeasesExpiredIn, h.Epoch)
 	}
-	if !known || f.state != StateServing || m.EchoSequence < f.allocatorLease.firstHeartbeat {
+	if !known || r.state != StateServing || h.EchoSequence < r.allocator.firstHeartbeat {
 		return
 	}
-	if p.sawUsInEpoch = f.epoch; !f.allocatorLease.oldLeasesExpired && f.outsideLeasesExpired() {
-		f.sendHeartbeats() // who waits for it need not wait for the next beat
+	p.sawUsInEpoch = r.epoch
+	if !r.allocator.oldLeasesExpired && r.outsideLeasesExpired() {
+		r.sendHeartbeats() // who waits for it need not wait for the next one
 	}
 }
 
-// holdsQuorumLease reports whether this machine has leases of a majority.
-func (f *Replica) holdsQuorumLease() bool {
-	return f.state == StateServing && hasQuorum(func(m message.Node) bool {
-		return f.is(m) && (m.Addr == f.self || f.hasLeaseFrom(f.peers[m.Addr]))
-	}, f.pending.electorates()...)
+// holdsAllocatorLease reports whether this replica has leases of a quorum.
+func (r *Replica) holdsAllocatorLease() bool {
+	return r.state == StateServing && hasQuorum(func(m message.Node) bool {
+		return r.isPresent(m) && (m.Addr == r.self || r.hasLeaseOf(r.peers.byAddr[m.Addr]))
+	}, r.store.pending.electorates()...)
 }
 
-// hasLeaseFrom reports whether this machine has a lease of a peer.
-func (f *Replica) hasLeaseFrom(p *peerState) bool {
-	return f.inContact(p) && p.leaseSentAt != 0 && f.now < p.leaseSentAt+allocatorLeaseDuration
+// hasLeaseOf reports whether this replica has a lease of a peer.
+func (r *Replica) hasLeaseOf(p *peerState) bool {
+	return r.inContact(p) && p.leaseSentAt != 0 && r.now < p.leaseSentAt+allocatorLeaseDuration
 }
 
-// predecessorLeasesExpired reports whether no earlier holder can have a lease: all of the chain have said so
-// in this view, or the time of one has passed since that began.
-func (f *Replica) predecessorLeasesExpired() bool {
-	return f.now >= f.stateSince+allocatorLeaseDuration || !slices.ContainsFunc(f.chain, func(addr string) bool {
-		if addr == f.self {
-			return !f.allocatorLease.oldLeasesExpired
+// predecessorLeasesExpired reports whether no earlier holder can have a lease: all of the chain have said so in this
+// view, or the time of one has passed since that began.
+func (r *Replica) predecessorLeasesExpired() bool {
+	if r.now >= r.stateSince+allocatorLeaseDuration {
+		return true
+	}
+	return !slices.ContainsFunc(r.chain, func(addr string) bool {
+		if addr == r.self {
+			return !r.allocator.oldLeasesExpired
 		}
-		p := f.peers[addr]
-		return p == nil || p.oldLeasesExpiredIn != f.epoch
+		p := r.peers.byAddr[addr]
+		return p == nil || p.oldLeasesExpiredIn != r.epoch
 	})
 }
--- a/internal/controlplane/replica/bootstrap.go
+++ b/internal/controlplane/replica/bootstrap.go
@@ -9,276 +9,274 @@
 	"dunespoke/internal/events"
 )
 
+// Times of the first start.
+const (
+	bootstrapQuietPeriod = 400 * time.Millisecond  // without another candidate, before the core is proposed
+	seedStartTimeout     = 1500 * time.Millisecond // for a seed that may be starting yet
+	// bootstrapFallbackAfter is when fewer candidates than survive asks for will do: quiet_s + confirm_s is 7 s.
+	bootstrapFallbackAfter = 5 * time.Second
+)
+
 // BootstrapState is what a seed keeps of the first start, until a core is named.
 type BootstrapState struct {
-	// Trusted says that this disk holds all that the seed promised: it was made in the first life of the
-	// system. A seed on another disk may have promised what it doesn't know.
+	// Trusted says that this disk holds all that the seed promised: it was made in the first life of the system. A seed
+	// on another disk may have promised what it doesn't know.
 	Trusted         bool
-	Seeds           []string       // of the first start
-	PromisedBallot  uint64         // it takes no draft below this ballot
-	AcceptedBallot  uint64         // of the draft that it took last; 0: none
-	AcceptedMembers []message.Node // the machines of the core, as that has them
+	Seeds           []string // of the first start
+	PromisedBallot  uint64   // it accepts no proposal below this ballot
+	AcceptedBallot  uint64   // of the proposal that it accepted last; 0: none
+	AcceptedMembers []message.Node
 }
 
-// BootstrapPhase is what a Founder is in.
+// BootstrapPhase is what a Bootstrapper is in.
 type BootstrapPhase int
 
-// The states of a Founder.
+// The phases of a Bootstrapper.
 const (
-	BootstrapGathering BootstrapPhase = iota // machines say that they are there
-	BootstrapPreparing                       // it has asked the seeds for pledges
-	BootstrapAccepting                       // it has handed out a draft
-	BootstrapDecided                         // a majority of the seeds has it: it is the core
+	BootstrapGathering BootstrapPhase = iota // candidates announce themselves
+	BootstrapPreparing                       // it has asked the seeds for promises
+	BootstrapAccepting                       // it has handed out a proposal
+	BootstrapDecided                         // a majority of the seeds has accepted it: it is the core
 )
 
-func (s BootstrapPhase) String() string {
-	return [...]string{"gathering", "pledging", "drafting", "decided"}[s]
-}
-
-// Bootstrapper names the machines of the core at the first start of the whole system. One runs at each seed;
-// the seeds are the same everywhere then. The first live one in their order proposes whom it has heard of,
-// and a majority of the seeds decides, in two phases and on one value, as for a view: whoever dies midway,
-// and however many propose at once, no two cores are named. A seed that may have forgotten what it promised
-// proposes nothing, and its pledge counts only beside those of all other seeds: whatever is decided, one of
-// them knows.
-type Bootstrapper struct {
-	options         BootstrapOptions
-	now             time.Duration
-	phase           BootstrapPhase
-	phaseSince      time.Duration
-	startedAt       time.Duration
-	candidates      map[string]message.Node
-	lastCandidateAt time.Duration            // when the last machine was heard of
-	announcedAt     map[string]time.Duration // when each last said that it is there
-	seedHeardAt     map[string]time.Duration // seeds
-	pending         BootstrapState           // what is kept, once all saves under way are done
-	ballot          uint64
-	responses       map[string]bool // by seed: its pledge is sure
-	newestAccepted  uint64          // ballot of the draft that was told
-	proposal        []message.Node
+func (p BootstrapPhase) String() string {
+	return [...]string{"gathering", "preparing", "accepting", "decided"}[p]
 }
 
-// BootstrapOptions are what NewFounder needs.
+// BootstrapOptions are what NewBootstrapper needs.
 type BootstrapOptions struct {
 	Self      string
 	Seeds     []string // in order
 	Tolerance FaultTolerance
 	Saved     BootstrapState // as found on the disk
 	Actions   Actions
-	// Save writes what there is to keep and syncs it, and calls then once that is done. A seed without a disk
-	// calls it at once: what its process forgets, it may not vote on again.
-	Save func(k BootstrapState, then func())
+	// Save writes what there is to keep and syncs it, and calls onSaved once that is done. A seed without a disk calls
+	// it at once: what its process forgets, it may not vote on again.
+	Save func(state BootstrapState, onSaved func())
 	// ClusterKnown tells whether a core is known here: all is decided then.
 	ClusterKnown func() bool
 }
 
-// NewBootstrapper returns a seed's founder.
-func NewBootstrapper(now time.Duration, o BootstrapOptions) *Bootstrapper {
-	return &Bootstrapper{
-		options:         o,
-		now:             now,
-		phaseSince:      now,
-		startedAt:       now,
-		lastCandidateAt: now,
-		candidates:      map[string]message.Node{},
-		announcedAt:     map[string]time.Duration{},
-		seedHeardAt:     map[string]time.Duration{},
-		pending:         o.Saved,
-	}
+// Bootstrapper names the members of the core at the first start of the whole system. One runs at each seed; the seeds
+// are the same everywhere then. The first live one in their order proposes whom it has heard of, and a majority of the
+// seeds decides, by single-decree Paxos, as for a view: whoever dies midway, and however many propose at once, no two
+// cores are named. A seed that may have forgotten what it promised proposes nothing, and its promise counts only beside
+// those of all other seeds: whatever is decided, one of them knows.
+type Bootstrapper struct {
+	options    BootstrapOptions
+	now        time.Duration
+	startedAt  time.Duration
+	phase      BootstrapPhase
+	phaseSince time.Duration
+
+	candidates      map[string]message.Node
+	lastCandidateAt time.Duration
+	announcedAt     map[string]time.Duration // when each candidate was last heard
+	seedHeardAt     map[string]time.Duration
+
+	pending BootstrapState // what is kept, once all saves under way are done
+
+	ballot         uint64
+	responses      map[string]bool // by seed: its promise is trusted, or it has accepted
+	newestAccepted uint64          // ballot of the proposal that was told
+	proposal       []message.Node
+}
+
+// NewBootstrapper returns a seed's bootstrapper.
+func NewBootstrapper(now time.Duration, options BootstrapOptions) *Bootstrapper {
+	return &Bootstrapper{options: options, now: now, startedAt: now, phaseSince: now, lastCandidateAt: now,
+		candidates: map[string]message.Node{}, announcedAt: map[string]time.Duration{},
+		seedHeardAt: map[string]time.Duration{}, pending: options.Saved}
 }
 
-// transition is the one place where the state changes.
-func (f *Bootstrapper) transition(s BootstrapPhase) {
-	f.options.Actions.Log(
-		events.BootstrapState,
-		"from",
-		f.phase.String(),
-		"to",
-		s.String(),
-		"machines",
-		len(f.proposal),
-	)
-	f.phase, f.phaseSince = s, f.now
-	f.responses = map[string]bool{}
+// transition is the one place where the phase changes.
+func (b *Bootstrapper) transition(to BootstrapPhase) {
+	b.options.Actions.Log(events.BootstrapState, "from", b.phase.String(), "to", to.String(),
+		"machines", len(b.proposal))
+	b.phase, b.phaseSince = to, b.now
+	b.responses = map[string]bool{}
 }
 
-// Members returns the machines of the core once they are decided here; nil before.
-func (f *Bootstrapper) Members() []message.Node {
-	if f.phase != BootstrapDecided {
+// Members returns the members of the core once they are decided here; nil before.
+func (b *Bootstrapper) Members() []message.Node {
+	if b.phase != BootstrapDecided {
 		return nil
 	}
-	return f.proposal
+	return b.proposal
 }
 
-// HandleAnnounce takes the word of a machine that knows of no core.
-func (f *Bootstrapper) HandleAnnounce(now time.Duration, from string, m *message.Message) {
-	f.now = now
-	if m.FirstStart && slices.Contains(f.options.Seeds, from) { // one that forgot its votes founds nothing
-		f.seedHeardAt[from] = now
+// HandleAnnounce notes a process that knows of no core.
+func (b *Bootstrapper) HandleAnnounce(now time.Duration, from string, announce *message.Announce) {
+	b.now = now
+	if announce.FirstStart && slices.Contains(b.options.Seeds, from) { // one that forgot its votes proposes nothing
+		b.seedHeardAt[from] = now
 	}
-	if known := f.candidates[from]; m.HasDisk && known.StoreID != m.StoreID {
-		f.candidates[from], f.lastCandidateAt = message.Node{Addr: from, Zone: m.Zone, StoreID: m.StoreID}, now
-	}
-	if m.HasDisk {
-		f.announcedAt[from] = now
+	if announce.HasDisk {
+		b.announcedAt[from] = now
+		if known := b.candidates[from]; known.StoreID != announce.StoreID {
+			b.candidates[from] = message.Node{Addr: from, Zone: announce.Zone, StoreID: announce.StoreID}
+			b.lastCandidateAt = now
+		}
 	}
-	f.Tick(now)
+	b.Tick(now)
 }
 
 // Tick does what is due.
-func (f *Bootstrapper) Tick(now time.Duration) {
-	f.now = now
+func (b *Bootstrapper) Tick(now time.Duration) {
+	b.now = now
 	switch {
-	case f.phase == BootstrapDecided || f.options.ClusterKnown() || !f.pending.Trusted:
-	case f.phase != BootstrapGathering:
-		if now >= f.phaseSince+phaseTimeout {
-			f.transition(BootstrapGathering)
+	case b.phase == BootstrapDecided || b.options.ClusterKnown() || !b.pending.Trusted:
+	case b.phase != BootstrapGathering:
+		if now >= b.phaseSince+phaseTimeout {
+			b.transition(BootstrapGathering)
 		}
-	case f.isFirstLiveSeed():
-		if core := f.proposableMembers(); core != nil {
-			f.propose(core)
+	case b.isFirstLiveSeed():
+		if members := b.proposableMembers(); members != nil {
+			b.propose(members)
 		}
 	}
 }
 
-// isFirstLiveSeed reports whether this is the first live seed. One that has not been heard of yet is given
-// time.
-func (f *Bootstrapper) isFirstLiveSeed() bool {
-	rank := slices.Index(f.options.Seeds, f.options.Self)
-	for i, s := range f.options.Seeds[:rank] {
-		at, heard := f.seedHeardAt[s]
-		if heard && f.now < at+failureTimeout ||
-			!heard && f.now < f.startedAt+time.Duration(rank-i)*seedStartTimeout {
+// isFirstLiveSeed reports whether no seed before this one lives. One that has not been heard of yet is given time.
+func (b *Bootstrapper) isFirstLiveSeed() bool {
+	rank := slices.Index(b.options.Seeds, b.options.Self)
+	for i, seed := range b.options.Seeds[:rank] {
+		at, heard := b.seedHeardAt[seed]
+		mayStart := !heard && b.now < b.startedAt+time.Duration(rank-i)*seedStartTimeout
+		if mayStart || heard && b.now < at+failureTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// proposableMembers is a core that bears what may be lost at once, if enough machines are there for one and
-// no more come. All of the core have a vote at once: they are named by the ids of their disks, on which all
-// is that they will have acknowledged. After a while it is those that are there then, if no loss of machines
-// covers them: one more would be one too many that is not, or is another disk by now.
-func (f *Bootstrapper) proposableMembers() []message.Node {
-	all := func() []message.Node { return slices.SortedFunc(maps.Values(f.candidates), compareAddress) }
-	core, borne := f.options.Tolerance.bootstrapMembers(all())
+// proposableMembers is a core that tolerates what may be lost at once, if enough candidates are there for one and no
+// more come. All of the core have a vote at once: they are named by the ids of their stores, on which all is that they
+// will have acknowledged. After a while it is those that are there then, if no loss of machines covers them: one more
+// would be one too many that is not, or is another store by now.
+func (b *Bootstrapper) proposableMembers() []message.Node {
+	tolerance := b.options.Tolerance
+	members, tolerated := tolerance.bootstrapMembers(b.sortedCandidates())
 	switch {
-	case borne && len(core) > f.options.Tolerance.Machines && f.now >= f.lastCandidateAt+bootstrapQuietPeriod:
-		return core
-	case f.now < f.startedAt+bootstrapFallbackAfter:
+	case tolerated && len(members) > tolerance.Machines && b.now >= b.lastCandidateAt+bootstrapQuietPeriod:
+		return members
+	case b.now < b.startedAt+bootstrapFallbackAfter:
 		return nil
 	}
-	maps.DeleteFunc(f.candidates, func(addr string, _ message.Node) bool {
-		return f.now > f.announcedAt[addr]+failureTimeout
+	maps.DeleteFunc(b.candidates, func(addr string, _ message.Node) bool {
+		return b.now > b.announcedAt[addr]+failureTimeout
 	})
-	if len(f.candidates) <= f.options.Tolerance.Machines {
+	if len(b.candidates) <= tolerance.Machines {
 		return nil
 	}
-	core, _ = f.options.Tolerance.bootstrapMembers(all())
-	return core
+	members, _ = tolerance.bootstrapMembers(b.sortedCandidates())
+	return members
 }
 
-// propose asks for pledges, under a ballot that no other seed uses.
-func (f *Bootstrapper) propose(core []message.Node) {
-	rank := uint64(slices.Index(f.options.Seeds, f.options.Self))
-	f.ballot = (max(f.ballot, f.pending.PromisedBallot)/epochsPerRound+1)*epochsPerRound + rank
-	f.newestAccepted, f.proposal = 0, withProposerIDs(core)
-	f.transition(BootstrapPreparing)
-	f.broadcast(&message.Message{Type: message.TypeBootstrapPrepare, Epoch: f.ballot, Chain: f.options.Seeds})
+func (b *Bootstrapper) sortedCandidates() []message.Node {
+	return slices.SortedFunc(maps.Values(b.candidates), compareAddress)
 }
 
-func (f *Bootstrapper) broadcast(m *message.Message) {
-	for _, s := range f.options.Seeds {
-		f.options.Actions.Send(s, m)
+// propose asks for promises, under a ballot that no other seed uses.
+func (b *Bootstrapper) propose(members []message.Node) {
+	rank := uint64(slices.Index(b.options.Seeds, b.options.Self))
+	b.ballot = nextEpoch(max(b.ballot, b.pending.PromisedBallot), rank)
+	b.newestAccepted, b.proposal = 0, withProposerIDs(members)
+	b.transition(BootstrapPreparing)
+	b.broadcast(&message.BootstrapPrepare{Ballot: b.ballot, Seeds: b.options.Seeds})
+}
+
+func (b *Bootstrapper) broadcast(body message.Body) {
+	for _, seed := range b.options.Seeds {
+		b.options.Actions.Send(seed, &message.Message{Body: body})
 	}
 }
 
-// Handle takes a message of founding.
-func (f *Bootstrapper) Handle(now time.Duration, from string, m *message.Message) {
-	f.now = now
-	seeds := f.options.Seeds
-	if m.Type == message.TypeBootstrapPrepare && !f.pending.Trusted { // its settings may name others by now
-		seeds = m.Chain
+// Step takes a message of the first start.
+func (b *Bootstrapper) Step(now time.Duration, from string, m *message.Message) {
+	b.now = now
+	seeds := b.options.Seeds
+	prepare, isPrepare := m.Body.(*message.BootstrapPrepare)
+	if isPrepare && !b.pending.Trusted { // this seed's settings may name others by now
+		seeds = prepare.Seeds
 	}
-	if !slices.Contains(seeds, from) || !slices.Contains(seeds, f.options.Self) {
+	if !slices.Contains(seeds, from) || !slices.Contains(seeds, b.options.Self) {
 		return
 	}
-	switch m.Type {
-	case message.TypeBootstrapPrepare:
-		f.handlePrepare(from, m)
-	case message.TypeBootstrapPromise:
-		f.handlePromise(from, m)
-	case message.TypeBootstrapAccept:
-		f.handleAccept(from, m)
-	case message.TypeBootstrapAccepted:
-		f.handleAccepted(from, m)
+	switch body := m.Body.(type) {
+	case *message.BootstrapPrepare:
+		b.handlePrepare(from, m, body)
+	case *message.BootstrapPromise:
+		b.handlePromise(from, body)
+	case *message.BootstrapAccept:
+		b.handleAccept(from, m, body)
+	case *message.BootstrapAccepted:
+		b.handleAccepted(from, body)
 	}
 }
 
-// handlePrepare promises to take no draft under a lower ballot, and tells the one that was taken last.
-func (f *Bootstrapper) handlePrepare(from string, m *message.Message) {
-	if m.Epoch <= f.pending.PromisedBallot || f.options.ClusterKnown() {
+// handlePrepare promises to accept no proposal under a lower ballot, and tells the one that was accepted last.
+func (b *Bootstrapper) handlePrepare(from string, m *message.Message, prepare *message.BootstrapPrepare) {
+	if prepare.Ballot <= b.pending.PromisedBallot || b.options.ClusterKnown() {
 		return // who asks tries again, under a higher one
 	}
-	f.pending.PromisedBallot, f.pending.Seeds = m.Epoch, m.Chain
-	f.save(func(k BootstrapState) {
-		f.options.Actions.Send(
-			from,
-			&message.Message{Type: message.TypeBootstrapPromise, Incarnation: m.Incarnation, Epoch: m.Epoch,
-				Version: k.AcceptedBallot, Members: k.AcceptedMembers, OK: k.Trusted},
-		)
+	b.pending.PromisedBallot, b.pending.Seeds = prepare.Ballot, prepare.Seeds
+	b.save(func(saved BootstrapState) {
+		b.options.Actions.Send(from, m.Reply(&message.BootstrapPromise{Ballot: prepare.Ballot,
+			AcceptedBallot: saved.AcceptedBallot, AcceptedMembers: saved.AcceptedMembers, Trusted: saved.Trusted}))
 	})
 }
 
 // save saves, and goes on unless something newer has come since.
-func (f *Bootstrapper) save(then func(k BootstrapState)) {
-	k := f.pending
-	f.options.Save(k, func() {
-		if f.pending.PromisedBallot == k.PromisedBallot {
-			then(k)
+func (b *Bootstrapper) save(onSaved func(saved BootstrapState)) {
+	saved := b.pending
+	b.options.Save(saved, func() {
+		if b.pending.PromisedBallot == saved.PromisedBallot {
+			onSaved(saved)
 		}
 	})
 }
 
-// handlePromise counts a pledge. The newest draft that any of them has may be decided already: it is the one.
-func (f *Bootstrapper) handlePromise(from string, m *message.Message) {
-	if f.phase != BootstrapPreparing || m.Epoch != f.ballot {
+// handlePromise counts a promise. The newest proposal that any of them has accepted may be decided already: it is the
+// one.
+func (b *Bootstrapper) handlePromise(from string, promise *message.BootstrapPromise) {
+	if b.phase != BootstrapPreparing || promise.Ballot != b.ballot {
 		return
 	}
-	if m.Version > f.newestAccepted && len(m.Members) > 0 {
-		f.newestAccepted, f.proposal = m.Version, m.Members
+	if promise.AcceptedBallot > b.newestAccepted && len(promise.AcceptedMembers) > 0 {
+		b.newestAccepted, b.proposal = promise.AcceptedBallot, promise.AcceptedMembers
 	}
-	f.responses[from] = m.OK
-	sure := func(seed string) bool { return f.responses[seed] }
-	if hasQuorum(sure, f.options.Seeds) || len(f.responses) == len(f.options.Seeds) {
-		f.transition(BootstrapAccepting)
-		f.broadcast(&message.Message{Type: message.TypeBootstrapAccept, Epoch: f.ballot, Members: f.proposal})
+	b.responses[from] = promise.Trusted
+	if hasQuorum(b.hasResponse, b.options.Seeds) || len(b.responses) == len(b.options.Seeds) {
+		b.transition(BootstrapAccepting)
+		b.broadcast(&message.BootstrapAccept{Ballot: b.ballot, Members: b.proposal})
 	}
 }
 
-// handleAccept takes a draft.
-func (f *Bootstrapper) handleAccept(from string, m *message.Message) {
-	if m.Epoch < f.pending.PromisedBallot || len(m.Members) == 0 || f.options.ClusterKnown() {
+// hasResponse reports whether a seed's response counts.
+func (b *Bootstrapper) hasResponse(seed string) bool { return b.responses[seed] }
+
+// handleAccept accepts a proposal.
+func (b *Bootstrapper) handleAccept(from string, m *message.Message, accept *message.BootstrapAccept) {
+	if accept.Ballot < b.pending.PromisedBallot || len(accept.Members) == 0 || b.options.ClusterKnown() {
 		return
 	}
-	if !f.pending.Trusted && m.Epoch != f.pending.PromisedBallot { // it may have pledged a later one
+	if !b.pending.Trusted && accept.Ballot != b.pending.PromisedBallot { // it may have promised a later one
 		return
 	}
-	f.pending.PromisedBallot, f.pending.AcceptedBallot, f.pending.AcceptedMembers = m.Epoch, m.Epoch, m.Members
-	f.save(func(BootstrapState) {
-		f.options.Actions.Send(
-			from,
-			&message.Message{Type: message.TypeBootstrapAccepted, Incarnation: m.Incarnation, Epoch: m.Epoch},
-		)
+	b.pending.PromisedBallot, b.pending.AcceptedBallot = accept.Ballot, accept.Ballot
+	b.pending.AcceptedMembers = accept.Members
+	b.save(func(BootstrapState) {
+		b.options.Actions.Send(from, m.Reply(&message.BootstrapAccepted{Ballot: accept.Ballot}))
 	})
 }
 
-func (f *Bootstrapper) handleAccepted(from string, m *message.Message) {
-	if f.phase != BootstrapAccepting || m.Epoch != f.ballot {
+func (b *Bootstrapper) handleAccepted(from string, accepted *message.BootstrapAccepted) {
+	if b.phase != BootstrapAccepting || accepted.Ballot != b.ballot {
 		return
 	}
-	f.responses[from] = true
-	if hasQuorum(func(seed string) bool { return f.responses[seed] }, f.options.Seeds) {
-		f.transition(BootstrapDecided)
+	b.responses[from] = true
+	if hasQuorum(b.hasResponse, b.options.Seeds) {
+		b.transition(BootstrapDecided)
 	}
 }
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -7,362 +7,273 @@
 	"dunespoke/internal/controlplane/message"
 )
 
+// Times and bounds of the chain.
+const (
+	relayRetryInterval = 300 * time.Millisecond // of what goes down the chain
+	maxProposalAge     = 5 * time.Second        // after which nobody waits for a proposal any more
+	maxProposals       = 64                     // that wait at the head
+)
+
+// clientRequest is who asked, and what its response has to repeat.
+type clientRequest struct {
+	addr        string
+	incarnation uint64
+	requestID   uint64
+}
+
+// respond sends the response to a client.
+func (r *Replica) respond(to clientRequest, body message.Body) {
+	r.options.Actions.Send(to.addr, &message.Message{RequestID: to.requestID, Incarnation: to.incarnation, Body: body})
+}
+
 // proposal is a configuration that waits to be acknowledged.
 type proposal struct {
-	client      string
-	incarnation uint64 // of the process that asked
-	requestID   uint64
-	accepted    message.AcceptedVersion
-	config      []byte
-	receivedAt  time.Duration
-	// it has gone down the chain in this view: what that ends with is its answer
-	replicating        bool
-	confirmationSentAt time.Duration // when a majority was asked last
+	client     clientRequest
+	accepted   message.AcceptedVersion
+	config     []byte
+	receivedAt time.Duration
+	// replicating says that it has gone down the chain in this view: what that ends with is its response.
+	replicating bool
+	confirmedAt time.Duration // when a quorum was last asked on its behalf; 0: not yet
+}
+
+// replication is the replica's part in the chain: what waits at the head, and what it handed down last.
+type replication struct {
+	proposals      []proposal
+	relayedVersion uint64
+	relayedAt      time.Duration
+}
+
+// suspend notes that the view has ended: whether what went down its chain is committed, the next one says.
+func (c *replication) suspend() {
+	for i := range c.proposals {
+		c.proposals[i].replicating = false
+	}
+}
+
+// waits reports whether a proposal of a client waits already.
+func (c *replication) waits(client clientRequest) bool {
+	return slices.ContainsFunc(c.proposals, func(p proposal) bool { return p.client == client })
 }
 
-// isRequest reports whether it is a call of a process.
-func (p *proposal) isRequest(from string, life, call uint64) bool {
-	return p.client == from && p.incarnation == life && p.requestID == call
+// take removes and returns the proposals for which a condition holds.
+func (c *replication) take(done func(p *proposal) bool) (taken []proposal) {
+	c.proposals = slices.DeleteFunc(c.proposals, func(p proposal) bool {
+		if !done(&p) {
+			return false
+		}
+		taken = append(taken, p)
+		return true
+	})
+	return taken
 }
 
-// epochConfirmation is a question to a majority, whether this machine's view is still the newest that can be
-// in service.
-type epochConfirmation struct {
-	confirmed map[string]bool
-	startedAt time.Duration
-	onQuorum  func()
+// stepChain takes a message of the chain.
+func (r *Replica) stepChain(from string, m *message.Message) {
+	switch body := m.Body.(type) {
+	case *message.Put:
+		r.handlePut(from, m, body)
+	case *message.Replicate:
+		r.handleReplicate(from, body)
+	case *message.Committed:
+		r.handleCommitted(body)
+	}
 }
 
-// chainPosition is this machine's in the chain; -1: in none.
-func (f *Replica) chainPosition() int {
-	if f.state != StateServing {
+// chainPosition is this replica's in the chain; -1: in none.
+func (r *Replica) chainPosition() int {
+	if r.state != StateServing {
 		return -1
 	}
-	return slices.Index(f.chain, f.self)
+	return slices.Index(r.chain, r.self)
 }
 
-// redirect tells who asked that this is not the machine to ask, and which view it knows.
-func (f *Replica) redirect(from string, m *message.Message) {
-	f.Actions.Send(
-		from,
-		&message.Message{
-			Type:        message.TypeReject,
-			Incarnation: m.Incarnation,
-			RequestID:   m.RequestID,
-			Epoch:       f.epoch,
-			Chain:       f.chain,
-		},
-	)
+// redirect tells a client that this is not the replica to ask, and which view it knows.
+func (r *Replica) redirect(from string, request *message.Message) {
+	r.reply(from, request, &message.Reject{Epoch: r.epoch, Chain: r.chain})
 }
 
 // handlePut takes a configuration at the head.
-func (f *Replica) handlePut(from string, m *message.Message) {
-	if f.chainPosition() != 0 || len(f.proposals) >= maxProposals {
-		f.redirect(from, m)
-		return
-	}
-	if slices.ContainsFunc(
-		f.proposals,
-		func(p proposal) bool { return p.isRequest(from, m.Incarnation, m.RequestID) },
-	) {
+func (r *Replica) handlePut(from string, m *message.Message, put *message.Put) {
+	if r.chainPosition() != 0 || len(r.replication.proposals) >= maxProposals {
+		r.redirect(from, m)
 		return
 	}
-	if m.Config == nil {
+	client := clientRequest{from, m.Incarnation, m.RequestID}
+	if put.Config == nil || r.replication.waits(client) {
 		return
 	}
-	config, err := m.Config.Apply(0, nil)
+	config, err := put.Config.Apply(0, nil)
 	if err != nil {
-		return
+		return // the client sends it again
 	}
-	f.proposals = append(
-		f.proposals,
-		proposal{
-			client:      from,
-			incarnation: m.Incarnation,
-			requestID:   m.RequestID,
-			config:      config,
-			receivedAt:  f.now,
-			accepted:    message.AcceptedVersion{Version: m.Version, Digest: message.DigestOf(config)},
-		},
-	)
-	f.proposeNext()
+	r.replication.proposals = append(r.replication.proposals, proposal{client: client, config: config,
+		receivedAt: r.now, accepted: message.AcceptedVersion{Version: put.Version, Digest: message.DigestOf(config)}})
+	r.proposeNext()
 }
 
-// proposeNext answers for what the chain has, and starts on the next: all that wait go down the chain at
-// once, the highest number with its text, those below it as numbers that are taken.
-func (f *Replica) proposeNext() {
-	if f.chainPosition() != 0 {
+// proposeNext responds to what is committed, and starts on the next: all that wait go down the chain at once, the
+// highest version with its configuration, those below it as accepted versions.
+func (r *Replica) proposeNext() {
+	if r.chainPosition() != 0 {
 		return
 	}
-	f.answerCommitted()
-	if f.pending.Version > f.committed { // one is on its way
+	r.respondToCommitted()
+	pending := &r.store.pending
+	if pending.Version > r.committed { // one is on its way
 		return
 	}
 	var batch []message.AcceptedVersion
-	for i := range f.proposals {
-		p := &f.proposals[i]
-		if p.accepted.Version <= f.committed {
+	for i := range r.replication.proposals {
+		p := &r.replication.proposals[i]
+		if p.accepted.Version <= r.committed {
 			continue
 		}
 		batch = append(batch, p.accepted)
-		if p.replicating = true; p.accepted.Version > f.pending.Version {
-			f.pending.Version, f.pending.Config = p.accepted.Version, p.config
+		p.replicating = true
+		if p.accepted.Version > pending.Version {
+			pending.Version, pending.Config = p.accepted.Version, p.config
 		}
 	}
 	if len(batch) == 0 {
 		return
 	}
-	f.pending.AcceptedEpoch, f.pending.AcceptedVersions = f.epoch, AppendAccepted(
-		f.pending.AcceptedVersions,
-		batch...)
-	f.saveAndRelay()
+	pending.AcceptedEpoch = r.epoch
+	pending.AcceptedVersions = AppendAccepted(pending.AcceptedVersions, batch...)
+	r.saveAndRelay()
 }
 
-// answerCommitted answers those whose numbers are not above what is committed. What has gone down the chain
-// in this view was taken by all of it; for the rest a majority is asked first whether this is the head still.
-func (f *Replica) answerCommitted() {
-	f.proposals = slices.DeleteFunc(f.proposals, func(p proposal) bool {
-		if p.accepted.Version > f.committed || !p.replicating {
-			return false
-		}
-		f.answerProposal(p)
-		return true
+// respondToCommitted responds to those whose versions are not above what is committed. What has gone down the chain in
+// this view was accepted by all of it; for the rest a quorum is asked first whether this is the head still.
+func (r *Replica) respondToCommitted() {
+	settled := r.replication.take(func(p *proposal) bool {
+		return p.accepted.Version <= r.committed && p.replicating
 	})
-	for i := range f.proposals {
-		if p := &f.proposals[i]; p.accepted.Version <= f.committed &&
-			(p.confirmationSentAt == 0 || f.now >= p.confirmationSentAt+relayRetryInterval) {
-			p.confirmationSentAt = f.now
-			defer f.confirmAndAnswer(
-				p.client,
-				p.incarnation,
-				p.requestID,
-			) // which may answer at once, and drops it then
+	for i := range settled {
+		r.respondToProposal(&settled[i])
+	}
+	var unconfirmed []clientRequest
+	for i := range r.replication.proposals {
+		p := &r.replication.proposals[i]
+		due := p.confirmedAt == 0 || r.now >= p.confirmedAt+relayRetryInterval
+		if p.accepted.Version <= r.committed && due {
+			p.confirmedAt = r.now
+			unconfirmed = append(unconfirmed, p.client)
 		}
 	}
+	for _, client := range unconfirmed {
+		r.confirmAndRespond(client)
+	}
 }
 
-// confirmAndAnswer answers one that waits, once a majority has said that this is the head still.
-func (f *Replica) confirmAndAnswer(from string, life, call uint64) {
-	f.confirmEpoch(func() {
-		f.proposals = slices.DeleteFunc(f.proposals, func(p proposal) bool {
-			if !p.isRequest(from, life, call) {
-				return false
-			}
-			f.answerProposal(p)
-			return true
-		})
+// confirmAndRespond responds to a client that waits, once a quorum has said that this is the head still.
+func (r *Replica) confirmAndRespond(client clientRequest) {
+	r.confirmEpoch(func() {
+		confirmed := r.replication.take(func(p *proposal) bool { return p.client == client })
+		for i := range confirmed {
+			r.respondToProposal(&confirmed[i])
+		}
 	})
 }
 
-// answerProposal answers for a number that is not above what is committed: one that stands with the same text
-// is acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered
-// is acknowledged and changes nothing, since the highest version wins.
-func (f *Replica) answerProposal(p proposal) {
-	m := &message.Message{
-		Type:        message.TypeCommitted,
-		Incarnation: p.incarnation,
-		RequestID:   p.requestID,
-		Version:     f.committed,
-		OK:          true,
-	}
-	if sum, known := f.pending.digestOf(p.accepted.Version); known && sum != p.accepted.Digest {
-		m.Type, m.OK = message.TypeConflict, false
+// respondToProposal responds for a version that is not above what is committed: one that was accepted with the same
+// content is acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered is
+// acknowledged and changes nothing, since the highest version wins.
+func (r *Replica) respondToProposal(p *proposal) {
+	digest, known := r.store.pending.digestOf(p.accepted.Version)
+	if known && digest != p.accepted.Digest {
+		r.respond(p.client, &message.Conflict{Version: r.committed})
+		return
 	}
-	f.Actions.Send(p.client, m)
+	r.respond(p.client, &message.Committed{Version: r.committed, OK: true})
 }
 
-// saveAndRelay saves what came down the chain, and passes it on; the tail says that it is done.
-func (f *Replica) saveAndRelay() {
-	epoch := f.epoch
-	f.save(func() {
-		if f.epoch == epoch && f.pending.PromisedEpoch == epoch {
-			f.relay()
+// saveAndRelay saves what came down the chain, and hands it on; the tail says that it is committed.
+func (r *Replica) saveAndRelay() {
+	epoch := r.epoch
+	r.save(func() {
+		if r.epoch == epoch && r.store.pending.PromisedEpoch == epoch {
+			r.relay()
 		}
 	})
 }
 
-// relay sends what is on disk down the chain.
-func (f *Replica) relay() {
-	at := f.chainPosition()
-	if at < 0 {
+// relay hands what is on disk down the chain.
+func (r *Replica) relay() {
+	position := r.chainPosition()
+	if position < 0 {
 		return
 	}
-	again := f.relayedVersion == f.saved.Version // the first time did not do it: without a base
-	f.relayedAt, f.relayedVersion = f.now, f.saved.Version
-	if at < len(f.chain)-1 {
-		f.Actions.Send(
-			f.chain[at+1],
-			&message.Message{
-				Type:    message.TypeReplicate,
-				Epoch:   f.epoch,
-				Version: f.saved.Version,
-				AcceptedVersions: f.saved.acceptedAbove(
-					f.committed,
-				),
-				Config: f.deltaFor(f.savedConfig(), f.committed, !again),
-			},
-		)
+	saved := &r.store.saved
+	again := r.replication.relayedVersion == saved.Version // the first time did not do it: in full
+	r.replication.relayedAt, r.replication.relayedVersion = r.now, saved.Version
+	if position < len(r.chain)-1 {
+		r.send(r.chain[position+1], &message.Replicate{Epoch: r.epoch, Version: saved.Version,
+			AcceptedVersions: saved.acceptedAbove(r.committed),
+			Config:           r.history.delta(saved.configVersion(), r.committed, !again)})
 		return
 	}
-	m := &message.Message{Type: message.TypeCommitted, Epoch: f.epoch, Version: f.saved.Version}
-	for _, to := range f.chain[:at] {
-		f.Actions.Send(to, m)
+	committed := &message.Committed{Epoch: r.epoch, Version: saved.Version}
+	for _, to := range r.chain[:position] {
+		r.send(to, committed)
 	}
-	f.handleCommitted(m)
+	r.handleCommitted(committed)
 }
 
 // handleReplicate takes what comes down the chain.
-func (f *Replica) handleReplicate(from string, m *message.Message) {
-	at := f.chainPosition()
-	if at <= 0 || m.Epoch != f.epoch || f.pending.PromisedEpoch != f.epoch || f.chain[at-1] != from {
+func (r *Replica) handleReplicate(from string, m *message.Replicate) {
+	position := r.chainPosition()
+	pending := &r.store.pending
+	if position <= 0 || m.Epoch != r.epoch || pending.PromisedEpoch != r.epoch || r.chain[position-1] != from {
 		return
 	}
 	switch {
-	case m.Version > f.pending.Version && m.Config != nil:
-		// The head starts on the next once what came before is done.
-		f.handleCommitted(&message.Message{Epoch: f.epoch, Version: f.saved.Version})
-		config, err := m.Config.Apply(f.pending.Version, f.pending.Config)
+	case m.Version > pending.Version && m.Config != nil:
+		// The head starts on the next once what came before is committed.
+		r.handleCommitted(&message.Committed{Epoch: r.epoch, Version: r.store.saved.Version})
+		config, err := m.Config.Apply(pending.Version, pending.Config)
 		if err != nil {
-			return // it comes again, whole
+			return // it comes again, in full
 		}
-		f.pending.Value = Value{AcceptedEpoch: f.epoch, Version: m.Version, Config: config,
-			AcceptedVersions: AppendAccepted(f.pending.AcceptedVersions, m.AcceptedVersions...)}
-		f.saveAndRelay()
-	case m.Version == f.saved.Version: // once more: an answer was lost
-		f.relay()
+		pending.Value = Value{AcceptedEpoch: r.epoch, Version: m.Version, Config: config,
+			AcceptedVersions: AppendAccepted(pending.AcceptedVersions, m.AcceptedVersions...)}
+		r.saveAndRelay()
+	case m.Version == r.store.saved.Version: // once more: a response was lost
+		r.relay()
 	}
 }
 
-// handleCommitted tells that the tail has a version: it is committed.
-func (f *Replica) handleCommitted(m *message.Message) {
-	if f.state != StateServing || m.Epoch != f.epoch || m.Version <= f.committed || m.Version > f.saved.Version {
+// handleCommitted takes that the tail has a version: it is committed.
+func (r *Replica) handleCommitted(m *message.Committed) {
+	if r.state != StateServing || m.Epoch != r.epoch || m.Version <= r.committed || m.Version > r.store.saved.Version {
 		return
 	}
-	f.recordCommit(m.Version)
-	f.notifyWatchers()
-	f.proposeNext()
+	r.commit(m.Version)
+	r.notifyWatchers()
+	r.proposeNext()
 }
 
-// maxConfigHistory is how many configurations are kept, to tell newer ones as changes of them.
-const maxConfigHistory = 4
-
-// recordCommit notes that a version can't be lost any more.
-func (f *Replica) recordCommit(version uint64) {
-	f.committed = max(f.committed, version)
-	if f.saved.Version != f.committed ||
-		len(f.configHistory) > 0 && f.configHistory[len(f.configHistory)-1].version == f.committed {
-		return
-	}
-	f.configHistory = append(f.configHistory, configVersion{f.committed, f.saved.Config})
-	if len(f.configHistory) > maxConfigHistory {
-		f.configHistory = f.configHistory[1:]
+// commit notes that a version can't be lost any more.
+func (r *Replica) commit(version uint64) {
+	r.committed = max(r.committed, version)
+	if r.store.saved.Version == r.committed {
+		r.history.add(r.store.saved.configVersion())
 	}
-	clear(f.deltas)
 }
 
-// savedConfig is the configuration on disk.
-func (f *Replica) savedConfig() configVersion { return configVersion{f.saved.Version, f.saved.Config} }
-
-// deltaFor is a configuration as a change of a version, if that is wanted and known. It is made once for all
-// who ask with the same.
-func (f *Replica) deltaFor(t configVersion, base uint64, change bool) *message.Delta {
-	var old []byte
-	if i := slices.IndexFunc(
-		f.configHistory,
-		func(t configVersion) bool { return t.version == base },
-	); i >= 0 &&
-		change {
-		old = f.configHistory[i].config
-	} else {
-		base = 0
-	}
-	key := [2]uint64{t.version, base}
-	p := f.deltas[key]
-	if p == nil {
-		p = message.NewDelta(t.config, base, old)
-		if len(f.deltas) >= 2*maxConfigHistory {
-			clear(f.deltas)
-		}
-		f.deltas[key] = p
-	}
-	return p
+// commitOverdue reports whether something has been on this disk for long, and is not known to be committed: it may be,
+// and acknowledged, and this replica alone has not been told.
+func (r *Replica) commitOverdue() bool {
+	return r.store.saved.Version > r.committed && r.now > r.store.versionSince+contactTimeout
 }
 
-// resend sends again what may have been lost on its way, and drops what has waited too long.
-func (f *Replica) resend() {
-	if f.chainPosition() == 0 && f.saved.Version > f.committed && f.now >= f.relayedAt+relayRetryInterval {
-		f.relay()
-	}
-	f.proposals = slices.DeleteFunc(
-		f.proposals,
-		func(p proposal) bool { return f.now > p.receivedAt+5*time.Second },
-	)
-	f.proposeNext() // for those that a majority has not been heard about
-	for id, r := range f.confirmations {
-		if f.now > r.startedAt+time.Second {
-			delete(f.confirmations, id)
-		}
-	}
-}
-
-// handleRead answers from the tail, once a majority has said that no later view can be in service.
-func (f *Replica) handleRead(from string, m *message.Message) {
-	if at := f.chainPosition(); at < 0 || at != len(f.chain)-1 || len(f.confirmations) >= maxProposals {
-		f.redirect(from, m)
-		return
-	}
-	f.confirmEpoch(func() {
-		if f.saved.Version != f.committed { // it is being passed on
-			return
-		}
-		answer := &message.Message{
-			Type:        message.TypeReadResult,
-			Incarnation: m.Incarnation,
-			RequestID:   m.RequestID,
-			Version:     f.committed,
-			OK:          true,
-		}
-		if f.committed > m.Version {
-			answer.Config = f.deltaFor(f.savedConfig(), m.Version, true)
-		}
-		f.Actions.Send(from, answer)
-	})
-}
-
-// confirmEpoch asks a majority whether this machine's view is the newest that can be in service, and goes on
-// once it has said so. Without a majority nothing comes of it.
-func (f *Replica) confirmEpoch(then func()) {
-	f.lastConfirmation++
-	f.confirmations[f.lastConfirmation] = &epochConfirmation{
-		confirmed: map[string]bool{},
-		startedAt: f.now,
-		onQuorum:  then,
-	}
-	for _, r := range f.saved.Members {
-		if r.Addr != f.self {
-			f.Actions.Send(
-				r.Addr,
-				&message.Message{Type: message.TypeConfirmEpoch, RequestID: f.lastConfirmation, Epoch: f.epoch},
-			)
-		}
-	}
-	f.handleEpochConfirmed(
-		f.self,
-		&message.Message{RequestID: f.lastConfirmation, Epoch: f.epoch, OK: f.pending.PromisedEpoch == f.epoch},
-	)
-}
-
-func (f *Replica) handleEpochConfirmed(from string, m *message.Message) {
-	r := f.confirmations[m.RequestID]
-	if r == nil || !m.OK || m.Epoch != f.epoch || !f.isMemberAddress(from) || f.state != StateServing {
-		return
-	}
-	r.confirmed[from] = true
-	if !hasQuorum(
-		func(m message.Node) bool { return r.confirmed[m.Addr] && f.is(m) },
-		f.pending.electorates()...) {
-		return
+// retryReplication sends again what may have been lost on its way, and drops what has waited too long.
+func (r *Replica) retryReplication() {
+	if r.chainPosition() == 0 && r.store.saved.Version > r.committed &&
+		r.now >= r.replication.relayedAt+relayRetryInterval {
+		r.relay()
 	}
-	delete(f.confirmations, m.RequestID)
-	r.onQuorum()
+	r.replication.take(func(p *proposal) bool { return r.now > p.receivedAt+maxProposalAge })
+	r.proposeNext() // for those that a quorum has not been heard about
+	r.confirmations.expire(r.now)
 }
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -1,86 +1,42 @@
-// Package frame is the main distributing frame of the exchange: the control state that the machines with a
-// disk hold together. They form a chain, entered at the head and answered from the tail; which of them do,
-// and in which order, is a view under an epoch that a majority agrees on, one view at a time. There is no log
-// and no leader.
+// Package replica is the control state that the machines with a disk hold together. The replicas form a chain: a
+// configuration is proposed at the head, handed down, and committed once it is on the tail's disk. Which replicas form
+// the chain, and in which order, is a view under an epoch that a majority agrees on, one view at a time. There is no
+// log and no leader.
 //
-// A Frame is one machine's part. It knows no sockets, disks or clocks: it is told what came, what was saved
-// and what time it is, and acts through Actions. Its methods must not be called concurrently.
+// A Replica knows no sockets, disks or clocks. The caller drives it: Step for a message, HandleSaved for a save that
+// has ended, Tick every 50 ms or so, each with the time of a clock that never goes back. It acts through Actions. Its
+// methods must not be called concurrently.
+//
+// Each concern is a type with its own state, in a file of its own: stateStore (what is on disk), failureDetector,
+// viewChanger, replication (the chain), epochConfirmations (quorum reads), membershipChanger, Bootstrapper, watchers,
+// nodeLeases, endpointTable, snapshotCache, allocatorLease and toleranceMonitor. This file joins them.
 package replica
 
 import (
-	"slices"
 	"time"
 
 	"dunespoke/internal/controlplane/message"
 	"dunespoke/internal/events"
 )
 
-// Tuned times, each with its reason.
-const (
-	heartbeatInterval = 150 * time.Millisecond // four in the time after which silence counts
-	// beats to one that tells of members: leases last for four of those
-	heartbeatsPerLeaseReport = 5
-	failureTimeout           = 650 * time.Millisecond  // some lost packets and a slow turn are no death
-	viewChangeDelay          = 200 * time.Millisecond  // a wish for another view must last so long
-	rejoinDelay              = 800 * time.Millisecond  // and one that came back be heard so long: flapping links
-	phaseTimeout             = 700 * time.Millisecond  // for a phase of a proposal: two syncs of a slow disk
-	phaseRetryInterval       = 120 * time.Millisecond  // those that have not answered a phase
-	slowSaveThreshold        = 900 * time.Millisecond  // a save under way for so long makes the disk ill
-	diskRecoveryTime         = 1000 * time.Millisecond // and it is well again so long after the last such one
-	// for a machine that is heard and doesn't answer: within sync_s
-	unresponsiveTimeout = 2 * time.Second
-	servingTimeout      = 450 * time.Millisecond // for a machine of the chain to serve in its view
-	relayRetryInterval  = 300 * time.Millisecond // of what goes down the chain
-	// that a change of the view may take before others are asked
-	viewChangeAllowance  = 500 * time.Millisecond
-	nodeLeaseDuration    = 3 * time.Second         // of a member: three polls
-	endpointsStaleAfter  = 2 * time.Second         // without a reading, the list that there is goes on
-	bootstrapQuietPeriod = 400 * time.Millisecond  // without a new machine, before the first start
-	seedStartTimeout     = 1500 * time.Millisecond // for a seed that may be starting yet
-	// and then with fewer than survive asks for: quiet_s + confirm_s is 7
-	bootstrapFallbackAfter = 5 * time.Second
-	// that the members can't bear what survive names, before it is told
-	gapReportDelay = 30 * time.Second
-	maxProposals   = 64 // that wait for the head
-)
-
-// PersistentState is what a machine keeps on its disk.
-type PersistentState struct {
-	CaughtUp bool           // it has all that was acknowledged, and may vote
-	StoreID  uint64         // of this store, made with it: with the address, it is who this machine is
-	Members  []message.Node // the members of the core, in the order of their addresses
-	// MembershipEpoch is the epoch of the view that installed the registry; 0: the first start did.
-	MembershipEpoch uint64
-	OutgoingMembers []message.Node // the registry before, until the change is known to be complete
-	// RemovedMembers are the members that staff have removed last, with the ids that they had. They go with
-	// Registry.
-	RemovedMembers    []message.Node
-	RemovedByOperator bool     // of a machine that was: it is no newcomer until staff add it
-	PromisedEpoch     uint64   // no view below this epoch gets anything from here
-	Epoch             uint64   // of the view installed last
-	Chain             []string // and its machines
-	Value
-	Bootstrap BootstrapState // of a seed, at the first start
-}
-
-// Actions are what a Frame does. They must not call it back.
+// Actions are what a Replica does. They must not call it back.
 type Actions interface {
 	// Send sends a message, or loses it.
 	Send(to string, m *message.Message)
-	// Save writes a record and syncs it, and then calls Saved with the token. Saves are done in order.
-	Save(token uint64, r PersistentState)
+	// Save writes a state and syncs it, and then calls HandleSaved with the token. Saves are done in order.
+	Save(token uint64, state PersistentState)
 	// Log writes an event.
 	Log(e events.Event, pairs ...any)
 }
 
-// State is what a Frame is in.
+// State is what a Replica is in.
 type State int
 
-// The states of a Frame.
+// The states of a Replica.
 const (
-	StateUninitialized State = iota // it knows no core, or has lost its disk: it waits to be founded or mended
-	StateStandby                    // it is of the core, and in no view that serves
-	StateProposing                  // it has asked for promises
+	StateUninitialized State = iota // it is no member, or has lost its disk: it waits for bootstrap or repair
+	StateStandby                    // it is a member, and in no view that serves
+	StateProposing                  // it has asked for promises of a view
 	StateInstalling                 // it has handed out a view
 	StateServing                    // it is in the view that serves
 )
@@ -93,465 +49,245 @@
 type Options struct {
 	Self      message.Node
 	Tolerance FaultTolerance
-	// ReplaceAfter is for how long a member must be silent before another machine takes its place.
+	// ReplaceAfter is for how long a member must be silent before another replica takes its place; 0: two seconds.
 	ReplaceAfter time.Duration
-	Incarnation  uint64 // a number of this life of the process: a store that is made in it gets it as its id
+	Incarnation  uint64 // of the process: a store that is made in it gets it as its id
 	FirstStart   bool   // the whole system starts for the first time
 	Seeds        []string
-	Saved        PersistentState // as found; the zero Record where nothing was
+	Saved        PersistentState // as found on disk; the zero value where nothing was
 	Actions      Actions
 }
 
 // Replica is one machine's part of the core.
 type Replica struct {
-	Options
-	self       string
-	now        time.Duration
-	startedAt  time.Duration
-	state      State
-	stateSince time.Duration // when the state began
-
-	saved        PersistentState // on disk
-	pending      PersistentState // and as it will be when all saves under way are done
-	saveToken    uint64
-	pendingSaves []pendingSave
-	diskFailed   bool
-	lastSlowSave time.Duration // when a save last took too long
-
-	learners      map[string]*learner // machines with a disk that would be members
-	draining      bool                // this process was told to stop
-	changeRequest *changeRequest      // by hand
-	retirements   uint64              // how often this life has given up its membership
-	tolerant      bool                // what may be lost at once could be when last looked
-	gapSince      time.Duration       // since when the members can't, were they all well; 0: they can
-	nextRebalance time.Duration       // when it is looked again whether newcomers spread the members better
-	gapReported   bool                // and that was told
-
-	peers             map[string]*peerState
-	nextHeartbeat     time.Duration
-	heartbeats        heartbeatHistory
-	savedVersionSince time.Duration // when the version on disk came there
-	chain             []string      // of the view that serves, as far as known
-	epoch             uint64
-	desiredChain      []string // for another view
-	desiredSince      time.Duration
-	viewChange        *viewChange
-	installedEpoch    uint64 // epoch of the view installed last in this life
-	epochFloor        uint64 // epochs up to here are taken
-	committed         uint64
-
-	proposals        []proposal
-	relayedVersion   uint64                       // the version that was sent down the chain last
-	configHistory    []configVersion              // the configurations committed last
-	deltas           map[[2]uint64]*message.Delta // of the one on disk, by its version and the base
-	relayedAt        time.Duration
-	confirmations    map[uint64]*epochConfirmation
-	lastConfirmation uint64
-
-	endpoints       message.EndpointList
-	watchers        map[string]watcher
-	answeredWatches map[string]answeredWatch // the last answer to each who asked for news
-	nodes           map[string]nodeLease
-	nodesChecksum   uint64
-	lastServing     time.Duration // when it last served
-	servingSince    time.Duration // since when it does, but for changes of the view
-	quorumSeen      bool          // it has served in this view
-	allocatorLease  allocatorLease
-
-	snapshotCache snapshotCache
-}
-
-// configVersion is a configuration.
-type configVersion struct {
-	version uint64
-	config  []byte
-}
-
-type pendingSave struct {
-	token     uint64
+	options   Options
+	self      string
+	tolerance FaultTolerance
+	now       time.Duration
 	startedAt time.Duration
-	state     PersistentState
-	onSaved   func()
-}
 
-type peerState struct {
-	lastHeard, aliveSince time.Duration // the last beat, and the first of the unbroken row
-	// when it last said what it is in, by this machine's clock; 0: not known
-	contactAt time.Duration
-	// when this machine sent the beat that the last one of the peer answers
-	leaseSentAt  time.Duration
-	sawUsInEpoch uint64 // epoch of the view in which it has heard this machine
-	// epoch under which it said that none outside the chain has a lease of it
-	oldLeasesExpiredIn  uint64
-	lastSequence        uint64 // its last beat
-	lastHeartbeatAt     time.Duration
-	lastHealthy         time.Duration // the last one of a machine that could be counted on
-	lastServingWithUs   time.Duration // when it was last in service in the same view
-	caughtUp, unhealthy bool
-	draining, joint     bool
-	storeID             uint64
-	unreachable         []string // members that it does not hear
-	// until then it is not asked for promises: it has answered none
-	unresponsiveUntil                 time.Duration
-	epoch                             uint64
-	membershipEpoch                   uint64
-	endpointsEpoch, endpointsSequence uint64
+	state      State
+	stateSince time.Duration
+	epoch      uint64   // of the view that serves, as far as known
+	chain      []string // and its replicas; nil: not known
+	committed  uint64   // the version that can't be lost any more
+	quorumSeen bool     // a quorum has been in touch in this view
+	draining   bool     // this process was told to stop
+
+	store         stateStore
+	peers         failureDetector
+	view          viewChanger
+	replication   replication
+	confirmations epochConfirmations
+	history       configHistory
+	membership    membershipChanger
+	watchers      watchers
+	nodes         nodeLeases
+	endpoints     endpointTable
+	snapshots     snapshotCache
+	allocator     allocatorLease
+	monitor       toleranceMonitor
 }
 
-// New returns a Frame.
-func New(now time.Duration, o Options) *Replica {
-	f := &Replica{
-		Options:         o,
-		self:            o.Self.Addr,
-		now:             now,
-		startedAt:       now,
-		saved:           o.Saved,
-		pending:         o.Saved,
-		peers:           map[string]*peerState{},
-		confirmations:   map[uint64]*epochConfirmation{},
-		watchers:        map[string]watcher{},
-		answeredWatches: map[string]answeredWatch{},
-		nodes:           map[string]nodeLease{},
-		learners:        map[string]*learner{},
-		deltas:          map[[2]uint64]*message.Delta{},
-		nextHeartbeat:   now,
-		lastSlowSave:    -diskRecoveryTime,
-		tolerant:        o.Tolerance.isZero(),
-		epoch:           o.Saved.Epoch,
-		chain:           o.Saved.Chain,
-		desiredSince:    now,
-		heartbeats:      heartbeatHistory{lastSequence: o.Incarnation % (1 << 28) << 20},
-	}
-	f.saved.Value, f.pending.Value = o.Saved.withOwnDigest(), o.Saved.withOwnDigest()
-	f.ensureStoreID()
-	switch {
-	case o.Saved.CaughtUp:
-		f.transition(StateStandby)
-	default:
-		f.transition(StateUninitialized)
-		if !o.FirstStart {
-			o.Actions.Log(events.DiskEmpty)
-		}
-	}
-	return f
+// New returns a Replica.
+func New(now time.Duration, options Options) *Replica {
+	found := options.Saved
+	r := &Replica{
+		options: options, self: options.Self.Addr, tolerance: options.Tolerance, now: now, startedAt: now,
+		epoch: found.Epoch, chain: found.Chain,
+		store:         newStateStore(options.Actions, found),
+		peers:         newFailureDetector(now, options),
+		view:          viewChanger{desiredSince: now},
+		confirmations: newEpochConfirmations(),
+		history:       newConfigHistory(),
+		membership:    newMembershipChanger(),
+		watchers:      newWatchers(),
+		nodes:         newNodeLeases(),
+		monitor:       toleranceMonitor{tolerated: options.Tolerance.isZero()},
+	}
+	r.ensureStoreID()
+	if found.CaughtUp {
+		r.transition(StateStandby)
+		return r
+	}
+	r.transition(StateUninitialized)
+	if !options.FirstStart {
+		r.log(events.DiskEmpty)
+	}
+	return r
 }
 
 // transition is the one place where the state changes.
-func (f *Replica) transition(s State) {
-	if s == f.state && f.now == f.stateSince {
+func (r *Replica) transition(to State) {
+	if to == r.state && r.now == r.stateSince {
 		return
 	}
-	if s != f.state {
-		f.Actions.Log(events.ReplicaState, "from", f.state.String(), "to", s.String(), "epoch", f.epoch)
+	if to != r.state {
+		r.log(events.ReplicaState, "from", r.state.String(), "to", to.String(), "epoch", r.epoch)
 	}
-	f.state, f.stateSince = s, f.now
-	if s != StateProposing && s != StateInstalling {
-		f.viewChange = nil
+	r.state, r.stateSince = to, r.now
+	if to != StateProposing && to != StateInstalling {
+		r.view.change = nil
 	}
-	if s != StateServing {
-		f.quorumSeen = false
-		for i := range f.proposals {
-			f.proposals[i].replicating = false
-		}
+	if to != StateServing {
+		r.quorumSeen = false
+		r.replication.suspend()
 	}
 }
 
-// IsUninitialized reports whether this machine is no member of the core, and would be one.
-func (f *Replica) IsUninitialized() bool {
-	return f.state == StateUninitialized && !f.draining && f.saved.StoreID != 0 &&
-		f.saved.StoreID == f.pending.StoreID
+// Step takes a message.
+func (r *Replica) Step(now time.Duration, from string, m *message.Message) {
+	r.now = now
+	switch body := m.Body.(type) {
+	case *message.Heartbeat:
+		r.handleHeartbeat(from, body)
+	case *message.Prepare, *message.Promise, *message.Reject, *message.InstallView, *message.ViewInstalled,
+		*message.ActivateView:
+		r.stepViewChange(from, m)
+	case *message.Put, *message.Replicate, *message.Committed:
+		r.stepChain(from, m)
+	case *message.Read, *message.ConfirmEpoch, *message.EpochConfirmed:
+		r.stepRead(from, m)
+	case *message.MemberList, *message.MemberUpdate, *message.ChangeMembers, *message.LearnerSnapshot,
+		*message.LearnerReady:
+		r.stepMembership(from, m)
+	case *message.Watch:
+		r.handleWatch(from, m, body)
+	case *message.EndpointUpdate:
+		r.handleEndpointUpdate(body)
+	}
 }
 
-// Bootstrap returns what is kept of the first start.
-func (f *Replica) Bootstrap() BootstrapState { return f.pending.Bootstrap }
-
-// PersistentState returns what is on disk.
-func (f *Replica) PersistentState() PersistentState { return f.saved }
-
-// State returns what the frame is in.
-func (f *Replica) State() State { return f.state }
+// Tick does what is due. It is to be called every 50 ms or so.
+func (r *Replica) Tick(now time.Duration) {
+	r.now = now
+	r.store.tick(now)
+	if r.peers.heartbeatDue(now) {
+		r.sendHeartbeats()
+	}
+	r.expireNodeLeases()
+	r.evaluateView()
+	r.monitorTolerance()
+	r.retryReplication()
+	r.answerDueWatchers()
+}
 
-// DiskUnhealthy reports whether the disk can't be counted on.
-func (f *Replica) DiskUnhealthy() bool { return f.diskUnhealthy() }
+// HandleSaved tells that a save has ended, and whether the state is on disk.
+func (r *Replica) HandleSaved(now time.Duration, token uint64, ok bool) {
+	r.now = now
+	r.store.handleSaved(now, token, ok)
+}
 
-// ReachableMembers returns the machines of the core that are heard now, this one among them.
-func (f *Replica) ReachableMembers() (list []string) {
-	for _, m := range f.saved.Members {
-		if p := f.peers[m.Addr]; m.Addr == f.self || p != nil && f.now < p.lastHeard+failureTimeout {
-			list = append(list, m.Addr)
-		}
-	}
-	return list
+// SaveBootstrap saves what a Bootstrapper is to keep, and goes on once that is on disk.
+func (r *Replica) SaveBootstrap(now time.Duration, state BootstrapState, onSaved func()) {
+	r.now = now
+	r.store.pending.Bootstrap = state
+	r.save(onSaved)
 }
 
-// View returns the epoch and the chain that serve, as far as known.
-func (f *Replica) View() (uint64, []string) { return f.epoch, f.chain }
+// State returns what the replica is in.
+func (r *Replica) State() State { return r.state }
 
-// save writes what the record is to be, and goes on once that is on disk.
-func (f *Replica) save(then func()) {
-	f.saveToken++
-	f.pendingSaves = append(f.pendingSaves, pendingSave{f.saveToken, f.now, f.pending, then})
-	f.Actions.Save(f.saveToken, f.pending)
-}
+// PersistentState returns what is on disk.
+func (r *Replica) PersistentState() PersistentState { return r.store.saved }
 
-// HandleSaved tells that a save is done, or has failed.
-func (f *Replica) HandleSaved(now time.Duration, token uint64, ok bool) {
-	f.now = now
-	if len(f.pendingSaves) == 0 || f.pendingSaves[0].token != token {
-		return
-	}
-	s := f.pendingSaves[0]
-	f.pendingSaves = f.pendingSaves[1:]
-	if now-s.startedAt > slowSaveThreshold {
-		f.lastSlowSave = now
-	}
-	if !ok {
-		// What it would have led to does not happen. The record to come keeps it, for the next try.
-		if !f.diskFailed {
-			f.Actions.Log(events.DiskFailing)
-		}
-		f.diskFailed, f.lastSlowSave = true, now
-		return
-	}
-	if f.diskFailed {
-		f.Actions.Log(events.DiskRecovered)
-	}
-	if s.state.Version != f.saved.Version {
-		f.savedVersionSince = now
-	}
-	f.diskFailed, f.saved = false, s.state
-	if s.onSaved != nil {
-		s.onSaved()
-	}
-}
+// Bootstrap returns what is kept of the first start.
+func (r *Replica) Bootstrap() BootstrapState { return r.store.pending.Bootstrap }
 
-// diskUnhealthy reports whether the disk can't be counted on.
-func (f *Replica) diskUnhealthy() bool {
-	return f.diskFailed || f.now < f.lastSlowSave+diskRecoveryTime ||
-		len(f.pendingSaves) > 0 && f.now > f.pendingSaves[0].startedAt+slowSaveThreshold
-}
+// View returns the epoch and the chain that serve, as far as known.
+func (r *Replica) View() (epoch uint64, chain []string) { return r.epoch, r.chain }
 
-// majority is how many machines of the core agree for all.
-func (f *Replica) majority() int { return majority(f.saved.Members) }
+// MemberList returns what this replica tells of the members of the core.
+func (r *Replica) MemberList() *message.MemberList { return r.store.saved.memberList() }
 
-// isMemberAddress reports whether an address is a member's, or was before a change that is not complete.
-func (f *Replica) isMemberAddress(addr string) bool {
-	return hasAddress(f.saved.Members, addr) || hasAddress(f.saved.OutgoingMembers, addr)
-}
+// DiskUnhealthy reports whether the disk can't be counted on.
+func (r *Replica) DiskUnhealthy() bool { return r.store.unhealthy(r.now) }
 
-// isLive reports whether a machine of the core is heard, and can hold what it is given.
-func (f *Replica) isLive(addr string) bool {
-	if addr == f.self {
-		return !f.diskUnhealthy()
-	}
-	p := f.peers[addr]
-	return p != nil && f.now < p.lastHeard+failureTimeout && !p.unhealthy
+// IsUninitialized reports whether this replica is no member of the core, and would be one.
+func (r *Replica) IsUninitialized() bool {
+	return r.state == StateUninitialized && !r.draining && r.store.saved.StoreID != 0 &&
+		r.store.saved.StoreID == r.store.pending.StoreID
 }
 
-// ServingWithQuorum reports whether this machine is in service, and a majority was with it a moment ago:
-// since any later view needs the promises of a majority, none was in service before then, and what this one
-// tells is not older than contactFor.
-func (f *Replica) ServingWithQuorum() bool {
-	if f.state != StateServing {
+// ServingWithQuorum reports whether this replica serves, and a quorum was with it a moment ago: since any later view
+// needs the promises of a quorum, none served before then, and what this one tells is no older than contactTimeout.
+func (r *Replica) ServingWithQuorum() bool {
+	if r.state != StateServing {
 		return false
 	}
 	return hasQuorum(func(m message.Node) bool {
-		return f.is(m) && (m.Addr == f.self || f.inContact(f.peers[m.Addr]))
-	}, f.pending.electorates()...)
+		return r.isPresent(m) && (m.Addr == r.self || r.inContact(r.peers.byAddr[m.Addr]))
+	}, r.store.pending.electorates()...)
 }
 
-// Step takes a message.
-func (f *Replica) Step(now time.Duration, from string, m *message.Message) {
-	f.now = now
-	switch m.Type {
-	case message.TypeMemberList, message.TypeMemberUpdate:
-		f.handleMemberList(m)
-	case message.TypeChangeMembers:
-		f.handleChangeMembers(from, m)
-	case message.TypeLearnerSnapshot:
-		f.handleLearnerSnapshot(from, m)
-	case message.TypeLearnerReady:
-		f.handleLearnerReady(from, m)
-	case message.TypeHeartbeat:
-		f.handleHeartbeat(from, m)
-	case message.TypePrepare:
-		f.handlePrepare(from, m)
-	case message.TypePromise:
-		f.handlePromise(from, m)
-	case message.TypeReject:
-		f.handleReject(m)
-	case message.TypeInstallView:
-		f.handleInstallView(from, m)
-	case message.TypeViewInstalled:
-		f.handleViewInstalled(from, m)
-	case message.TypeActivateView:
-		f.handleActivateView(m)
-	case message.TypePut:
-		f.handlePut(from, m)
-	case message.TypeReplicate:
-		f.handleReplicate(from, m)
-	case message.TypeCommitted:
-		f.handleCommitted(m)
-	case message.TypeRead:
-		f.handleRead(from, m)
-	case message.TypeConfirmEpoch:
-		// Not what this machine serves, but what it has promised: no later view can be in service unless a
-		// majority has promised its epoch.
-		ok := f.saved.CaughtUp && f.pending.CaughtUp && f.pending.PromisedEpoch == m.Epoch
-		f.Actions.Send(
-			from,
-			&message.Message{
-				Type:        message.TypeEpochConfirmed,
-				Incarnation: m.Incarnation,
-				RequestID:   m.RequestID,
-				Epoch:       m.Epoch,
-				OK:          ok,
-			},
-		)
-	case message.TypeEpochConfirmed:
-		f.handleEpochConfirmed(from, m)
-	case message.TypeWatch:
-		f.handleWatch(from, m)
-	case message.TypeEndpointUpdate:
-		f.handleEndpointUpdate(m)
-	}
-}
+func (r *Replica) log(e events.Event, pairs ...any) { r.options.Actions.Log(e, pairs...) }
 
-// SaveBootstrap saves what a founder is to keep, and goes on once that is on disk.
-func (f *Replica) SaveBootstrap(now time.Duration, k BootstrapState, then func()) {
-	f.now = now
-	f.pending.Bootstrap = k
-	f.save(then)
+func (r *Replica) send(to string, body message.Body) {
+	r.options.Actions.Send(to, &message.Message{Body: body})
 }
 
-// Tick does what is due. It is to be called every 50 ms or so.
-func (f *Replica) Tick(now time.Duration) {
-	f.now = now
-	if f.diskFailed && len(f.pendingSaves) == 0 && now >= f.lastSlowSave+diskRecoveryTime/2 {
-		f.lastSlowSave = now
-		f.save(nil)
-	}
-	if now >= f.nextHeartbeat {
-		f.nextHeartbeat = now + heartbeatInterval
-		f.sendHeartbeats()
-	}
-	f.expireLeases()
-	f.evaluateView()
-	f.reportTolerance()
-	f.resend()
-	f.answerDueWatchers()
+func (r *Replica) reply(to string, request *message.Message, body message.Body) {
+	r.options.Actions.Send(to, request.Reply(body))
 }
 
-// sendHeartbeats tells the others of the core how this machine is.
-func (f *Replica) sendHeartbeats() {
-	m := message.Message{
-		Type:               message.TypeHeartbeat,
-		OK:                 f.saved.CaughtUp && f.pending.CaughtUp,
-		Unhealthy:          f.diskUnhealthy() || !f.hearsQuorum(),
-		StoreID:            f.saved.StoreID,
-		MembershipEpoch:    f.saved.MembershipEpoch,
-		Joint:              len(f.saved.OutgoingMembers) > 0,
-		Draining:           f.draining,
-		UnreachableMembers: f.unreachableMembers(),
-		Sequence:           f.heartbeats.record(f.now),
-		Endpoints:          &message.EndpointList{Epoch: f.endpoints.Epoch, Sequence: f.endpoints.Sequence},
-	}
-	if f.heartbeats.count%heartbeatsPerLeaseReport == 0 {
-		m.Nodes = f.nodesLeasedHere()
-	}
-	if f.state == StateServing {
-		m.Epoch = f.epoch
-		m.Version = f.committed
-		m.OldLeasesExpired = f.noteFirstHeartbeat(m.Sequence)
+// save writes what is pending, and goes on once that is on disk.
+func (r *Replica) save(onSaved func()) { r.store.save(r.now, onSaved) }
+
+// ensureStoreID gives a store that has just been made its id. That of an earlier program goes by the one that it has
+// among its members.
+func (r *Replica) ensureStoreID() {
+	saved, pending := &r.store.saved, &r.store.pending
+	if saved.StoreID != 0 {
+		return
 	}
-	for _, r := range f.allMembers() {
-		if r.Addr != f.self {
-			f.Actions.Send(r.Addr, f.withEcho(r.Addr, m))
+	for _, m := range saved.Members {
+		if m.Addr == r.self && saved.CaughtUp {
+			saved.StoreID, pending.StoreID = m.StoreID, m.StoreID
+			return
 		}
 	}
+	pending.StoreID = max(1, r.options.Incarnation)
+	if r.options.FirstStart {
+		pending.Bootstrap = BootstrapState{Trusted: true, Seeds: r.options.Seeds}
+	}
+	r.save(nil)
 }
 
-// unreachableMembers returns the members that this machine does not hear. After a start it gives them time.
-func (f *Replica) unreachableMembers() (list []string) {
-	for _, m := range f.allMembers() {
-		p := f.peers[m.Addr]
-		if m.Addr != f.self && f.now > f.startedAt+failureTimeout &&
-			(p == nil || f.now > p.lastHeard+failureTimeout) {
-			list = append(list, m.Addr)
-		}
+// selfMember is this replica with its present store.
+func (r *Replica) selfMember() message.Node {
+	return message.Node{Addr: r.self, Zone: r.options.Self.Zone, StoreID: r.store.pending.StoreID}
+}
+
+// isPresent reports whether the replica that is heard at a member's address, or this one, is that member.
+func (r *Replica) isPresent(m message.Node) bool {
+	if m.Addr == r.self {
+		return m.StoreID == r.store.saved.StoreID
 	}
-	return list
+	p := r.peers.byAddr[m.Addr]
+	return p != nil && p.storeID == m.StoreID
 }
 
-// hearsQuorum reports whether this machine hears a quorum, or may yet after its start. One that doesn't is of
-// no use to those who hear it.
-func (f *Replica) hearsQuorum() bool {
-	return f.now <= f.startedAt+failureTimeout || hasQuorum(func(m message.Node) bool {
-		return f.is(m) && (m.Addr == f.self || f.now < f.peers[m.Addr].lastHeard+failureTimeout)
-	}, f.saved.electorates()...)
+// isMemberAddress reports whether an address is a member's, or was before a change that is not complete.
+func (r *Replica) isMemberAddress(addr string) bool {
+	return hasAddress(r.store.saved.Members, addr) || hasAddress(r.store.saved.OutgoingMembers, addr)
 }
 
-func (f *Replica) handleHeartbeat(from string, m *message.Message) {
-	if !f.admitHeartbeat(from, m) {
-		return
-	}
-	p := f.peers[from]
-	if p == nil {
-		p = &peerState{aliveSince: f.now, lastHealthy: f.now}
-		f.peers[from] = p
-	}
-	heard := f.hearsQuorum()
-	p.lastSequence, p.lastHeartbeatAt = m.Sequence, f.now
-	at, known := f.heartbeatSentAt(m)
-	if !known {
-		at = 0
-	}
-	if p.storeID != m.StoreID { // what was heard is of another disk
-		p.contactAt = 0
-	}
-	p.recordContact(m.Epoch, at)
-	late := known &&
-		f.now >= at+failureTimeout // it has waited on its way, and tells how the peer was, not how it is
-	if !late {
-		if f.now > p.lastHeard+failureTimeout {
-			p.aliveSince = f.now
-		}
-		p.lastHeard, p.caughtUp, p.unhealthy = f.now, m.OK, m.Unhealthy
-		if p.storeID, p.unreachable = m.StoreID, m.UnreachableMembers; !m.Unhealthy {
-			p.lastHealthy = f.now
-		}
-		p.draining, p.joint, p.membershipEpoch = m.Draining, m.Joint, m.MembershipEpoch
-	}
-	if !heard && f.hearsQuorum() {
-		f.sendHeartbeats() // who waits for this machine need not wait for its next beat
-	}
-	for _, x := range m.Nodes {
-		if known {
-			x.LeaseAge += uint64((f.now - at).Milliseconds())
-		}
-		f.renewLease(x, false)
-	}
-	if m.Endpoints != nil {
-		p.endpointsEpoch, p.endpointsSequence = m.Endpoints.Epoch, m.Endpoints.Sequence
+// isLive reports whether a member is heard, and can hold what it is given.
+func (r *Replica) isLive(addr string) bool {
+	if addr == r.self {
+		return !r.DiskUnhealthy()
 	}
-	switch {
-	case m.Epoch > f.epoch && f.state == StateServing: // it was left out: what it knows may be old
-		f.epoch, f.chain = m.Epoch, nil
-		f.transition(StateStandby)
-	case m.Epoch == f.epoch && f.state == StateServing:
-		f.handleCommitted(&message.Message{Epoch: m.Epoch, Version: m.Version})
-	}
-	if p.epoch == f.epoch && !late {
-		p.lastServingWithUs = f.now
-	}
-	f.recordLease(p, m)
-	if p.epoch == f.epoch && !f.quorumSeen && f.ServingWithQuorum() {
-		f.quorumSeen = true
-		f.answerDueWatchers()
+	p := r.peers.byAddr[addr]
+	return p != nil && p.heard(r.now) && !p.unhealthy
+}
+
+// canVote reports whether a member is heard, and has a vote.
+func (r *Replica) canVote(m message.Node) bool {
+	if !r.isPresent(m) || !r.isLive(m.Addr) {
+		return false
 	}
-	if f.state == StateServing && m.OK && m.Epoch < f.epoch && slices.Contains(f.chain, from) {
-		f.Actions.Send(from, &message.Message{Type: message.TypeActivateView, Epoch: f.epoch, Chain: f.chain,
-			Version: f.committed}) // it missed the news
+	if m.Addr == r.self {
+		return r.store.saved.CaughtUp
 	}
-	f.sendNewerEndpoints(from, p)
+	return r.peers.byAddr[m.Addr].caughtUp
 }
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -8,180 +8,204 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// What is long is told as a snapshot, in parts that are asked for one after the other, so that no answer
-// takes long, and none of a part that came late is sent again.
+// What is long is told as a snapshot, in chunks that are asked for one after the other, so that no response takes long,
+// and none of a chunk that came late is sent again.
 
 const (
-	maxInlineSize     = 4 << 10         // a table up to this long is told whole in each answer
-	totalChunkBudget  = 16 << 20        // of all answers on their way: it is shared by those who ask for parts
+	maxInlineSize     = 4 << 10         // bytes: a resource up to this long is told whole in each response
+	totalChunkBudget  = 16 << 20        // bytes of all responses on their way: it is shared by those who ask for chunks
 	snapshotRetention = 3 * time.Second // after it was last asked for
-	readerRetention   = time.Second     // for which who asked for a part counts as asking
+	readerRetention   = time.Second     // for which who asked for a chunk counts as asking
 )
 
-// snapshotKey names what a snapshot was made of: a list by epoch and number, a configuration by its number
-// and that of its base, the members by their digest.
+// snapshotKey names what a snapshot was made of: an endpoint list by epoch and sequence, a configuration by its version
+// and that of its base, the nodes by their checksum.
 type snapshotKey struct {
 	resource message.Resource
 	version  [2]uint64
 }
 
-// snapshot is a table as it is told, encoded once for all who lack the same.
+func endpointsKey(l *message.EndpointList) snapshotKey {
+	return snapshotKey{message.ResourceEndpoints, [2]uint64{l.Epoch, l.Sequence}}
+}
+
+func nodesKey(checksum uint64) snapshotKey {
+	return snapshotKey{message.ResourceNodes, [2]uint64{checksum}}
+}
+
+func configKey(version, base uint64) snapshotKey {
+	return snapshotKey{message.ResourceConfig, [2]uint64{version, base}}
+}
+
+// snapshot is a resource as it is told, encoded once for all who lack the same.
 type snapshot struct {
-	message  *message.Message
+	resource *message.WatchResponse // with one resource
 	data     []byte
 	checksum uint64
 	lastUsed time.Duration
 }
 
-// snapshotCache are those that are being told, and to whom.
+// chunkFrom is the chunk of a snapshot that goes on where a transfer is, no longer than the budget in bytes.
+func (s *snapshot) chunkFrom(held *message.SnapshotChunk, key snapshotKey, budget int) message.SnapshotChunk {
+	chunk := message.SnapshotChunk{Resource: key.resource, Checksum: s.checksum, TotalSize: uint64(len(s.data))}
+	if key.resource == message.ResourceConfig {
+		chunk.Version, chunk.BaseVersion = key.version[0], key.version[1]
+	}
+	if held != nil && held.Checksum == s.checksum {
+		chunk.Offset = min(held.Offset, chunk.TotalSize)
+	}
+	chunk.Data = s.data[chunk.Offset:min(chunk.TotalSize, chunk.Offset+uint64(budget))]
+	return chunk
+}
+
+// snapshotCache is the snapshots that are being told, and to whom.
 type snapshotCache struct {
 	byKey   map[snapshotKey]*snapshot
-	readers map[string]time.Duration // when somebody last asked for a part
+	readers map[string]time.Duration // when somebody last asked for a chunk
 }
 
-// get returns the snapshot of a version, which is made if there is none.
-func (s *snapshotCache) get(now time.Duration, v snapshotKey, tell func() *message.Message) *snapshot {
-	x := s.byKey[v]
-	if x == nil {
-		if s.byKey == nil {
-			s.byKey, s.readers = map[snapshotKey]*snapshot{}, map[string]time.Duration{}
+// get returns the snapshot of a key, which is made if there is none.
+func (c *snapshotCache) get(now time.Duration, key snapshotKey, tell func() *message.WatchResponse) *snapshot {
+	s := c.byKey[key]
+	if s == nil {
+		if c.byKey == nil {
+			c.byKey, c.readers = map[snapshotKey]*snapshot{}, map[string]time.Duration{}
 		}
-		x = &snapshot{message: tell()}
-		x.data = message.MarshalAppend(nil, x.message)
-		x.checksum = message.Checksum(x.data)
-		s.byKey[v] = x
+		s = &snapshot{resource: tell()}
+		s.data = message.MarshalAppend(nil, s.resource)
+		s.checksum = message.Checksum(s.data)
+		c.byKey[key] = s
 	}
-	x.lastUsed = now
-	return x
+	s.lastUsed = now
+	return s
 }
 
 // expire drops what nobody asks for any more.
-func (s *snapshotCache) expire(now time.Duration) {
-	maps.DeleteFunc(s.byKey, func(_ snapshotKey, x *snapshot) bool { return now > x.lastUsed+snapshotRetention })
-	maps.DeleteFunc(s.readers, func(_ string, at time.Duration) bool { return now > at+readerRetention })
-}
-
-// budget is how many bytes of snapshots the answer to a poll may have: what it asks for, and no more than its
-// share of all that may be on its way. The bound is what admission control would be: nobody is turned away,
-// and all get less.
-func (s *snapshotCache) budget(p *watcher) int {
-	room := uint64(message.InitialChunkBudget)
-	if p.ChunkBudget != 0 {
-		room = min(p.ChunkBudget, message.MaxChunkBudget)
+func (c *snapshotCache) expire(now time.Duration) {
+	maps.DeleteFunc(c.byKey, func(_ snapshotKey, s *snapshot) bool { return now > s.lastUsed+snapshotRetention })
+	maps.DeleteFunc(c.readers, func(_ string, at time.Duration) bool { return now > at+readerRetention })
+}
+
+// budget is how many bytes of snapshots the response to a watch may bring: what it asks for, and no more than its share
+// of all that may be on its way. The bound is what admission control would be: nobody is turned away, and all get less.
+func (c *snapshotCache) budget(watch *message.Watch) int {
+	budget := uint64(message.InitialChunkBudget)
+	if watch.ChunkBudget != 0 {
+		budget = min(watch.ChunkBudget, message.MaxChunkBudget)
 	}
-	return int(min(room, uint64(max(message.MinChunkBudget, totalChunkBudget/max(1, len(s.readers))))))
+	share := max(message.MinChunkBudget, totalChunkBudget/max(1, len(c.readers)))
+	return int(min(budget, uint64(share)))
 }
 
-// appendResources puts into an answer what the caller lacks, and reports whether that is news for it.
-func (f *Replica) appendResources(to string, p *watcher, m *message.Message) (news bool) {
-	s := &f.snapshotCache
-	room := s.budget(p)
-	tell := func(x *snapshot, v snapshotKey, stale bool) {
-		if len(x.data) <= maxInlineSize && !stale {
-			mergeSnapshot(m, x.message)
-			return
-		}
-		part := message.SnapshotChunk{
-			Resource:  v.resource,
-			Checksum:  x.checksum,
-			TotalSize: uint64(len(x.data)),
-			Stale:     stale,
-		}
-		if v.resource == message.ResourceConfig {
-			part.Version, part.BaseVersion = v.version[0], v.version[1]
-		}
-		if held := chunkOf(p.Chunks, v.resource); held != nil && held.Checksum == x.checksum {
-			part.Offset = min(held.Offset, part.TotalSize)
-		}
-		part.Data = x.data[part.Offset:min(part.TotalSize, part.Offset+uint64(room))]
-		room -= len(part.Data)
-		m.Chunks = append(m.Chunks, part)
-		s.readers[to] = f.now
+// responseBuilder puts resources into a response, within its budget.
+type responseBuilder struct {
+	replica  *Replica
+	to       string
+	watch    *message.Watch
+	response *message.WatchResponse
+	budget   int
+}
+
+// add puts a resource into the response: whole where it is short, else its next chunk.
+func (b *responseBuilder) add(s *snapshot, key snapshotKey, stale bool) {
+	if len(s.data) <= maxInlineSize && !stale {
+		mergeResource(b.response, s.resource)
+		return
 	}
-	// What is on this disk and not committed yet is no news.
-	if n := len(
-		f.configHistory,
-	); n > 0 && f.configHistory[n-1].version == f.committed &&
-		f.committed > p.Version {
-		v, x, stale := f.configSnapshot(p)
-		tell(x, v, stale)
-		news = true
+	chunk := s.chunkFrom(findChunk(b.watch.Chunks, key.resource), key, b.budget)
+	chunk.Stale = stale
+	b.budget -= len(chunk.Data)
+	b.response.Chunks = append(b.response.Chunks, chunk)
+	b.replica.snapshots.readers[b.to] = b.replica.now
+}
+
+// appendResources puts into a response what the watcher lacks, and reports whether that is new for it.
+func (r *Replica) appendResources(to string, watch *message.Watch, response *message.WatchResponse) (isNew bool) {
+	b := &responseBuilder{r, to, watch, response, r.snapshots.budget(watch)}
+	// What is on this disk and not committed yet is not told.
+	if r.history.newest() == r.committed && r.committed > watch.Version {
+		s, key, stale := r.configSnapshot(watch)
+		b.add(s, key, stale)
+		isNew = true
 	}
-	if f.endpoints.Epoch != 0 && isNewer(&f.endpoints, p.Endpoints) {
-		v := snapshotKey{message.ResourceEndpoints, [2]uint64{f.endpoints.Epoch, f.endpoints.Sequence}}
-		tell(s.get(f.now, v, func() *message.Message {
-			l := f.endpoints // not the frame's own, which changes: this process asks, too
-			return &message.Message{Endpoints: &l}
-		}), v, false)
-		news = true
+	if list := &r.endpoints.list; list.Epoch != 0 && list.Newer(watch.Endpoints) {
+		key := endpointsKey(list)
+		b.add(r.snapshots.get(r.now, key, func() *message.WatchResponse {
+			told := *list // not the replica's own, which changes: this process watches, too
+			return &message.WatchResponse{Endpoints: &told}
+		}), key, false)
+		isNew = true
 	}
-	if f.nodesChecksum != p.NodesChecksum && (p.NodesChecksum == 0 || f.leasesGathered()) {
-		v := snapshotKey{message.ResourceNodes, [2]uint64{f.nodesChecksum}}
-		tell(s.get(f.now, v, func() *message.Message {
-			return &message.Message{Nodes: f.leasedNodes(), NodesChecksum: f.nodesChecksum}
-		}), v, false)
+	if checksum := r.nodes.checksum; checksum != watch.NodesChecksum &&
+		(watch.NodesChecksum == 0 || r.leasesGathered()) {
+		key := nodesKey(checksum)
+		b.add(r.snapshots.get(r.now, key, func() *message.WatchResponse {
+			return &message.WatchResponse{Nodes: r.nodes.all(), NodesChecksum: checksum}
+		}), key, false)
 	}
-	return news || len(p.Chunks) > 0 && len(m.Chunks) > 0
-}
-
-// configSnapshot is the snapshot of a configuration that a caller is to get. One that it has begun with goes
-// on while the newest can be told as a change of that: otherwise who has a slow link would begin anew with
-// each change, and never come to an end.
-func (f *Replica) configSnapshot(p *watcher) (v snapshotKey, x *snapshot, stale bool) {
-	if held := chunkOf(
-		p.Chunks,
-		message.ResourceConfig,
-	); held != nil &&
-		held.Version > max(p.Version, p.BaseVersion) {
-		known := held.BaseVersion == 0 ||
-			f.inConfigHistory(held.BaseVersion) && (held.BaseVersion == p.Version || held.BaseVersion == p.BaseVersion)
-		if known && f.inConfigHistory(held.Version) {
-			if v, x = f.deltaSnapshot(held.Version, held.BaseVersion); x.checksum == held.Checksum {
-				return v, x, held.Version != f.committed
-			}
+	return isNew || len(watch.Chunks) > 0 && len(response.Chunks) > 0
+}
+
+// configSnapshot is the snapshot of a configuration that a watcher is to get. One that it has begun with goes on while
+// the newest can be told as a delta over that: otherwise who has a slow link would begin anew with each change, and
+// never come to an end.
+func (r *Replica) configSnapshot(watch *message.Watch) (s *snapshot, key snapshotKey, stale bool) {
+	held := findChunk(watch.Chunks, message.ResourceConfig)
+	if held != nil && held.Version > max(watch.Version, watch.BaseVersion) && r.mayContinue(held, watch) {
+		if s, key = r.deltaSnapshot(held.Version, held.BaseVersion); s.checksum == held.Checksum {
+			return s, key, held.Version != r.committed
 		}
 	}
-	base := p.Version
-	if p.BaseVersion > base && f.inConfigHistory(p.BaseVersion) {
-		base = p.BaseVersion
+	base := watch.Version
+	if watch.BaseVersion > base && r.history.contains(watch.BaseVersion) {
+		base = watch.BaseVersion
 	}
-	if !f.inConfigHistory(base) {
+	if !r.history.contains(base) {
 		base = 0
 	}
-	v, x = f.deltaSnapshot(f.committed, base)
-	return v, x, false
+	s, key = r.deltaSnapshot(r.committed, base)
+	return s, key, false
 }
 
-// deltaSnapshot is the snapshot of one of the configurations that are kept, as a change of another; 0: of
-// none.
-func (f *Replica) deltaSnapshot(number, base uint64) (snapshotKey, *snapshot) {
-	v := snapshotKey{message.ResourceConfig, [2]uint64{number, base}}
-	return v, f.snapshotCache.get(f.now, v, func() *message.Message {
-		i := slices.IndexFunc(f.configHistory, func(t configVersion) bool { return t.version == number })
-		return &message.Message{Version: number, Config: f.deltaFor(f.configHistory[i], base, true)}
-	})
+// mayContinue reports whether a transfer of a configuration can go on: it is kept, and so is its base, which the watcher
+// has.
+func (r *Replica) mayContinue(held *message.SnapshotChunk, watch *message.Watch) bool {
+	if !r.history.contains(held.Version) {
+		return false
+	}
+	if held.BaseVersion == 0 {
+		return true
+	}
+	return r.history.contains(held.BaseVersion) &&
+		(held.BaseVersion == watch.Version || held.BaseVersion == watch.BaseVersion)
 }
 
-// inConfigHistory reports whether a configuration is one of those that newer ones are told as changes of.
-func (f *Replica) inConfigHistory(version uint64) bool {
-	return slices.ContainsFunc(f.configHistory, func(t configVersion) bool { return t.version == version })
+// deltaSnapshot is the snapshot of one of the configurations that are kept, as a delta over another; base 0: in full.
+func (r *Replica) deltaSnapshot(version, base uint64) (*snapshot, snapshotKey) {
+	key := configKey(version, base)
+	return r.snapshots.get(r.now, key, func() *message.WatchResponse {
+		c, _ := r.history.find(version)
+		return &message.WatchResponse{Version: version, Config: r.history.delta(c, base, true)}
+	}), key
 }
 
-// mergeSnapshot puts a table's whole into an answer.
-func mergeSnapshot(m, table *message.Message) {
+// mergeResource puts a whole resource into a response.
+func mergeResource(response, resource *message.WatchResponse) {
 	switch {
-	case table.Config != nil:
-		m.Version, m.Config = table.Version, table.Config
-	case table.Endpoints != nil:
-		m.Endpoints = table.Endpoints
+	case resource.Config != nil:
+		response.Version, response.Config = resource.Version, resource.Config
+	case resource.Endpoints != nil:
+		response.Endpoints = resource.Endpoints
 	default:
-		m.Nodes, m.NodesChecksum = table.Nodes, table.NodesChecksum
+		response.Nodes, response.NodesChecksum = resource.Nodes, resource.NodesChecksum
 	}
 }
 
-func chunkOf(parts []message.SnapshotChunk, t message.Resource) *message.SnapshotChunk {
-	if i := slices.IndexFunc(parts, func(p message.SnapshotChunk) bool { return p.Resource == t }); i >= 0 {
-		return &parts[i]
+// findChunk returns the chunk of a resource; nil: there is none.
+func findChunk(chunks []message.SnapshotChunk, resource message.Resource) *message.SnapshotChunk {
+	i := slices.IndexFunc(chunks, func(c message.SnapshotChunk) bool { return c.Resource == resource })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return &chunks[i]
 }
--- a/internal/controlplane/replica/snapshot_test.go
+++ b/internal/controlplane/replica/snapshot_test.go
@@ -7,37 +7,36 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Given many who lack the same, when they ask, then it is encoded once; and it is not kept for long after.
+// Given many who lack the same, when they watch, then it is encoded once; and it is not kept for long after.
 func TestASnapshotIsEncodedOnceForAll(t *testing.T) {
-	var s snapshotCache
+	var c snapshotCache
 	made := 0
 	for range 100 {
-		s.get(
-			0,
-			snapshotKey{resource: message.ResourceEndpoints},
-			func() *message.Message { made++; return &message.Message{} },
-		)
+		c.get(0, snapshotKey{resource: message.ResourceEndpoints}, func() *message.WatchResponse {
+			made++
+			return &message.WatchResponse{}
+		})
 	}
 	if made != 1 {
 		t.Errorf("encoded %d times", made)
 	}
-	if s.expire(2 * snapshotRetention); len(s.byKey) != 0 {
-		t.Errorf("%d snapshots are kept", len(s.byKey))
+	if c.expire(2 * snapshotRetention); len(c.byKey) != 0 {
+		t.Errorf("%d snapshots are kept", len(c.byKey))
 	}
 }
 
-// Given ever more who ask for parts, then what is on its way to all together stays within the bound, as long
-// as each gets the least; and whoever stops asking is no longer counted.
+// Given ever more who ask for chunks, then what is on its way to all together stays within the bound, as long as each
+// gets the least; and whoever stops asking is no longer counted.
 func TestWhatIsOnItsWayIsBounded(t *testing.T) {
-	s := snapshotCache{readers: map[string]time.Duration{}}
-	p := &watcher{Message: message.Message{ChunkBudget: 1 << 40}}
+	c := snapshotCache{readers: map[string]time.Duration{}}
+	watch := &message.Watch{ChunkBudget: 1 << 40}
 	for n := range totalChunkBudget / message.MinChunkBudget {
-		if room := s.budget(p); room > message.MaxChunkBudget || room*n > totalChunkBudget {
-			t.Fatalf("%d get %d bytes each", n, room)
+		if budget := c.budget(watch); budget > message.MaxChunkBudget || budget*n > totalChunkBudget {
+			t.Fatalf("%d get %d bytes each", n, budget)
 		}
-		s.readers[string(rune(n+1000))] = 0
+		c.readers[string(rune(n+1000))] = 0
 	}
-	if s.expire(2 * readerRetention); s.budget(p) != message.MaxChunkBudget {
-		t.Errorf("%d bytes for the only one", s.budget(p))
+	if c.expire(2 * readerRetention); c.budget(watch) != message.MaxChunkBudget {
+		t.Errorf("%d bytes for the only one", c.budget(watch))
 	}
 }
--- a/internal/controlplane/replica/value.go
+++ b/internal/controlplane/replica/value.go
@@ -7,85 +7,157 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// minAcceptedVersions is how many numbers are remembered at the least, with the digest of what stands under
-// each: an order that is sent again is told apart from another one under its number. Of older ones nothing is
-// known any more, and they are acknowledged as all that is not above the number held.
+// minAcceptedVersions is how many accepted versions are remembered at the least, with the digest of what stands under
+// each: an order that is sent again is told apart from another one under its version. Of older ones nothing is known any
+// more, and they are acknowledged as all that is not above the version held.
 const minAcceptedVersions = 512
 
 // Value is what the core keeps for its operators: one configuration, and what is known of earlier ones.
 type Value struct {
-	AcceptedEpoch uint64 // epoch under which it was accepted: what is newest is told by it before the number
+	// AcceptedEpoch is the epoch under which it was accepted: what is newest is told by it before the version.
+	AcceptedEpoch uint64
 	Version       uint64
 	Config        []byte
-	// the numbers taken last, the configuration's own among them, in rising order
+	// AcceptedVersions are the last ones, the configuration's own among them, in rising order.
 	AcceptedVersions []message.AcceptedVersion
 }
 
-// acceptedAfter reports whether a content was accepted after another, by epoch and then by number: a number
-// alone says nothing, since two machines may have taken unlike texts under it, of which one was left behind.
-func (c *Value) acceptedAfter(stamp, version uint64) bool {
-	return cmp.Or(cmp.Compare(c.AcceptedEpoch, stamp), cmp.Compare(c.Version, version)) > 0
+// newerThan reports whether a value was accepted after another, by epoch and then by version: a version alone says
+// nothing, since two replicas may have accepted different contents under it, of which one was left behind.
+func (v *Value) newerThan(acceptedEpoch, version uint64) bool {
+	return cmp.Or(cmp.Compare(v.AcceptedEpoch, acceptedEpoch), cmp.Compare(v.Version, version)) > 0
 }
 
-// digestOf is that of the text under a number, if one is remembered.
-func (c *Value) digestOf(version uint64) (sum message.Digest, known bool) {
-	i, known := slices.BinarySearchFunc(c.AcceptedVersions, version, compareVersion)
+// configVersion is the configuration with its version.
+func (v *Value) configVersion() configVersion { return configVersion{v.Version, v.Config} }
+
+// digestOf returns the digest of the content of a version, if one is remembered.
+func (v *Value) digestOf(version uint64) (digest message.Digest, known bool) {
+	i, known := slices.BinarySearchFunc(v.AcceptedVersions, version, compareVersion)
 	if known {
-		sum = c.AcceptedVersions[i].Digest
+		digest = v.AcceptedVersions[i].Digest
 	}
-	return sum, known
+	return digest, known
+}
+
+// acceptedAbove returns the accepted versions above one.
+func (v *Value) acceptedAbove(version uint64) []message.AcceptedVersion {
+	i, _ := slices.BinarySearchFunc(v.AcceptedVersions, version+1, compareVersion)
+	return v.AcceptedVersions[i:]
 }
 
-// acceptedAbove returns the numbers above one.
-func (c *Value) acceptedAbove(version uint64) []message.AcceptedVersion {
-	i, _ := slices.BinarySearchFunc(c.AcceptedVersions, version+1, compareVersion)
-	return c.AcceptedVersions[i:]
+func compareVersion(a message.AcceptedVersion, version uint64) int {
+	return cmp.Compare(a.Version, version)
 }
 
-func compareVersion(t message.AcceptedVersion, version uint64) int {
-	return cmp.Compare(t.Version, version)
+// matches reports whether a value has the content that an entry tells.
+func (v *Value) matches(accepted message.AcceptedVersion) bool {
+	digest, known := v.digestOf(v.Version)
+	return known && accepted == message.AcceptedVersion{Version: v.Version, Digest: digest}
 }
 
-// matches reports whether a content has the text that an entry tells.
-func (c *Value) matches(t message.AcceptedVersion) bool {
-	sum, known := c.digestOf(c.Version)
-	return known && t == message.AcceptedVersion{Version: c.Version, Digest: sum}
+// matchesLast reports whether a value has the content that the last of some entries tells.
+func (v *Value) matchesLast(accepted []message.AcceptedVersion) bool {
+	return len(accepted) > 0 && v.matches(accepted[len(accepted)-1])
 }
 
 // latestAccepted is the entry of the configuration itself; none before the first.
-func (c *Value) latestAccepted() []message.AcceptedVersion {
-	if len(c.AcceptedVersions) == 0 {
+func (v *Value) latestAccepted() []message.AcceptedVersion {
+	if len(v.AcceptedVersions) == 0 {
 		return nil
 	}
-	return c.AcceptedVersions[len(c.AcceptedVersions)-1:]
+	return v.AcceptedVersions[len(v.AcceptedVersions)-1:]
 }
 
-// withOwnDigest returns a content as it was found on a disk. An earlier program kept nothing but the text.
-func (c Value) withOwnDigest() Value {
-	if _, known := c.digestOf(c.Version); c.Version > 0 && !known {
-		c.AcceptedVersions = AppendAccepted(
-			c.AcceptedVersions,
-			message.AcceptedVersion{Version: c.Version, Digest: message.DigestOf(c.Config)},
-		)
+// withOwnDigest returns a value as it was found on a disk. An earlier program kept nothing but the configuration.
+func (v Value) withOwnDigest() Value {
+	if _, known := v.digestOf(v.Version); v.Version > 0 && !known {
+		own := message.AcceptedVersion{Version: v.Version, Digest: message.DigestOf(v.Config)}
+		v.AcceptedVersions = AppendAccepted(v.AcceptedVersions, own)
 	}
-	return c
+	return v
+}
+
+// encodedAcceptedVersions are the accepted versions as a text.
+func (v *Value) encodedAcceptedVersions() []byte {
+	return message.EncodeAcceptedVersions(v.AcceptedVersions)
+}
+
+// fullAcceptedDelta brings all accepted versions.
+func (v *Value) fullAcceptedDelta() *message.Delta {
+	return message.NewDelta(v.encodedAcceptedVersions(), 0, nil)
 }
 
-// encodedAcceptedVersions are the numbers taken, as a text.
-func (c *Value) encodedAcceptedVersions() []byte {
-	return message.EncodeAcceptedVersions(c.AcceptedVersions)
+// acceptedDeltaOver brings the accepted versions over those of which a replica has told the index.
+func (v *Value) acceptedDeltaOver(version uint64, index []byte) *message.Delta {
+	return message.NewDeltaOver(v.encodedAcceptedVersions(), version, index, message.AcceptedVersionChunks)
+}
+
+// configDeltaOver brings the configuration over one of which a replica has told the index.
+func (v *Value) configDeltaOver(version uint64, index []byte) *message.Delta {
+	return message.NewDeltaOver(v.Config, version, index, message.ConfigChunks)
+}
+
+// configIndex tells of which chunks the configuration is.
+func (v *Value) configIndex() []byte { return message.ChunkIndex(v.Config, message.ConfigChunks) }
+
+// acceptedIndex tells of which chunks the accepted versions are.
+func (v *Value) acceptedIndex() []byte {
+	return message.ChunkIndex(v.encodedAcceptedVersions(), message.AcceptedVersionChunks)
+}
+
+// transferredValue is a value on its way to a replica that may have a part of it.
+type transferredValue struct {
+	acceptedEpoch uint64
+	version       uint64
+	latest        []message.AcceptedVersion // the version's own entry
+	accepted      *message.Delta
+	config        *message.Delta // nil where the receiver has it
+}
+
+// receive returns a value that was told, with this replica's own configuration if that is the same. The error is that of
+// a delta that does not apply.
+func (v *Value) receive(t transferredValue) (received Value, err error) {
+	received.AcceptedEpoch, received.Version = t.acceptedEpoch, t.version
+	if t.version == 0 {
+		return received, nil
+	}
+	if len(t.latest) != 1 || t.accepted == nil {
+		return received, message.ErrUnknownBase
+	}
+	versions, err := t.accepted.Apply(v.Version, v.encodedAcceptedVersions())
+	if err != nil {
+		return received, err
+	}
+	if received.AcceptedVersions, err = message.DecodeAcceptedVersions(versions); err != nil {
+		return received, err
+	}
+	if !received.matches(t.latest[0]) {
+		return received, message.ErrDigestMismatch
+	}
+	if v.matches(t.latest[0]) {
+		received.Config = v.Config
+		return received, nil
+	}
+	if t.config == nil {
+		return received, message.ErrUnknownBase
+	}
+	if received.Config, err = t.config.Apply(v.Version, v.Config); err != nil {
+		return received, err
+	}
+	if message.DigestOf(received.Config) != t.latest[0].Digest {
+		return received, message.ErrDigestMismatch
+	}
+	return received, nil
 }
 
-// AppendAccepted returns the numbers with more of them. What is remembered of a number stays. Of the oldest,
+// AppendAccepted returns the accepted versions with more of them. What is remembered of a version stays. Of the oldest,
 // whole chunks are dropped, so that the others stay where they are.
-func AppendAccepted(
-	past []message.AcceptedVersion,
-	more ...message.AcceptedVersion,
-) []message.AcceptedVersion {
+func AppendAccepted(past []message.AcceptedVersion, more ...message.AcceptedVersion) []message.AcceptedVersion {
 	past = slices.Clone(past) // others hold the old one
-	for _, t := range more {
-		if i, found := slices.BinarySearchFunc(past, t.Version, compareVersion); !found {
-			past = slices.Insert(past, i, t)
+	for _, accepted := range more {
+		if i, found := slices.BinarySearchFunc(past, accepted.Version, compareVersion); !found {
+			past = slices.Insert(past, i, accepted)
 		}
 	}
 	const perChunk = message.AcceptedVersionsPerChunk
