--- a/internal/controlplane/replica/watch.go
+++ b/internal/controlplane/replica/watch.go
@@ -1,8 +1,6 @@
 package replica
 
 import (
-	"cmp"
-	"hash/fnv"
 	"maps"
 	"slices"
 	"time"
@@ -10,77 +8,54 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// watcher is a question for news that waits for some.
+// answeredWatchRetention is how long an answer is remembered: who watches turns to all others first, and comes back.
+const answeredWatchRetention = 4 * nodeLeaseDuration
+
+// watcher is a watch that waits for something new.
 type watcher struct {
-	message.Message
+	request  *message.Message
+	watch    *message.Watch
 	deadline time.Duration
 }
 
-// answeredWatch is the last question for news that was answered, and when it first was.
+// answeredWatch is the last watch of a process that was answered, and when it first was.
 type answeredWatch struct {
-	incarnation, requestID uint64
-	at                     time.Duration
+	incarnation uint64
+	requestID   uint64
+	at          time.Duration
 }
 
-// answeredWatchRetention is how long an answer is remembered: who asks turns to all others first, and comes
-// back.
-const answeredWatchRetention = 4 * nodeLeaseDuration
-
-// leaseGatherTime is how long it takes until all have asked again: a question's time, and an answer's.
-const leaseGatherTime = 1250 * time.Millisecond
+// watchers are the watches that wait, by the address of who watches.
+type watchers struct {
+	waiting  map[string]*watcher
+	answered map[string]answeredWatch
 
-type nodeLease struct {
-	message.Node
-	renewedAt     time.Duration
-	renewedHereAt time.Duration // when it last renewed its lease at this machine
+	lastServing  time.Duration // when this replica last answered watches with what is the newest; 0: never
+	servingSince time.Duration // since when it does, but for changes of the view
 }
 
-// handleWatch takes a question for news, which renews the lease of who asks. The lease counts from when that
-// was sent, by what it says of the answer before: one that waited on its way, or comes again, is as old as it
-// is. A first question names none, and the next one follows at once.
-func (f *Replica) handleWatch(from string, m *message.Message) {
-	if t, ok := f.answeredWatches[from]; ok && t.incarnation == m.Incarnation && t.requestID == m.EchoSequence {
-		sent := min(f.now, t.at+time.Duration(m.EchoDelayMillis)*time.Millisecond)
-		f.renewLease(message.Node{Addr: from, Zone: m.Zone, LeaseAge: uint64((f.now - sent).Milliseconds())}, true)
-	}
-	wait := min(time.Duration(m.WaitMillis)*time.Millisecond, nodeLeaseDuration/2)
-	if old, waits := f.watchers[from]; waits && old.Incarnation == m.Incarnation &&
-		old.RequestID >= m.RequestID {
-		return // it comes again, or late: who asked has gone on
-	}
-	f.watchers[from] = watcher{*m, f.now + wait}
-	f.answerWatcher(from, false)
+func newWatchers() watchers {
+	return watchers{waiting: map[string]*watcher{}, answered: map[string]answeredWatch{}}
 }
 
-// notifyWatchers answers all that wait for it.
-func (f *Replica) notifyWatchers() {
-	for _, from := range f.waitingWatchers(true) {
-		f.answerWatcher(from, false)
-	}
+// forgetAnswers drops answers of long ago.
+func (w *watchers) forgetAnswers(now time.Duration) {
+	maps.DeleteFunc(w.answered, func(_ string, a answeredWatch) bool { return now > a.at+answeredWatchRetention })
 }
 
-// mayAnswerWatches reports whether what this machine knows may be told as the newest.
-func (f *Replica) mayAnswerWatches() bool { return f.ServingWithQuorum() && !f.commitOverdue() }
-
-// answerDueWatchers answers those that have waited long enough.
-func (f *Replica) answerDueWatchers() {
-	if f.mayAnswerWatches() {
-		if !f.recentlyServing() {
-			f.servingSince = f.now
-		}
-		f.lastServing = f.now
-	}
-	f.snapshotCache.expire(f.now)
-	for _, from := range f.waitingWatchers(!f.recentlyServing()) {
-		f.answerWatcher(from, f.now >= f.watchers[from].deadline)
+// recordAnswer notes that a watch is answered, unless it was before.
+func (w *watchers) recordAnswer(now time.Duration, from string, request *message.Message) {
+	old := w.answered[from]
+	if old.incarnation != request.Incarnation || old.requestID < request.RequestID {
+		w.answered[from] = answeredWatch{request.Incarnation, request.RequestID, now}
 	}
 }
 
-// waitingWatchers returns who waits for news, all or those who have waited long enough, in an agreed
-// order: a rehearsal repeats by its seed.
-func (f *Replica) waitingWatchers(all bool) (list []string) {
-	for from, p := range f.watchers {
-		if all || f.now >= p.deadline {
+// due returns who waits for something new, all or those who have waited long enough, in an agreed order: a simulation
+// repeats by its seed.
+func (w *watchers) due(now time.Duration, all bool) (list []string) {
+	for from, waiting := range w.waiting {
+		if all || now >= waiting.deadline {
 			list = append(list, from)
 		}
 	}
@@ -88,216 +63,85 @@
 	return list
 }
 
-// recentlyServing reports whether this machine serves, or did so a moment ago: a change of the view is over
-// soon, and those who ask need not turn elsewhere for it.
-func (f *Replica) recentlyServing() bool {
-	return f.lastServing != 0 && f.now < f.lastServing+viewChangeAllowance
-}
-
-// answerWatcher answers a poll, if there is news for it or it has waited long enough.
-func (f *Replica) answerWatcher(to string, now bool) {
-	p := f.watchers[to]
-	m := &message.Message{
-		Type:        message.TypeWatchResponse,
-		Incarnation: p.Incarnation,
-		RequestID:   p.RequestID,
-		OK:          f.mayAnswerWatches() && p.Epoch <= f.epoch,
-		Epoch:       p.Epoch,
-	}
-	if !m.OK && !f.recentlyServing() {
-		now = true
+// handleWatch takes a watch, which renews the lease of who sent it. The lease counts from when that was sent, by what it
+// says of the response before: one that waited on its way, or comes again, is as old as it is. A first watch names none,
+// and the next one follows at once.
+func (r *Replica) handleWatch(from string, request *message.Message, watch *message.Watch) {
+	last, known := r.watchers.answered[from]
+	if known && last.incarnation == request.Incarnation && last.requestID == watch.EchoRequestID {
+		sentAt := min(r.now, last.at+time.Duration(watch.EchoDelayMillis)*time.Millisecond)
+		age := uint64((r.now - sentAt).Milliseconds())
+		r.nodes.renew(r.now, message.Node{Addr: from, Zone: watch.Zone, LeaseAge: age}, true)
 	}
-	if m.OK {
-		if f.epoch != p.Epoch {
-			m.Epoch, m.Chain, now = f.epoch, f.chain, true
-			// With the registry before, where this machine knows of a change that may never be complete.
-			m.Members = f.pending.Members
-			m.OutgoingMembers = f.pending.OutgoingMembers
-			m.MembershipEpoch = f.pending.MembershipEpoch
-			m.RemovedMembers = f.pending.RemovedMembers
-		}
-		now = f.appendResources(to, &p, m) || now
-	}
-	if now {
-		delete(f.watchers, to)
-		if old := f.answeredWatches[to]; old.incarnation != p.Incarnation ||
-			old.requestID < p.RequestID { // else it was answered earlier
-			f.answeredWatches[to] = answeredWatch{p.Incarnation, p.RequestID, f.now}
-		}
-		f.Actions.Send(to, m)
+	old := r.watchers.waiting[from]
+	if old != nil && old.request.Incarnation == request.Incarnation && old.request.RequestID >= request.RequestID {
+		return // it comes again, or late: who watches has gone on
 	}
+	wait := min(time.Duration(watch.WaitMillis)*time.Millisecond, nodeLeaseDuration/2)
+	r.watchers.waiting[from] = &watcher{request, watch, r.now + wait}
+	r.answerWatcher(from, false)
 }
 
-// renewLease notes that a member's lease was renewed.
-func (f *Replica) renewLease(x message.Node, own bool) {
-	renewed := f.now - time.Duration(x.LeaseAge)*time.Millisecond
-	old, known := f.nodes[x.Addr]
-	if renewed < f.now-nodeLeaseDuration || known && old.renewedAt > renewed {
-		return
-	}
-	here := old.renewedHereAt
-	if own {
-		here = max(here, renewed)
+// notifyWatchers answers all for whom there is something new.
+func (r *Replica) notifyWatchers() {
+	for _, from := range r.watchers.due(r.now, true) {
+		r.answerWatcher(from, false)
 	}
-	f.nodes[x.Addr] = nodeLease{message.Node{Addr: x.Addr, Zone: x.Zone}, renewed, here}
-	if !known {
-		f.updateNodesChecksum()
-	}
-}
-
-// leasesGathered reports whether this machine has told news for as long as all who ask take to ask again.
-// Before that it knows of too few members, and each would take too large a share of a quota: who knows others
-// goes by those, and no lease runs out.
-func (f *Replica) leasesGathered() bool {
-	return f.recentlyServing() && f.now >= f.servingSince+leaseGatherTime
 }
 
-// expireLeases drops the members whose leases have run out.
-func (f *Replica) expireLeases() {
-	maps.DeleteFunc(
-		f.answeredWatches,
-		func(_ string, t answeredWatch) bool { return f.now > t.at+answeredWatchRetention },
-	)
-	if !f.leasesGathered() {
-		return
-	}
-	n := len(f.nodes)
-	for addr, m := range f.nodes {
-		if f.now > m.renewedAt+nodeLeaseDuration {
-			delete(f.nodes, addr)
+// answerDueWatchers answers those that have waited long enough.
+func (r *Replica) answerDueWatchers() {
+	if r.tellsNewest() {
+		if !r.recentlyServing() {
+			r.watchers.servingSince = r.now
 		}
+		r.watchers.lastServing = r.now
 	}
-	if len(f.nodes) != n {
-		f.updateNodesChecksum()
+	r.snapshots.expire(r.now)
+	for _, from := range r.watchers.due(r.now, !r.recentlyServing()) {
+		r.answerWatcher(from, r.now >= r.watchers.waiting[from].deadline)
 	}
 }
 
-// updateNodesChecksum makes the members' digest.
-func (f *Replica) updateNodesChecksum() {
-	h := fnv.New64a()
-	for _, m := range f.leasedNodes() {
-		h.Write([]byte(m.Addr))
-		h.Write([]byte{0})
-	}
-	f.nodesChecksum = h.Sum64()
-}
+// tellsNewest reports whether what this replica knows may be told as the newest.
+func (r *Replica) tellsNewest() bool { return r.ServingWithQuorum() && !r.commitOverdue() }
 
-// leasedNodes returns the members in an agreed order.
-func (f *Replica) leasedNodes() []message.Node {
-	list := make([]message.Node, 0, len(f.nodes))
-	for _, m := range f.nodes {
-		list = append(list, m.Node)
-	}
-	slices.SortFunc(list, func(a, b message.Node) int { return cmp.Compare(a.Addr, b.Addr) })
-	return list
+// recentlyServing reports whether this replica serves, or did so a moment ago: a change of the view is over soon, and
+// those who watch need not turn elsewhere for it.
+func (r *Replica) recentlyServing() bool {
+	return r.watchers.lastServing != 0 && r.now < r.watchers.lastServing+viewChangeAllowance
 }
 
-// nodesLeasedHere returns the members that renew their leases here, with how long ago they did.
-func (f *Replica) nodesLeasedHere() []message.Node {
-	var list []message.Node
-	for _, addr := range slices.Sorted(maps.Keys(f.nodes)) {
-		m := f.nodes[addr]
-		if m.renewedHereAt != 0 && f.now <= m.renewedHereAt+nodeLeaseDuration {
-			x := m.Node
-			x.LeaseAge = uint64((f.now - m.renewedHereAt).Milliseconds())
-			list = append(list, x)
-		}
-	}
-	return list
-}
-
-// Role names a task that one machine does.
-type Role int
-
-// The duties, each done by another machine of the chain where there are as many.
-const (
-	EndpointReader Role = iota // reads the platform's list of servers
-	QuotaAllocator             // keeps the counts of tenants
-)
-
-func (d Role) String() string { return [...]string{"read-servers", "keep-tolls"}[d] }
-
-// RoleHolder returns which machine of a chain does a duty.
-func RoleHolder(chain []string, d Role) string {
-	if len(chain) == 0 {
-		return ""
-	}
-	if d == EndpointReader {
-		return chain[len(chain)-1]
-	}
-	return chain[1%len(chain)]
-}
-
-// HoldsRole reports whether this machine is to do a duty now, and under which epoch.
-func (f *Replica) HoldsRole(now time.Duration, d Role) (epoch uint64, ok bool) {
-	f.now = now
-	ok = f.ServingWithQuorum() && RoleHolder(f.chain, d) == f.self
-	return f.epoch, ok && (d != QuotaAllocator || f.holdsQuorumLease() && f.predecessorLeasesExpired())
-}
-
-// SetEndpoints takes the list of servers as this machine has read it by its duty, and the epoch under which
-// it held that when it began to read: the list's fencing token. A reading that was held up while another view
-// came is older than what the next holder has told by then, and is dropped.
-func (f *Replica) SetEndpoints(now time.Duration, began uint64, servers []message.Endpoint) {
-	epoch, ok := f.HoldsRole(now, EndpointReader)
-	if !ok || began != epoch {
-		return
-	}
-	if f.endpoints.Epoch == epoch && slices.Equal(servers, f.endpoints.Endpoints) {
-		f.sendEndpoints()
-		return
+// answerWatcher answers a watch, if there is something new for it or it has waited long enough.
+func (r *Replica) answerWatcher(to string, due bool) {
+	waiting := r.watchers.waiting[to]
+	watch := waiting.watch
+	response := &message.WatchResponse{Epoch: watch.Epoch, Fresh: r.tellsNewest() && watch.Epoch <= r.epoch}
+	if !response.Fresh && !r.recentlyServing() {
+		due = true
 	}
-	seq := uint64(1)
-	if f.endpoints.Epoch == epoch {
-		seq = f.endpoints.Sequence + 1
-	}
-	f.endpoints = message.EndpointList{Epoch: epoch, Sequence: seq, Endpoints: servers}
-	f.sendEndpoints()
-	f.notifyWatchers()
-}
-
-// sendEndpoints sends the list to those of the chain that have an older one.
-func (f *Replica) sendEndpoints() {
-	for _, to := range f.chain {
-		p := f.peers[to]
-		if to == f.self || p == nil ||
-			p.endpointsEpoch == f.endpoints.Epoch && p.endpointsSequence >= f.endpoints.Sequence {
-			continue
+	if response.Fresh {
+		if r.epoch != watch.Epoch {
+			r.tellView(response)
+			due = true
+		}
+		if r.appendResources(to, watch, response) {
+			due = true
 		}
-		// until its beat says otherwise
-		p.endpointsEpoch, p.endpointsSequence = f.endpoints.Epoch, f.endpoints.Sequence
-		l := f.endpoints
-		f.Actions.Send(to, &message.Message{Type: message.TypeEndpointUpdate, Endpoints: &l})
-	}
-}
-
-// sendNewerEndpoints has the list go on where none was read under this view for long, since the platform may
-// be down: to the machine whose duty that is, if others have a newer one, and from there to those that are
-// behind. It keeps its token.
-func (f *Replica) sendNewerEndpoints(to string, p *peerState) {
-	holder := RoleHolder(f.chain, EndpointReader)
-	if f.state != StateServing || f.now < f.stateSince+endpointsStaleAfter || f.endpoints.Epoch == f.epoch ||
-		holder != f.self && holder != to || !slices.Contains(f.chain, to) ||
-		!isNewer(&f.endpoints, &message.EndpointList{Epoch: p.endpointsEpoch, Sequence: p.endpointsSequence}) {
-		return
 	}
-	// until its beat says otherwise
-	p.endpointsEpoch, p.endpointsSequence = f.endpoints.Epoch, f.endpoints.Sequence
-	l := f.endpoints
-	f.Actions.Send(to, &message.Message{Type: message.TypeEndpointUpdate, Endpoints: &l})
-}
-
-// handleEndpointUpdate takes the list of servers from the machine that reads it.
-func (f *Replica) handleEndpointUpdate(m *message.Message) {
-	l := m.Endpoints
-	if l == nil || !isNewer(l, &f.endpoints) {
+	if !due {
 		return
 	}
-	f.endpoints = *l
-	f.notifyWatchers()
+	delete(r.watchers.waiting, to)
+	r.watchers.recordAnswer(r.now, to, waiting.request)
+	r.reply(to, waiting.request, response)
 }
 
-// isNewer reports whether a list is newer than another, which may be none.
-func isNewer(a, b *message.EndpointList) bool {
-	return b == nil || a.Epoch > b.Epoch || a.Epoch == b.Epoch && a.Sequence > b.Sequence
+// tellView tells the view and the members, with the outgoing ones, where this replica knows of a change that may never
+// be complete.
+func (r *Replica) tellView(response *message.WatchResponse) {
+	pending := &r.store.pending
+	response.Epoch, response.Chain = r.epoch, r.chain
+	response.Members, response.OutgoingMembers = pending.Members, pending.OutgoingMembers
+	response.MembershipEpoch, response.RemovedMembers = pending.MembershipEpoch, pending.RemovedMembers
 }
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -39,8 +39,8 @@
 		}
 		if defect {
 			s.Tamper = func(to *Machine, m *message.Message) {
-				if to == asker && m.Type == message.TypeWatchResponse {
-					m.OutgoingMembers = nil
+				if response, ok := m.Body.(*message.WatchResponse); ok && to == asker {
+					response.OutgoingMembers = nil
 				}
 			}
 		}
@@ -110,14 +110,14 @@
 	w := watched(s.Exchange)
 	watching, proposed := s.Told, false
 	s.Told = func(from *Machine, to string, m *message.Message) {
-		if from == b && m.Type == message.TypePrepare { // for a moment it is heard
+		if from == b && m.Type() == message.TypePrepare { // for a moment it is heard
 			s.HealAll()
 			proposed = true
 		}
 		watching(from, to, m)
 	}
 	s.Wire = func(_, to string, m *message.Message) []Delivery {
-		if m.Type == message.TypePromise && to == a.self.Addr {
+		if m.Type() == message.TypePromise && to == a.self.Addr {
 			return nil
 		}
 		return []Delivery{{To: to, Message: m}}
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -26,8 +26,8 @@
 func (s *story) asking() *ingress {
 	g := &ingress{s: s, last: s.Now}
 	s.Told = func(from *Machine, _ string, m *message.Message) {
-		if m.Type == message.TypeTokenGrant && m.OK {
-			g.granted(from, m.Epoch)
+		if grant, ok := m.Body.(*message.TokenGrant); ok && grant.OK {
+			g.granted(from, grant.Epoch)
 		}
 	}
 	var ask func()
@@ -36,15 +36,9 @@
 		for _, m := range s.Disked() {
 			if m.up {
 				epoch, _ := m.Frame().View()
-				s.deliver("client", Delivery{
-					To: m.self.Addr,
-					Message: &message.Message{
-						Type:        message.TypeTokenRequest,
-						Incarnation: 1,
-						RequestID:   g.calls,
-						Epoch:       epoch,
-					},
-				})
+				request := &message.Message{Incarnation: 1, RequestID: g.calls,
+					Body: &message.TokenRequest{Epoch: epoch}}
+				s.deliver("client", Delivery{To: m.self.Addr, Message: request})
 			}
 		}
 		s.at(10*time.Millisecond, ask)
@@ -135,11 +129,11 @@
 		if g := keepers(t, seed, nil); len(g.twice) > 0 {
 			t.Errorf("seed %d: %d grants, the first: %s", seed, len(g.twice), g.twice[0])
 		}
-		g := keepers(
-			t,
-			seed,
-			func(_ *Machine, m *message.Message) { m.OldLeasesExpired = m.Type == message.TypeHeartbeat },
-		)
+		g := keepers(t, seed, func(_ *Machine, m *message.Message) {
+			if h, ok := m.Body.(*message.Heartbeat); ok {
+				h.OldLeasesExpired = true
+			}
+		})
 		found += min(1, len(g.twice))
 	}
 	if found == 0 {
@@ -207,7 +201,7 @@
 	s.Wire = func(from, to string, x *message.Message) []Delivery {
 		late := Delivery{To: to, Message: x, After: 2500 * time.Millisecond}
 		switch {
-		case x.Type != message.TypeWatch || from != m.self.Addr:
+		case x.Type() != message.TypeWatch || from != m.self.Addr:
 			late.After = 0
 		case again:
 			return []Delivery{{To: to, Message: x}, late}
@@ -237,8 +231,8 @@
 		}
 	}
 	if took := heldUp(t, false, func(_ *Machine, m *message.Message) {
-		if m.Type == message.TypeWatch {
-			m.EchoDelayMillis = 1 << 30
+		if watch, ok := m.Body.(*message.Watch); ok {
+			watch.EchoDelayMillis = 1 << 30
 		}
 	}); took <= most {
 		t.Errorf("not found: leases that count from receipt: a member for %v after its end", took)
--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -185,8 +185,8 @@
 				r.AcceptedVersions = slices.Clone(r.AcceptedVersions)
 				r.AcceptedVersions[100].Digest[0]++
 			}, tamper: func(_ *Machine, m *message.Message) {
-				if m.Type == message.TypePromise {
-					m.AcceptedIndex = message.ChunkIndex(message.EncodeAcceptedVersions(numbersUpTo(601)),
+				if promise, ok := m.Body.(*message.Promise); ok {
+					promise.AcceptedIndex = message.ChunkIndex(message.EncodeAcceptedVersions(numbersUpTo(601)),
 						message.AcceptedVersionChunks)
 				}
 			}},
@@ -223,7 +223,12 @@
 			}
 		}},
 		"no outline": {before: 600, missed: 1, tamper: func(_ *Machine, m *message.Message) {
-			m.AcceptedIndex = nil
+			switch body := m.Body.(type) {
+			case *message.Prepare:
+				body.AcceptedIndex = nil
+			case *message.Promise:
+				body.AcceptedIndex = nil
+			}
 		}},
 	} {
 		a.name, a.items = "z1-1", few
--- a/internal/controlplane/simulation/membership.go
+++ b/internal/controlplane/simulation/membership.go
@@ -105,7 +105,7 @@
 // Order is a change of members by hand.
 type Order struct {
 	Ended  bool
-	Answer *message.Message // nil: there was none in time
+	Answer *message.ChangeMembersResult // nil: there was none in time
 }
 
 // Reform has a machine pass on a change of members by hand; without addresses it asks who they are.
@@ -116,7 +116,7 @@
 			x.Now,
 			add,
 			remove,
-			func(answer *message.Message) { o.Ended, o.Answer = true, answer },
+			func(answer *message.ChangeMembersResult, _ error) { o.Ended, o.Answer = true, answer },
 		)
 	})
 	return o
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -392,7 +392,7 @@
 		{add: other, remove: a, members: 4},
 		{remove: s.Named("z3-1"), members: 3},
 		{remove: b, members: 2},
-		{remove: spare, why: "could not be borne", members: 2},
+		{remove: spare, why: "could not be tolerated", members: 2},
 	} {
 		if c.remove == b {
 			b.Kill() // it would come back as a newcomer, and the core is small
@@ -570,7 +570,7 @@
 func TestSeededDefectsOfMembersAreFound(t *testing.T) {
 	of := func(kind message.Type, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
 		return func(at *Machine, m *message.Message) {
-			if at == to && m.Type == kind {
+			if at == to && m.Type() == kind {
 				do(m)
 			}
 		}
@@ -596,7 +596,8 @@
 		"a member that leaves before its successor has the state": handedOver(t,
 			func(s *story, fresh *Machine) {
 				s.Tamper = of(message.TypeInstallView, fresh, func(m *message.Message) {
-					m.Version, m.Config, m.AcceptedVersions = 0, nil, nil
+					install := m.Body.(*message.InstallView)
+					install.Version, install.Config, install.AcceptedVersions = 0, nil, nil
 				})
 			}),
 		"a removed member that votes under its old life": apart(t, func(_ *story, old, peer *Machine) {
@@ -833,7 +834,8 @@
 		s.Spoil = spoil
 		lost, third := s.Named("z1-1"), s.Named("z3-1")
 		s.Wire = func(_, to string, m *message.Message) []Delivery {
-			if to == third.self.Addr && m.Type == message.TypeInstallView && len(m.OutgoingMembers) > 0 {
+			install, ok := m.Body.(*message.InstallView)
+			if ok && to == third.self.Addr && len(install.OutgoingMembers) > 0 {
 				return nil
 			}
 			return []Delivery{{To: to, Message: m}}
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -97,29 +97,52 @@
 
 // told takes a word of a machine.
 func (w *watch) told(from *Machine, to string, m *message.Message) {
-	switch m.Type {
-	case message.TypeHeartbeat:
-		if _, known := w.views[m.Epoch]; m.Epoch > 0 && !known {
-			w.views[m.Epoch] = began{w.x.Now, serial(w.x.Servers)}
-			w.newest = max(w.newest, m.Epoch)
+	switch body := m.Body.(type) {
+	case *message.Heartbeat:
+		if _, known := w.views[body.Epoch]; body.Epoch > 0 && !known {
+			w.views[body.Epoch] = began{w.x.Now, serial(w.x.Servers)}
+			w.newest = max(w.newest, body.Epoch)
 		}
 		return
-	case message.TypeWatch:
-		w.polls[poll{from.self.Addr, m.Incarnation, m.RequestID}] = m.Version
+	case *message.Watch:
+		w.polls[poll{from.self.Addr, m.Incarnation, m.RequestID}] = body.Version
 		return
-	case message.TypeWatchResponse:
-		w.news(from, to, m)
-	case message.TypeTokenGrant:
-		w.inForce(from, "grants tokens", m.Epoch, m.OK)
-	case message.TypeEndpointUpdate:
-		w.read(from, m.Endpoints)
+	case *message.WatchResponse:
+		w.news(from, to, m, body)
+	case *message.TokenGrant:
+		w.inForce(from, "grants tokens", body.Epoch, body.OK)
+	case *message.EndpointUpdate:
+		w.read(from, body.Endpoints)
 		return
 	}
-	if m.OK || m.Type == message.TypeConflict {
-		w.last[word{from, m.Type}] = w.x.Now
+	if succeeds(m) {
+		w.last[word{from, m.Type()}] = w.x.Now
 	}
 }
 
+// succeeds reports whether a message says that something was done, or that it is so.
+func succeeds(m *message.Message) bool {
+	switch body := m.Body.(type) {
+	case *message.WatchResponse:
+		return body.Fresh
+	case *message.TokenGrant:
+		return body.OK
+	case *message.Committed:
+		return body.OK
+	case *message.ReadResult:
+		return body.OK
+	case *message.EpochConfirmed:
+		return body.OK
+	case *message.BootstrapPromise:
+		return body.Trusted
+	case *message.ChangeMembersResult:
+		return body.OK
+	case *message.Conflict:
+		return true
+	}
+	return false
+}
+
 // inForce holds a word that is told under an epoch to the views that were in service more than the bound ago.
 func (w *watch) inForce(from *Machine, what string, epoch uint64, ok bool) {
 	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.MaxStaleness {
@@ -127,18 +150,18 @@
 	}
 }
 
-func (w *watch) news(from *Machine, to string, m *message.Message) {
+func (w *watch) news(from *Machine, to string, m *message.Message, response *message.WatchResponse) {
 	version, known := w.polls[poll{to, m.Incarnation, m.RequestID}]
 	delete(w.polls, poll{to, m.Incarnation, m.RequestID})
-	if !m.OK || !known { // asked before the watch began
+	if !response.Fresh || !known { // asked before the watch began
 		return
 	}
-	w.inForce(from, "tells news", m.Epoch, true)
-	if m.Config != nil {
-		version = m.Version
+	w.inForce(from, "tells news", response.Epoch, true)
+	if response.Config != nil {
+		version = response.Version
 	}
 	stale := false // it tells bytes, and not that they are the newest
-	for _, p := range m.Chunks {
+	for _, p := range response.Chunks {
 		if p.Resource == message.ResourceConfig {
 			version, stale = p.Version, p.Stale
 		}
@@ -148,8 +171,8 @@
 			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.At)
 		}
 	}
-	if m.Endpoints != nil {
-		w.read(from, m.Endpoints)
+	if response.Endpoints != nil {
+		w.read(from, response.Endpoints)
 	}
 }
 
@@ -353,8 +376,8 @@
 		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
 			func(x *Exchange) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
-					if m.Type == message.TypeHeartbeat {
-						m.EchoDelayMillis = uint64(time.Hour.Milliseconds())
+					if h, ok := m.Body.(*message.Heartbeat); ok {
+						h.EchoDelayMillis = uint64(time.Hour.Milliseconds())
 					}
 				}
 			}},
@@ -363,7 +386,9 @@
 		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
 			func(x *Exchange) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
-					m.Unhealthy = m.Unhealthy && m.Type != message.TypeHeartbeat
+					if h, ok := m.Body.(*message.Heartbeat); ok {
+						h.Unhealthy = false
+					}
 				}
 			}},
 		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
@@ -427,8 +452,14 @@
 	s := given(t, 2)
 	w := watched(s.Exchange)
 	s.Tamper = func(to *Machine, m *message.Message) {
-		if to.Name == "z2-1" && (m.Type == message.TypeHeartbeat || m.Type == message.TypeCommitted) {
-			m.Version = 0
+		if to.Name != "z2-1" {
+			return
+		}
+		switch body := m.Body.(type) {
+		case *message.Heartbeat:
+			body.Version = 0
+		case *message.Committed:
+			body.Version = 0
 		}
 	}
 	for range 30 {
@@ -447,7 +478,8 @@
 	s := given(t, 1)
 	m := s.Named("z1-2")
 	s.Told = func(_ *Machine, to string, told *message.Message) {
-		if to == m.self.Addr && told.Type == message.TypeWatchResponse && told.Config != nil {
+		response, ok := told.Body.(*message.WatchResponse)
+		if ok && to == m.self.Addr && response.Config != nil {
 			m.Freeze()
 		}
 	}
@@ -471,8 +503,8 @@
 	w := watched(s.Exchange)
 	s.Wire = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
-		if m.Type == message.TypeEndpointUpdate && to == s.Named("z2-1").self.Addr &&
-			serial(m.Endpoints.Endpoints) == 1 {
+		update, ok := m.Body.(*message.EndpointUpdate)
+		if ok && to == s.Named("z2-1").self.Addr && serial(update.Endpoints.Endpoints) == 1 {
 			late = 3 * time.Second
 		}
 		return []Delivery{{to, late, m}}
--- a/internal/controlplane/simulation/simulation.go
+++ b/internal/controlplane/simulation/simulation.go
@@ -6,8 +6,10 @@
 
 import (
 	"container/heap"
+	"errors"
 	"fmt"
 	"math/rand/v2"
+	"reflect"
 	"slices"
 	"time"
 
@@ -476,10 +478,10 @@
 			c.Ended, c.At, c.Acked = true, x.Now, true
 			return
 		}
-		m.office.Put(x.Now, version, []byte(text), func(answer *message.Message) {
+		m.office.Put(x.Now, version, []byte(text), func(_ uint64, err error) {
+			var conflict *client.ConflictError
 			c.Ended, c.At = true, x.Now
-			c.Acked = answer != nil && answer.Type == message.TypeCommitted
-			c.Conflict = answer != nil && answer.Type == message.TypeConflict
+			c.Acked, c.Conflict = err == nil, errors.As(err, &conflict)
 			if c.Acked {
 				x.acked = max(x.acked, version)
 			}
@@ -519,10 +521,10 @@
 			c.Ended, c.At, c.Acked, c.Version, c.Text = true, x.Now, true, m.version, m.config
 			return
 		}
-		m.office.Read(x.Now, func(version uint64, config []byte) {
-			c.Ended, c.Acked, c.At = true, config != nil, x.Now
+		m.office.Read(x.Now, func(version uint64, config []byte, err error) {
+			c.Ended, c.Acked, c.At = true, err == nil && config != nil, x.Now
 			c.Version, c.Text = version, string(config)
-			if config == nil {
+			if !c.Acked {
 				return
 			}
 			if c.Version < before {
@@ -589,6 +591,15 @@
 	}
 }
 
+// clone returns a message with a body of its own, so that a test can change what one receiver gets.
+func clone(m *message.Message) *message.Message {
+	copied := *m
+	body := reflect.New(reflect.TypeOf(m.Body).Elem())
+	body.Elem().Set(reflect.ValueOf(m.Body).Elem())
+	copied.Body = body.Interface().(message.Body)
+	return &copied
+}
+
 // deliver has a message come to whoever has the address by then.
 func (x *Exchange) deliver(from string, d Delivery) {
 	delay := x.Latency/3 + time.Duration(x.rng.Int64N(int64(x.Latency)*2/3)) +
@@ -598,11 +609,11 @@
 			if m.self.Addr != d.To || !m.up || x.cuts[[2]string{from, d.To}] {
 				continue
 			}
-			came := *d.Message
+			came := clone(d.Message)
 			if x.Tamper != nil {
-				x.Tamper(m, &came)
+				x.Tamper(m, came)
 			}
-			m.act(m.life, func() { m.office.Step(x.Now, from, &came) })
+			m.act(m.life, func() { m.office.Step(x.Now, from, came) })
 		}
 	})
 }
@@ -638,7 +649,7 @@
 	}
 }
 
-func (a *actions) Config(version uint64, config []byte) {
+func (a *actions) ApplyConfig(version uint64, config []byte) {
 	m := a.m
 	if version <= m.version {
 		m.x.breaks("%s went from r%d back to r%d", m.Name, m.version, version)
@@ -656,8 +667,8 @@
 	}
 }
 
-func (a *actions) Servers(list []message.Endpoint) { a.m.servers = list }
+func (a *actions) SetEndpoints(list []message.Endpoint) { a.m.servers = list }
 
-func (a *actions) Members(list []message.Node) { a.m.members = len(list) }
+func (a *actions) SetNodes(list []message.Node) { a.m.members = len(list) }
 
-func (a *actions) View(epoch uint64, _ []string) { a.m.epoch = epoch }
+func (a *actions) SetView(epoch uint64, _ []string) { a.m.epoch = epoch }
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -26,21 +26,22 @@
 	n := &narrow{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
 	s.Wire = n.wire
 	s.Tamper = func(to *Machine, m *message.Message) {
-		if n.whole && m.Type == message.TypeWatchResponse && m.RequestID != n.asked[to.self.Addr] {
-			m.Chunks = nil
+		response, ok := m.Body.(*message.WatchResponse)
+		if ok && n.whole && m.RequestID != n.asked[to.self.Addr] {
+			response.Chunks = nil
 		}
 	}
 	return n
 }
 
 func (n *narrow) wire(from, to string, m *message.Message) []Delivery {
-	if m.Type == message.TypeWatch {
+	if watch, ok := m.Body.(*message.Watch); ok {
 		n.asked[from] = m.RequestID
 		if n.whole {
-			m.ChunkBudget, m.Chunks, m.BaseVersion = 1<<30, nil, 0
+			watch.ChunkBudget, watch.Chunks, watch.BaseVersion = 1<<30, nil, 0
 		}
 	}
-	if m.Type != message.TypeWatchResponse || n.to != nil && n.to.self.Addr != to {
+	if m.Type() != message.TypeWatchResponse || n.to != nil && n.to.self.Addr != to {
 		return []Delivery{{To: to, Message: m}}
 	}
 	link := from
@@ -136,8 +137,11 @@
 		}
 		if c.old {
 			s.Tamper = func(_ *Machine, came *message.Message) {
-				for i := range came.Chunks {
-					came.Chunks[i].Stale = false
+				if response, ok := came.Body.(*message.WatchResponse); ok {
+					response.Chunks = slices.Clone(response.Chunks)
+					for i := range response.Chunks {
+						response.Chunks[i].Stale = false
+					}
 				}
 			}
 			if s.Run(5 * time.Second); len(s.Broken()) == 0 {
@@ -171,7 +175,7 @@
 		n.late = 3 * time.Second
 		if fresh {
 			s.Tamper = func(to *Machine, came *message.Message) {
-				if to == m && came.Type == message.TypeWatchResponse {
+				if to == m && came.Type() == message.TypeWatchResponse {
 					came.RequestID = n.asked[m.self.Addr]
 				}
 			}
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -157,14 +157,14 @@
 		"what is newest is told by the number alone": twoUnderOneNumber(t, nil,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedEpoch = 0 }),
 		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *message.Message) {
-			if m.Type == message.TypeConflict {
-				m.Type = message.TypeCommitted
+			if conflict, ok := m.Body.(*message.Conflict); ok {
+				m.Body = &message.Committed{Version: conflict.Version}
 			}
 		}, nil),
 		"what was taken is refused when it is sent again": twoUnderOneNumber(t,
 			func(_ *Machine, m *message.Message) {
-				if m.Type == message.TypeCommitted && m.RequestID != 0 {
-					m.Type = message.TypeConflict
+				if committed, ok := m.Body.(*message.Committed); ok && m.RequestID != 0 {
+					m.Body = &message.Conflict{Version: committed.Version}
 				}
 			}, nil),
 		"past numbers are forgotten by a restart": pastNumbers(t,
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -37,16 +38,16 @@
 func (t *tape) wire(from, to string, m *message.Message) []Delivery {
 	own := t.m.self.Addr
 	switch {
-	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Type):
+	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Type()):
 		if from == own {
 			t.sent = append(t.sent, m)
 		}
 		return nil
 	case !t.cut && to == own && m.IsResponse():
-		if slices.Contains(t.kinds, m.Type) {
+		if slices.Contains(t.kinds, m.Type()) {
 			t.kept = append(t.kept, letter{from, m})
 		}
-		if slices.Contains(t.hold, m.Type) {
+		if slices.Contains(t.hold, m.Type()) {
 			return nil
 		}
 	}
@@ -79,11 +80,11 @@
 	}
 	for end := t.Now + 2*time.Second; t.Now < end && !did(); t.Run(20 * time.Millisecond) {
 		for _, k := range t.kept {
-			m := *k.m
+			m := clone(k.m)
 			if l != nil {
-				l(t, &m)
+				l(t, m)
 			}
-			t.deliver(k.from, Delivery{To: t.m.self.Addr, Message: &m})
+			t.deliver(k.from, Delivery{To: t.m.self.Addr, Message: m})
 		}
 	}
 	return did()
@@ -96,12 +97,26 @@
 func lifeAndEpoch(t *tape, m *message.Message) {
 	life(t, m)
 	for _, q := range t.sent {
-		if slices.Contains(message.ResponseTypes[q.Type], m.Type) {
-			m.Epoch = q.Epoch
+		if slices.Contains(message.ResponseTypes[q.Type()], m.Type()) {
+			copyEpoch(m.Body, q.Body)
 		}
 	}
 }
 
+// copyEpoch gives a response the epoch or the ballot of a request, if both have one.
+func copyEpoch(response, request message.Body) {
+	epochOf := func(body message.Body) reflect.Value {
+		v := reflect.ValueOf(body).Elem()
+		if epoch := v.FieldByName("Epoch"); epoch.IsValid() {
+			return epoch
+		}
+		return v.FieldByName("Ballot")
+	}
+	if to, from := epochOf(response), epochOf(request); to.IsValid() && from.IsValid() {
+		to.Set(from)
+	}
+}
+
 // lateAnswers tells for each kind of answer how it comes to a later life of who asked, and whether that did
 // something with it. That life may as well be another machine that has the address now: it knows as little.
 var lateAnswers = []struct {
@@ -267,7 +282,7 @@
 		named = tape.play(func() bool { return len(tape.m.office.Members()) > 0 }, l)
 		return slices.ContainsFunc(
 			tape.sent,
-			func(m *message.Message) bool { return m.Type == message.TypeBootstrapAccept },
+			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept },
 		), named
 	}
 	if drafts, named := play(nil); drafts || named {
@@ -296,7 +311,7 @@
 	m := s.Named("z2-1")
 	var views []letter
 	s.Wire = func(from, to string, x *message.Message) []Delivery {
-		if x.Type == message.TypeInstallView && to == m.self.Addr {
+		if x.Type() == message.TypeInstallView && to == m.self.Addr {
 			views = append(views, letter{from, x})
 		}
 		return []Delivery{{To: to, Message: x}}
@@ -306,21 +321,15 @@
 	s.then("it is in a view again", 6*time.Second, func() bool {
 		return m.Frame().ServingWithQuorum() && len(s.Chain()) == 3
 	})
-	before, taken := message.NewDelta(
-		m.record.Config,
-		0,
-		nil,
-	), message.NewDelta(
-		message.EncodeAcceptedVersions(m.record.AcceptedVersions),
-		0,
-		nil,
-	)
+	before := message.NewDelta(m.record.Config, 0, nil)
+	taken := message.NewDelta(message.EncodeAcceptedVersions(m.record.AcceptedVersions), 0, nil)
 	s.change(s.Named("z1-2"))
 	m.Kill()
 	m.Start()
 	for _, v := range views {
-		v.m.Epoch += higher
-		v.m.Config, v.m.AcceptedDelta = before, taken // as it is sent again: to one that had not told what it has
+		install := v.m.Body.(*message.InstallView)
+		install.Epoch += higher
+		install.Config, install.AcceptedDelta = before, taken // as it is sent to one that had not told what it has
 		s.deliver(v.from, Delivery{To: m.self.Addr, Message: v.m})
 	}
 	s.Run(100 * time.Millisecond)
@@ -342,7 +351,7 @@
 		}
 		all := []Delivery{{To: to, Message: m}}
 		late := 4 * time.Second
-		if m.Type == message.TypeHeartbeat { // nobody would be missed
+		if m.Type() == message.TypeHeartbeat { // nobody would be missed
 			late = 200 * time.Millisecond
 		}
 		switch rng.IntN(10) {
@@ -401,11 +410,11 @@
 		var told []letter
 		alone := false
 		s.Wire = func(from, to string, x *message.Message) []Delivery {
-			if to == m.self.Addr && x.Type == message.TypeActivateView {
+			if to == m.self.Addr && x.Type() == message.TypeActivateView {
 				told = append(told, letter{from, x})
 			}
-			if blind && alone && to == m.self.Addr && x.Type == message.TypeHeartbeat {
-				x.Epoch = 0
+			if h, ok := x.Body.(*message.Heartbeat); ok && blind && alone && to == m.self.Addr {
+				h.Epoch = 0
 			}
 			return []Delivery{{To: to, Message: x}}
 		}
@@ -448,7 +457,7 @@
 		home := m.office.ConnectedHost()
 		s.Wire = func(from, to string, x *message.Message) []Delivery {
 			all := []Delivery{{To: to, Message: x}}
-			if x.Type == message.TypeWatch && from == m.self.Addr {
+			if x.Type() == message.TypeWatch && from == m.self.Addr {
 				if s.At(to).self.Addr != *home+":7" {
 					n++
 				}
--- a/internal/controlplane/transport/connections_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
+	t.Cleanup(func() { _ = e.Close() })
 	return e
 }
 
@@ -121,7 +121,7 @@
 	ring := len(
 		message.AppendFrame(
 			nil,
-			&message.Message{Type: message.TypeHandshake, Sender: "a", Incarnation: 1, Receiver: "b"},
+			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}},
 		),
 	)
 	a := l.end(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -136,7 +136,7 @@
 		return nc, err
 	})
 	for call := range uint64(3) {
-		a.Send("b", &message.Message{Type: message.TypePut, RequestID: call + 1})
+		a.Send("b", &message.Message{RequestID: call + 1, Body: &message.Put{}})
 	}
 	if v := <-b.log; v != events.PeerDisconnected {
 		t.Errorf("reset after %d bytes: %s", after, v.Text)
@@ -145,7 +145,7 @@
 		a.Transport.mu.Lock()
 		a.peer("b").lastFailure = time.Time{} // it was too soon to dial again
 		a.Transport.mu.Unlock()
-		a.Send("b", &message.Message{Type: message.TypePut, RequestID: call})
+		a.Send("b", &message.Message{RequestID: call, Body: &message.Put{}})
 		select {
 		case c := <-b.came:
 			if c < 4 {
@@ -166,11 +166,11 @@
 	size := len(
 		message.AppendFrame(
 			nil,
-			&message.Message{Type: message.TypeHandshake, Sender: "a", Incarnation: 1, Receiver: "b"},
+			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}},
 		),
 	) +
 		3*len(
-			message.AppendFrame(nil, &message.Message{Type: message.TypePut, RequestID: 1}),
+			message.AppendFrame(nil, &message.Message{RequestID: 1, Body: &message.Put{}}),
 		)
 	twice := 0
 	for after := range size {
@@ -195,9 +195,11 @@
 func (c misdialled) Write(p []byte) (int, error) {
 	var cut message.FrameDecoder
 	cut.Feed(p)
-	if m, _ := cut.Next(); m != nil && m.Type == message.TypeHandshake {
-		m.Receiver = "b"
-		p = message.AppendFrame(nil, m)
+	if m, _ := cut.Next(); m != nil {
+		if handshake, ok := m.Body.(*message.Handshake); ok {
+			handshake.Receiver = "b"
+			p = message.AppendFrame(nil, m)
+		}
 	}
 	return c.Conn.Write(p)
 }
@@ -215,7 +217,7 @@
 			}
 			return nc, err
 		})
-		a.Send("old", &message.Message{Type: message.TypeConfirmEpoch, RequestID: 1})
+		a.Send("old", &message.Message{RequestID: 1, Body: &message.ConfirmEpoch{}})
 		if looks {
 			if v := <-b.log; v != events.PeerProtocolError {
 				t.Errorf("b says: %s", v.Text)
@@ -239,19 +241,17 @@
 	t.Helper()
 	nc, _ := l.dial(context.Background(), "", to.Self)
 	t.Cleanup(func() { nc.Close() })
-	nc.Write(
-		message.AppendFrame(
-			nil,
-			&message.Message{Type: message.TypeHandshake, Sender: from, Incarnation: life, Receiver: to.Self},
-		),
-	)
-	if m := next(
-		nc,
-	); m == nil || m.Type != message.TypeHandshake || m.Sender != to.Self ||
+	nc.Write(message.AppendFrame(nil, &message.Message{Incarnation: life,
+		Body: &message.Handshake{Sender: from, Receiver: to.Self}}))
+	m := next(nc)
+	if m == nil {
+		t.Fatal("no answer")
+	}
+	if handshake, ok := m.Body.(*message.Handshake); !ok || handshake.Sender != to.Self ||
 		m.Incarnation != to.Incarnation {
 		t.Fatalf("answered %+v", m)
 	}
-	nc.Write(message.AppendFrame(nil, &message.Message{Type: message.TypeHeartbeat}))
+	nc.Write(message.AppendFrame(nil, &message.Message{Body: &message.Heartbeat{}}))
 	<-to.came
 	return nc
 }
@@ -279,7 +279,7 @@
 		l := lines{}
 		b := l.end(t, "b", 2, l.dial)
 		old := l.ring(t, "a", 1, b)
-		b.Send("a", &message.Message{Type: message.TypeCommitted, RequestID: 1})
+		b.Send("a", &message.Message{RequestID: 1, Body: &message.Committed{}})
 		old.Read(make([]byte, 1)) // it stands still in the midst of it
 		young := l.ring(t, "a", life, b)
 		if _, err := old.Read(make([]byte, 1)); (err != nil) != ends {
@@ -288,7 +288,7 @@
 		if !ends {
 			continue
 		}
-		b.Send("a", &message.Message{Type: message.TypeCommitted, RequestID: 2})
+		b.Send("a", &message.Message{RequestID: 2, Body: &message.Committed{}})
 		if m := next(young); m == nil || m.RequestID != 2 {
 			t.Errorf("the new life hears %+v", m)
 		}
--- a/internal/controlplane/transport/transport.go
+++ b/internal/controlplane/transport/transport.go
@@ -1,14 +1,13 @@
-// Package trunk carries messages between the system's processes, over TCP: a connection for each pair that
-// has something to say, used in both directions. What can't be sent is lost, as on any line: those who speak
-// over it repeat themselves. Nothing is sent twice, and of a message that was cut off nothing is heard.
+// Package transport carries messages between the system's processes, over TCP: a connection for each pair that has
+// something to say, used in both directions. What can't be sent is lost, and those who speak over it retry. Nothing is
+// sent twice, and of a message that was cut off nothing is delivered.
 //
-// Both ends say first who they are: their address, and their life. A call to an address that another process
-// answers ends there, before anything that it says is taken.
+// Both ends begin with a handshake: their address, and their incarnation. A connection to an address that another
+// process answers ends there, before any message on it is taken.
 package transport
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -20,22 +19,24 @@
 	"dunespoke/internal/events"
 )
 
-// Bounds and times of lines.
+// Bounds and times of connections.
 const (
 	dialTimeout = 400 * time.Millisecond
-	// of a machine that has what was sent and does not say so: the line is dead
+	// writeTimeout is for a peer that has what was sent and does not say so: the connection is dead.
 	writeTimeout          = 1000 * time.Millisecond
-	redialDelay           = 100 * time.Millisecond   // to a machine that could not be reached
-	maxQueuedBytes        = 2 * message.MaxFrameSize // bytes that wait for a line
-	maxWriteSize          = 64 << 10                 // bytes at once: a link that bears 64 kB/s is no dead one
-	maxInboundConnections = 512                      // that others may have open to this process
-	idleTimeout           = 15 * time.Second         // after which a line with nothing to say is closed
+	redialDelay           = 100 * time.Millisecond   // to a peer that could not be reached
+	maxQueuedBytes        = 2 * message.MaxFrameSize // that wait for a connection
+	maxWriteSize          = 64 << 10                 // bytes at once: a link that bears 64 kB/s is not dead
+	maxInboundConnections = 512
+	idleTimeout           = 15 * time.Second // after which a connection with nothing to say is closed
+	readBufferSize        = 4 << 10
+	maxSpareQueue         = 16 << 10 // bytes of a queue that are kept for the next
 )
 
 // Options are what New needs.
 type Options struct {
 	Self        string // this process's address
-	Incarnation uint64 // and its life: no other process has or had it
+	Incarnation uint64 // and its incarnation: no other process has or had it
 	Listen      func(network, addr string) (net.Listener, error)
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Handle takes what others send. It is called from many goroutines.
@@ -43,7 +44,7 @@
 	Log    func(e events.Event, pairs ...any)
 }
 
-// Transport is a process's lines to others.
+// Transport is a process's connections to its peers.
 type Transport struct {
 	Options
 	listener net.Listener
@@ -53,134 +54,90 @@
 	inbound int
 }
 
-// peer is another process.
+// peer is another process, and what waits to be sent to it. The transport's lock guards it.
 type peer struct {
 	addr        string
 	queue       []byte
 	conn        net.Conn // to write to; nil: none is open
-	incarnation uint64   // of the process at its other end; 0: not said yet
+	incarnation uint64   // of the process at its other end; 0: not told yet
 	writing     bool
 	lastFailure time.Time
 }
 
-// New opens a process's end of its lines.
-func New(o Options) (*Transport, error) {
-	l, err := o.Listen("tcp", o.Self)
+// New listens for peers.
+func New(options Options) (*Transport, error) {
+	listener, err := options.Listen("tcp", options.Self)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	t := &Transport{Options: o, listener: l, peers: map[string]*peer{}}
+	t := &Transport{Options: options, listener: listener, peers: map[string]*peer{}}
 	go t.accept()
 	return t, nil
 }
 
-// Close takes no more calls.
-func (t *Transport) Close() { t.listener.Close() }
+// Close accepts no more connections. Open ones end with the process.
+func (t *Transport) Close() error { return t.listener.Close() }
 
-// setUserTimeout has a connection end that leads to a machine which has gone or is cut off: left alone, it
-// would try again at ever longer times, and hold up what is sent for seconds after the machine is back.
-func (t *Transport) setUserTimeout(nc net.Conn) {
-	tc, ok := nc.(*net.TCPConn)
+// setUserTimeout has a connection end that leads to a peer which has gone or is cut off: left alone, it would
+// retransmit at ever longer times, and hold up what is sent for seconds after the peer is back.
+func (t *Transport) setUserTimeout(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		t.Log(events.UserTimeoutUnsupported)
 		return
 	}
-	raw, err := tc.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return
 	}
-	raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(writeTimeout.Milliseconds()))
+	var refused error
+	err = raw.Control(func(fd uintptr) {
+		refused = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
+			int(writeTimeout.Milliseconds()))
 	})
-	if err != nil {
+	if err != nil || refused != nil {
 		t.Log(events.UserTimeoutUnsupported)
 	}
 }
 
 func (t *Transport) accept() {
 	for {
-		nc, err := t.listener.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			return
 		}
-		t.mu.Lock()
-		full := t.inbound >= maxInboundConnections
-		if !full {
-			t.inbound++
-		}
-		t.mu.Unlock()
-		if full {
-			nc.Close()
+		if !t.admitInbound() {
+			closeQuietly(conn)
 			continue
 		}
-		t.setUserTimeout(nc)
+		t.setUserTimeout(conn)
 		go func() {
-			t.read(nc, "")
-			t.mu.Lock()
-			t.inbound--
-			t.mu.Unlock()
+			defer t.releaseInbound()
+			t.read(conn, "")
 		}()
 	}
 }
 
-// Errors of lines.
-var (
-	errNoHandshake       = errors.New("it does not say who it is")
-	errRepeatedHandshake = errors.New("it says twice who it is")
-	errWrongPeer         = errors.New("another process has the address that was called")
-)
-
-// read takes messages from a connection until it ends. The address that was dialled is empty where the other
-// end did so.
-func (t *Transport) read(nc net.Conn, dialled string) {
-	from := dialled
-	rung := false
-	defer func() {
-		nc.Close()
-		t.detachConn(from, nc)
-	}()
-	var c message.FrameDecoder
-	buf := make([]byte, 4<<10)
-	for {
-		nc.SetReadDeadline(time.Now().Add(idleTimeout))
-		n, err := nc.Read(buf)
-		if n > 0 {
-			c.Feed(buf[:n])
-		}
-		for {
-			m, bad := c.Next()
-			if bad != nil {
-				t.Log(events.PeerProtocolError, "from", from, "error", bad.Error())
-				return
-			}
-			if m == nil {
-				break
-			}
-			switch {
-			case m.Type != message.TypeHandshake && !rung:
-				bad = errNoHandshake
-			case m.Type != message.TypeHandshake:
-				t.Handle(from, m)
-			case rung:
-				bad = errRepeatedHandshake
-			default:
-				rung = true
-				if bad = t.handleHandshake(nc, dialled, m); bad == nil {
-					from = m.Sender
-				}
-			}
-			if bad != nil {
-				t.Log(events.PeerProtocolError, "from", nc.RemoteAddr().String(), "error", bad.Error())
-				return
-			}
-		}
-		if err != nil {
-			t.Log(events.PeerDisconnected, "from", from, "error", err.Error())
-			return
-		}
+// admitInbound counts a connection that a peer has opened, unless there are too many.
+func (t *Transport) admitInbound() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.inbound >= maxInboundConnections {
+		return false
 	}
+	t.inbound++
+	return true
 }
 
+func (t *Transport) releaseInbound() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.inbound--
+}
+
+// closeQuietly closes a connection that is given up anyway: nothing follows from an error.
+func closeQuietly(conn net.Conn) { _ = conn.Close() }
+
 func (t *Transport) peer(addr string) *peer {
 	p := t.peers[addr]
 	if p == nil {
@@ -190,60 +147,34 @@
 	return p
 }
 
-// handleHandshake takes who is at the other end of a connection, and answers who is at this one.
-func (t *Transport) handleHandshake(nc net.Conn, dialled string, m *message.Message) error {
-	switch {
-	case m.Sender == "":
-		return errNoHandshake
-	case dialled != "" && m.Sender != dialled, dialled == "" && m.Receiver != t.Self:
-		return errWrongPeer
-	case dialled == "":
-		if err := t.sendHandshake(nc, ""); err != nil {
-			return err
-		}
-	}
-	t.attachConn(m.Sender, m.Incarnation, nc)
-	return nil
-}
-
-// sendHandshake says who is at this end of a connection, and whom it has called.
-func (t *Transport) sendHandshake(nc net.Conn, to string) error {
-	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, err := nc.Write(
-		message.AppendFrame(
-			nil,
-			&message.Message{Type: message.TypeHandshake, Sender: t.Self, Incarnation: t.Incarnation,
-				Receiver: to},
-		),
-	)
-	return err
-}
-
-// attachConn has a connection used to write to a peer. One that leads to another life of it is closed: the
-// process that was there is gone.
-func (t *Transport) attachConn(from string, life uint64, nc net.Conn) {
+// attach has a connection used to write to a peer. One that leads to another incarnation of it is closed: the process
+// that was there is gone.
+func (t *Transport) attach(from string, incarnation uint64, conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peer(from)
 	switch {
-	case p.conn == nc:
-		p.incarnation = life
+	case p.conn == conn:
+		p.incarnation = incarnation
 	case p.conn == nil || !p.writing:
-		p.conn, p.incarnation = nc, life
-	case p.incarnation != 0 && p.incarnation != life:
-		p.conn.Close()
-		p.conn, p.incarnation = nc, life
+		p.conn, p.incarnation = conn, incarnation
+	case p.incarnation != 0 && p.incarnation != incarnation:
+		closeQuietly(p.conn)
+		p.conn, p.incarnation = conn, incarnation
 	}
 }
 
-func (t *Transport) detachConn(from string, nc net.Conn) {
+// detach forgets a connection that has ended.
+func (t *Transport) detach(from string, conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if p := t.peers[from]; p != nil && p.conn == nc {
-		p.conn = nil
-		if !p.writing {
-			delete(t.peers, from)
-		}
+	p := t.peers[from]
+	if p == nil || p.conn != conn {
+		return
+	}
+	p.conn = nil
+	if !p.writing {
+		delete(t.peers, from)
 	}
 }
 
@@ -272,31 +203,24 @@
 	defer t.mu.Unlock()
 	var spare []byte
 	for len(p.queue) > 0 {
-		nc := p.conn
-		if nc == nil {
-			t.mu.Unlock()
-			dialed, err := t.dial(p.addr)
-			t.mu.Lock()
-			if err != nil {
-				if p.conn == nil { // nor has the peer called meanwhile
-					p.lastFailure, p.queue = time.Now(), nil
-				}
+		conn := p.conn
+		if conn == nil {
+			conn = t.dialPeer(p)
+			if conn == nil {
 				continue
 			}
-			p.conn, p.incarnation, nc = dialed, 0, dialed
-			go t.read(nc, p.addr)
 		}
-		out := p.queue
+		queued := p.queue
 		p.queue = spare[:0]
 		t.mu.Unlock()
-		err := writeAll(nc, out)
+		err := writeAll(conn, queued)
 		t.mu.Lock()
-		if spare = out; cap(spare) > 16<<10 {
+		if spare = queued; cap(spare) > maxSpareQueue {
 			spare = nil
 		}
 		if err != nil {
-			nc.Close()
-			if p.conn == nc {
+			closeQuietly(conn)
+			if p.conn == conn {
 				p.conn = nil
 			}
 		}
@@ -305,32 +229,51 @@
 	p.writing = false
 }
 
-// writeAll writes a queue. A line is dead if it takes nothing for long, and not if it takes much slowly: the
-// limit is on each piece.
-func writeAll(nc net.Conn, out []byte) error {
-	for len(out) > 0 {
-		piece := out[:min(len(out), maxWriteSize)]
-		nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := nc.Write(piece); err != nil {
-			return err
+// dialPeer opens a connection to a peer; nil: it can't be reached, and what was queued is lost, unless the peer has
+// opened one meanwhile. The lock is held by the caller, and not while it dials.
+func (t *Transport) dialPeer(p *peer) net.Conn {
+	t.mu.Unlock()
+	conn, err := t.dial(p.addr)
+	t.mu.Lock()
+	if err != nil {
+		if p.conn == nil {
+			p.lastFailure, p.queue = time.Now(), nil
 		}
-		out = out[len(piece):]
+		return nil
 	}
-	return nil
+	p.conn, p.incarnation = conn, 0
+	go t.read(conn, p.addr)
+	return conn
 }
 
-// dial opens a line and says who is calling.
+// dial opens a connection and says who is calling.
 func (t *Transport) dial(addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	nc, err := t.Dial(ctx, "tcp", addr)
+	conn, err := t.Dial(ctx, "tcp", addr)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	t.setUserTimeout(nc)
-	if err := t.sendHandshake(nc, addr); err != nil {
-		nc.Close()
+	t.setUserTimeout(conn)
+	if err := t.sendHandshake(conn, addr); err != nil {
+		closeQuietly(conn)
 		return nil, trace.ConvertSystemError(err)
 	}
-	return nc, nil
+	return conn, nil
+}
+
+// writeAll writes a queue. A connection is dead if it takes nothing for long, and not if it takes much slowly: the limit
+// is on each piece.
+func writeAll(conn net.Conn, queued []byte) error {
+	for len(queued) > 0 {
+		piece := queued[:min(len(queued), maxWriteSize)]
+		if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+			return err
+		}
+		if _, err := conn.Write(piece); err != nil {
+			return err
+		}
+		queued = queued[len(piece):]
+	}
+	return nil
 }
--- a/internal/controlplane/transport/transport_test.go
+++ b/internal/controlplane/transport/transport_test.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(x.Close)
+		t.Cleanup(func() { _ = x.Close() })
 		ends = append(ends, x)
 	}
 	return ends[0], ends[1]
@@ -44,12 +44,12 @@
 	}
 	came := make(chan heard, 8)
 	a, b := given(t, func(from string, m *message.Message) { came <- heard{from, m} })
-	a.Send(b.Self, &message.Message{Type: message.TypeWatch, RequestID: 7})
+	a.Send(b.Self, &message.Message{RequestID: 7, Body: &message.Watch{}})
 	if h := <-came; h.from != a.Self || h.m.RequestID != 7 {
 		t.Fatalf("b heard %+v of %s", h.m, h.from)
 	}
-	b.Send(a.Self, &message.Message{Type: message.TypeWatchResponse, RequestID: 7})
-	if h := <-came; h.from != b.Self || h.m.Type != message.TypeWatchResponse {
+	b.Send(a.Self, &message.Message{RequestID: 7, Body: &message.WatchResponse{}})
+	if h := <-came; h.from != b.Self || h.m.Type() != message.TypeWatchResponse {
 		t.Fatalf("a heard %+v of %s", h.m, h.from)
 	}
 	for _, x := range []*Transport{a, b} {
@@ -80,7 +80,7 @@
 func TestAStrangerIsHungUpOn(t *testing.T) {
 	a, _ := given(t, func(from string, m *message.Message) { t.Errorf("heard %+v of %s", m, from) })
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.AppendFrame(nil,
-		&message.Message{Type: message.TypeHeartbeat}))} {
+		&message.Message{Body: &message.Heartbeat{}}))} {
 		nc, err := net.Dial("tcp", a.Self)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/scale/cause.go
+++ b/internal/lab/scale/cause.go
@@ -60,7 +60,7 @@
 
 // parts splits a message's bytes by cause.
 func parts(m *message.Message, size int) map[string]int {
-	main := causes[m.Type]
+	main := causes[m.Type()]
 	if main == "" {
 		main = Other
 	}
@@ -71,29 +71,47 @@
 			size -= n
 		}
 	}
-	if len(m.Nodes) > 0 {
-		take(Members, length(&message.Message{Nodes: m.Nodes}))
-	}
-	if m.Config != nil {
-		take(Configuration, length(&message.Message{Config: m.Config}))
-	}
-	for _, p := range m.Chunks {
-		take(tables[p.Resource], length(&message.Message{Chunks: []message.SnapshotChunk{p}}))
-	}
-	if m.Type == message.TypeWatchResponse {
-		take(
-			Views,
-			length(&message.Message{Chain: m.Chain, Members: m.Members, OutgoingMembers: m.OutgoingMembers}),
-		)
-		if m.Endpoints != nil { // long: what is left over
-			bare := *m
+	switch body := m.Body.(type) {
+	case *message.Heartbeat:
+		take(Members, length(&message.Heartbeat{Nodes: body.Nodes}))
+	case *message.Watch:
+		takeChunks(take, body.Chunks)
+	case *message.Promise:
+		takeConfig(take, body.Config)
+	case *message.InstallView:
+		takeConfig(take, body.Config)
+	case *message.LearnerSnapshot:
+		takeConfig(take, body.Config)
+	case *message.ChangeMembersResult:
+		take(Members, length(&message.ChangeMembersResult{Learners: body.Learners}))
+	case *message.WatchResponse:
+		take(Members, length(&message.WatchResponse{Nodes: body.Nodes}))
+		takeConfig(take, body.Config)
+		takeChunks(take, body.Chunks)
+		take(Views, length(&message.WatchResponse{Chain: body.Chain, Members: body.Members,
+			OutgoingMembers: body.OutgoingMembers}))
+		if body.Endpoints != nil { // long: what is left over
+			bare := *body
 			bare.Endpoints, bare.Nodes, bare.Config, bare.Chunks = nil, nil, nil, nil
 			bare.Chain, bare.Members, bare.OutgoingMembers = nil, nil, nil
-			take(Servers, size-length(&bare))
+			take(Servers, size-length(&message.Message{RequestID: m.RequestID, Incarnation: m.Incarnation, Body: &bare}))
 		}
 	}
 	all[main] += size
 	return all
 }
 
-func length(m *message.Message) int { return len(message.MarshalAppend(nil, m)) }
+func takeConfig(take func(cause string, n int), config *message.Delta) {
+	if config != nil {
+		take(Configuration, length(&message.ReadResult{Config: config}))
+	}
+}
+
+func takeChunks(take func(cause string, n int), chunks []message.SnapshotChunk) {
+	for _, chunk := range chunks {
+		take(tables[chunk.Resource], length(&message.Watch{Chunks: []message.SnapshotChunk{chunk}}))
+	}
+}
+
+// length is how many bytes a message, or a part of its body, takes.
+func length(v any) int { return len(message.MarshalAppend(nil, v)) }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -36,7 +36,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			h.trunk.Close()
+			_ = h.trunk.Close()
 			return
 		case f := <-h.work:
 			f()
@@ -53,22 +53,22 @@
 // Log drops what is logged.
 func (h *hollow) Log(events.Event, ...any) {}
 
-// Config notes the version in force.
-func (h *hollow) Config(version uint64, _ []byte) { h.version.Store(version) }
+// ApplyConfig notes the version in force.
+func (h *hollow) ApplyConfig(version uint64, _ []byte) { h.version.Store(version) }
 
-// Servers notes the list.
-func (h *hollow) Servers(list []message.Endpoint) {
+// SetEndpoints notes the list.
+func (h *hollow) SetEndpoints(list []message.Endpoint) {
 	h.servers.Store(int64(len(list)))
 	if len(list) > 0 {
 		h.first.Store(&list[0].ID)
 	}
 }
 
-// Members notes how many there are.
-func (h *hollow) Members(list []message.Node) { h.members.Store(int64(len(list))) }
+// SetNodes notes how many there are.
+func (h *hollow) SetNodes(list []message.Node) { h.members.Store(int64(len(list))) }
 
-// View notes nothing.
-func (h *hollow) View(uint64, []string) {}
+// SetView notes nothing.
+func (h *hollow) SetView(uint64, []string) {}
 
 // Save saves nothing: it has no disk.
 func (h *hollow) Save(uint64, replica.PersistentState) {}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -41,36 +41,35 @@
 		m    message.Message
 		want []string
 	}{
-		{message.Message{Type: message.TypeHeartbeat, OK: true,
-			Endpoints: &message.EndpointList{Epoch: 65, Sequence: 3}}, []string{Beats}},
-		{message.Message{Type: message.TypeHeartbeat, Nodes: members}, []string{Beats, Members}},
-		{message.Message{Type: message.TypeWatchResponse, RequestID: 9, OK: true, Epoch: 65,
-			Chain:   []string{"10.0.0.1:7"},
+		{message.Message{Body: &message.Heartbeat{CaughtUp: true,
+			Endpoints: &message.EndpointList{Epoch: 65, Sequence: 3}}}, []string{Beats}},
+		{message.Message{Body: &message.Heartbeat{Nodes: members}}, []string{Beats, Members}},
+		{message.Message{RequestID: 9, Body: &message.WatchResponse{Fresh: true, Epoch: 65, Chain: []string{"10.0.0.1:7"},
 			Members: members, Version: 2, Config: message.NewDelta(made.Config(2), 1, made.Config(1)), Endpoints: list,
-			Nodes: members, NodesChecksum: 5}, []string{Members, Servers, Configuration, Polls, Views}},
-		{message.Message{Type: message.TypeWatchResponse, RequestID: 9, OK: true, Chunks: []message.SnapshotChunk{
+			Nodes: members, NodesChecksum: 5}}, []string{Members, Servers, Configuration, Polls, Views}},
+		{message.Message{RequestID: 9, Body: &message.WatchResponse{Fresh: true, Chunks: []message.SnapshotChunk{
 			{Resource: message.ResourceConfig, TotalSize: 9, Data: make([]byte, 9)},
 			{Resource: message.ResourceEndpoints, TotalSize: 9, Data: make([]byte, 9)},
-			{Resource: message.ResourceNodes, TotalSize: 9, Data: make([]byte, 9)}}},
+			{Resource: message.ResourceNodes, TotalSize: 9, Data: make([]byte, 9)}}}},
 			[]string{Members, Servers, Configuration, Polls}},
-		{message.Message{Type: message.TypeInstallView, Chain: []string{"10.0.0.1:7"},
-			Config: message.NewDelta(made.Config(1), 0, nil)}, []string{Configuration, Views}},
-		{message.Message{Type: message.TypeEndpointUpdate, Endpoints: list}, []string{Servers}},
-		{message.Message{Type: 1 << 20, RequestID: 1}, []string{Other}},
+		{message.Message{Body: &message.InstallView{Chain: []string{"10.0.0.1:7"},
+			Config: message.NewDelta(made.Config(1), 0, nil)}}, []string{Configuration, Views}},
+		{message.Message{Body: &message.EndpointUpdate{Endpoints: list}}, []string{Servers}},
+		{message.Message{RequestID: 1, Body: &message.Unknown{Number: 1 << 20}}, []string{Other}},
 	} {
 		size := length(&c.m)
 		split := parts(&c.m, size)
 		if !whole(split, size, c.want) {
-			t.Errorf("kind %d: %v of %d bytes, want causes %v", c.m.Type, split, size, c.want)
+			t.Errorf("kind %d: %v of %d bytes, want causes %v", c.m.Type(), split, size, c.want)
 		}
 		// Seeded: bytes that are counted twice, and some that are due to nothing.
 		split[c.want[0]]++
 		if whole(split, size, c.want) {
-			t.Errorf("kind %d: a byte too many is not found", c.m.Type)
+			t.Errorf("kind %d: a byte too many is not found", c.m.Type())
 		}
 		delete(split, c.want[0])
 		if whole(split, size, c.want) {
-			t.Errorf("kind %d: a missing cause is not found", c.m.Type)
+			t.Errorf("kind %d: a missing cause is not found", c.m.Type())
 		}
 	}
 }
@@ -139,7 +138,7 @@
 	got := played(t, v)
 	v.Made.Zones = 3
 	list := length(
-		&message.Message{Endpoints: &message.EndpointList{Epoch: 64, Sequence: 9, Endpoints: v.Made.List(1)}},
+		&message.WatchResponse{Endpoints: &message.EndpointList{Epoch: 64, Sequence: 9, Endpoints: v.Made.List(1)}},
 	)
 	near := func(what string, want ...float64) {
 		t.Helper()
@@ -160,7 +159,7 @@
 	if all := got["cut ingress, cut off that know of it  part"]; !slices.Equal(all, []float64{0, 0}) {
 		t.Errorf("machines that are cut off hear of changes: %v", all)
 	}
-	row := float64(length(&message.Message{Nodes: []message.Node{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
+	row := float64(length(&message.WatchResponse{Nodes: []message.Node{{Addr: "10.1.0.1:7", Zone: "z1"}}}))
 	near("restart ingress got members B", 2*9*row, 2*27*row)
 }
 
--- a/internal/lab/scale/single.go
+++ b/internal/lab/scale/single.go
@@ -128,11 +128,11 @@
 	took, _ = s.cost(func() { change = message.NewDelta(text, 1, old) })
 	s.row("configuration", "pack a change of one route", "ms", by, size, ms(took))
 	s.row("configuration", "change of one route", "B", by, size,
-		float64(length(&message.Message{Config: change})))
+		float64(length(&message.ReadResult{Config: change})))
 	took, _ = s.cost(func() { whole = message.NewDelta(text, 0, nil) })
 	s.row("configuration", "pack the whole", "ms", by, size, ms(took))
 	s.row("configuration", "the whole, packed", "MB", by, size,
-		float64(length(&message.Message{Config: whole}))/1e6)
+		float64(length(&message.ReadResult{Config: whole}))/1e6)
 	took, allocated = s.cost(func() {
 		_, err := change.Apply(1, old)
 		s.fail(err)
@@ -149,10 +149,8 @@
 // list times what a change of the list of servers costs its way.
 func (s *Single) list(m Made) {
 	servers := m.List(0)
-	news := &message.Message{
-		Type:      message.TypeWatchResponse,
-		Endpoints: &message.EndpointList{Epoch: 1, Sequence: 1, Endpoints: servers},
-	}
+	news := &message.Message{Body: &message.WatchResponse{
+		Endpoints: &message.EndpointList{Epoch: 1, Sequence: 1, Endpoints: servers}}}
 	var b []byte
 	took, _ := s.cost(func() { b = message.MarshalAppend(nil, news) })
 	s.row("list", "message", "MB", "servers", m.Servers, float64(len(b))/1e6)
@@ -261,26 +259,27 @@
 	base := heap()
 	d.Activate(time.Hour, 1)
 	now := time.Hour + time.Minute // by when all stores are full
-	all, short := &message.Message{Epoch: 1}, &message.Message{Epoch: 1}
+	all, short := &message.TokenRequest{Epoch: 1}, &message.TokenRequest{Epoch: 1, LastGrant: 1}
 	for i := range m.Tenants {
 		all.Tokens = append(all.Tokens, message.TenantTokens{Tenant: tenant(i)})
 		if i < int(busy*float64(m.Tenants)) {
 			short.Tokens = append(short.Tokens, message.TenantTokens{Tenant: tenant(i), Tokens: burst})
 		}
 	}
-	const asker = "10.0.0.1:7"
-	all.RequestID, short.RequestID, short.LastGrant = 1, 2, 1
-	d.Allocate(now, asker, all)
+	asker := ratelimit.Requester{Addr: "10.0.0.1:7"}
+	d.Allocate(now, asker, 1, all)
 	s.row("desk", "stores", "MB", "tenants", m.Tenants, (heap()-base)/1e6)
-	d.Allocate(now, asker, short)
-	q := &message.Message{Type: message.TypeTokenRequest, Epoch: 1, RequestID: 2}
+	d.Allocate(now, asker, 2, short)
+	requestID := uint64(2)
+	q := &message.TokenRequest{Epoch: 1}
 	for i := range asked {
 		q.Tokens = append(q.Tokens, message.TenantTokens{Tenant: tenant(m.Tenants - 1 - i), Spent: 1})
 	}
-	var answer *message.Message
+	var answer *message.TokenGrant
 	took, _ := s.cost(func() {
-		q.RequestID, q.LastGrant = q.RequestID+1, q.RequestID
-		answer = d.Allocate(now, asker, q)
+		q.LastGrant = requestID
+		requestID++
+		answer = d.Allocate(now, asker, requestID, q)
 	})
 	s.row("desk", "a question", "ms", "tenants", m.Tenants, ms(took))
 	s.row("desk", "a question: message", "B", "tenants", m.Tenants, float64(length(q)))
@@ -293,16 +292,16 @@
 	m := ratelimit.NewLimiter(1, func(string) ratelimit.Limits { return ratelimit.Limits{Rate: 10, Burst: 20} },
 		func(q *message.Message) { out = q }, func(ratelimit.State) {})
 	m.SetAllocator(1, members)
-	grant := &message.Message{Type: message.TypeTokenGrant, Incarnation: 1, OK: true}
+	grant := &message.TokenGrant{OK: true}
 	for i := range int(busy * float64(s.Made.Tenants)) {
 		grant.ExhaustedTenants = append(grant.ExhaustedTenants, tenant(1_000_000+i))
 	}
 	now := time.Hour
 	answer := func() {
 		for q := out; q != nil; q = out {
-			out, grant.RequestID, grant.Tokens = nil, q.RequestID, q.Tokens
+			out, grant.Tokens = nil, q.Body.(*message.TokenRequest).Tokens
 			now += 30 * time.Millisecond // past the pause between questions
-			m.HandleGrant(now, grant)
+			m.HandleGrant(now, 1, q.RequestID, grant)
 		}
 	}
 	base := heap()
--- a/internal/ratelimit/quorum_test.go
+++ b/internal/ratelimit/epoch_test.go
@@ -8,49 +8,50 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// twoHolders plays a holder of the counts that goes on answering after another has taken its place, to a
+// twoAllocators plays an allocator of the counts that goes on answering after another has taken its place, to a
 // tenant that asks for many times its quota, and returns what passed at most within a window.
-func twoHolders(seed uint64, taken bool) (most int, allowed float64) {
+func twoAllocators(seed uint64, taken bool) (most int, allowed float64) {
 	w := given(seed, 12, Limits{Rate: 200, Burst: 200})
 	w.run(8 * time.Second)
-	old, epoch := w.desk, w.epoch
-	w.opens()
-	for i, m := range w.meters[:6] { // they reach the old one, and don't reach the other
+	old, epoch := w.allocator, w.epoch
+	w.activateNext()
+	for i, m := range w.limiters[:6] { // they reach the old one, and don't reach the other
 		m.send = func(q *message.Message) {
-			o := *q
-			o.Epoch = epoch
-			g := *old.Allocate(w.now, fmt.Sprint(i), &o)
+			asked := q.Body.(*message.TokenRequest)
+			late := *asked
+			late.Epoch = epoch
+			grant := *old.Allocate(w.now, Requester{fmt.Sprint(i), q.Incarnation}, q.RequestID, &late)
 			if taken {
-				g.Epoch = q.Epoch
+				grant.Epoch = asked.Epoch
 			}
-			w.at(time.Millisecond, func() { m.HandleGrant(w.now, &g) })
+			w.at(time.Millisecond, func() { m.HandleGrant(w.now, q.Incarnation, q.RequestID, &grant) })
 		}
 	}
 	w.asks(1600, 8*time.Second)
 	return w.most(), w.allowed()
 }
 
-// Given a holder that was frozen or cut off and goes on answering, when another has taken its place, then its
+// Given an allocator that was frozen or cut off and goes on answering, when another has taken its place, then its
 // grants are not taken, and no window holds more than the rules allow. Were they taken, it would.
-func TestGrantsOfAnOldHolderAreNotTaken(t *testing.T) {
+func TestGrantsOfAnOldAllocatorAreNotTaken(t *testing.T) {
 	for seed := range uint64(5) {
-		if most, allowed := twoHolders(seed, false); float64(most) > allowed {
+		if most, allowed := twoAllocators(seed, false); float64(most) > allowed {
 			t.Errorf("%d in a window, %v allowed", most, allowed)
 		}
-		if most, allowed := twoHolders(seed, true); float64(most) <= allowed {
-			t.Errorf("not found: the grants of an old holder are taken: %d in a window, %v allowed", most, allowed)
+		if most, allowed := twoAllocators(seed, true); float64(most) <= allowed {
+			t.Errorf("not found: the grants of an old allocator are taken: %d in a window, %v allowed", most, allowed)
 		}
 	}
 }
 
-// Given a desk under an epoch, when it is asked under an older one, or told to open under one, then it gives
+// Given an allocator under an epoch, when it is asked under an older one, or told to open under one, then it gives
 // nothing, and its stores are as they were.
-func TestADeskGivesNothingUnderAnOlderEpoch(t *testing.T) {
+func TestAnAllocatorGrantsNothingUnderAnOlderEpoch(t *testing.T) {
 	now := time.Hour
 	d := NewAllocator(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
 	d.Activate(now, 7)
-	ask := func(epoch, call uint64) *message.Message {
-		return d.Allocate(now, "a", &message.Message{Type: message.TypeTokenRequest, RequestID: call, Epoch: epoch,
+	ask := func(epoch, call uint64) *message.TokenGrant {
+		return d.Allocate(now, Requester{Addr: "a"}, call, &message.TokenRequest{Epoch: epoch,
 			Tokens: []message.TenantTokens{{Tenant: "t", Tokens: 3, Spent: 1}}})
 	}
 	now += 10 * time.Second
@@ -66,7 +67,7 @@
 	}
 }
 
-// Given a third of the ingresses, cut off from who keeps the counts, when a tenant asks for many times its
+// Given a third of the gateways, cut off from who keeps the counts, when a tenant asks for many times its
 // quota at all of them, and the others hear of the loss after a lease, then no window holds more than the
 // rules allow, which bind those that are cut off, too.
 func TestAThirdCutOffSpendsNoMoreThanTheRulesAllow(t *testing.T) {
@@ -78,14 +79,14 @@
 			}
 			return list
 		}
-		w.desk.SetNodes(w.now, members(12))
+		w.allocator.SetNodes(w.now, members(12))
 		w.run(8 * time.Second)
 		w.asks(rate*3, 5*time.Second)
 		for i := 8; i < 12; i++ {
 			w.cut[i] = true
 		}
-		desk := w.desk
-		w.at(3*time.Second, func() { desk.SetNodes(w.now, members(8)) })
+		allocator := w.allocator
+		w.at(3*time.Second, func() { allocator.SetNodes(w.now, members(8)) })
 		w.asks(rate*3, 20*time.Second)
 		if most := w.most(); float64(most) > w.allowed() {
 			t.Errorf("rate %v: %d in a window, %v allowed", rate, most, w.allowed())
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -1,7 +1,6 @@
 package ratelimit
 
 import (
-	"math"
 	"slices"
 	"sync"
 	"time"
@@ -9,330 +8,250 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Tuned times, each with its reason.
+// Times of asking the allocator.
 const (
-	requestInterval   = 25 * time.Millisecond  // between questions at the least: a burst makes one
-	reportInterval    = 80 * time.Millisecond  // and between those that only tell what was spent
-	statusValidity    = 600 * time.Millisecond // after an answer of the desk, what it said of a tenant holds
-	requestTimeout    = 200 * time.Millisecond // for an answer: many ways there and back
-	maxGrantAge       = time.Second            // and none is taken that is later: it was held up with a process
-	disconnectAfter   = 350 * time.Millisecond // without an answer, the desk can't be reached
-	maxQueueTime      = 400 * time.Millisecond // for a request: by then it is known whether the desk is there
-	emptyHoldTime     = 60 * time.Millisecond  // for which a store that was found empty is taken to be so
-	leaseAheadSeconds = 0.9                    // seconds of demand leased ahead
-	renewShare        = 0.3                    // part of that under which a lease is renewed
-	// requests a second of a tenant, under which nothing is leased ahead
-	minLeaseDemand = 0.5
-	demandHalfLife = 2.0 // seconds over which demand is averaged
-	// after which what was not spent is no longer: it may be counted as lost
-	leaseDuration = 2 * time.Second
+	requestInterval = 25 * time.Millisecond  // between requests at the least: a burst makes one
+	reportInterval  = 80 * time.Millisecond  // and between those that only tell what was spent
+	requestTimeout  = 200 * time.Millisecond // for a grant: many round trips
+	maxGrantAge     = time.Second            // none is taken that is later: it was held up with a process
+	disconnectAfter = 350 * time.Millisecond // without a grant, the allocator counts as unreachable
+	statusValidity  = 600 * time.Millisecond // after a grant, for which what it said of a tenant holds
 )
 
-// State is what a Meter is in.
+// maxQueueTime is how long a request may wait: by then it is known whether the allocator is there.
+const maxQueueTime = 400 * time.Millisecond
+
+// State is what a Limiter is in.
 type State int
 
-// The states of a Meter.
+// The states of a Limiter.
 const (
-	StateConnected    State = iota // the desk answers, or is not known yet to be silent
-	StateDisconnected              // it does not: an even share is gone by
+	StateConnected    State = iota // the allocator answers, or is not known yet to be silent
+	StateDisconnected              // it does not: half of an even share of each rate is spent
 )
 
 // Decision is what becomes of a request.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	Allow Decision = iota
-	Wait           // Decided will be called
+	Wait           // decide will be called
 	Deny
 )
 
-type tenantState struct {
-	limits          Limits
-	tokens          float64 // leased and not spent
-	leasedAt        time.Duration
-	demand          float64 // requests a second, smoothed
-	demandAt        time.Duration
-	emptyUntil      time.Duration // until when the desk is known to have none
-	requested       float64       // asked for by the question that is out
-	unreported      float64       // spent beyond the lease, and not told
-	exhausted       bool          // it may spend only what was given
-	queue           []queuedRequest
-	localTokens     float64 // tokens of the even share
-	localRefilledAt time.Duration
-}
-
-type queuedRequest struct {
-	queuedAt time.Duration
-	decide   func(ok bool, after time.Duration)
-}
+// Decide is called once for a request that has waited. Where it is not allowed, the client may come back after the
+// given time.
+type Decide func(allowed bool, retryAfter time.Duration)
 
-// Limiter holds an ingress's requests to what it has leased. Its methods may be called from any goroutine.
+// Limiter holds a gateway's requests to what it has leased. Its methods may be called from any goroutine.
 type Limiter struct {
-	mu             sync.Mutex
-	state          State
-	incarnation    uint64 // of the process: no other has or had it
-	limits         func(tenant string) Limits
-	send           func(m *message.Message) // to the desk; it must not block
-	onStateChange  func(State)
-	tenants        map[string]*tenantState
-	epoch          uint64
-	nodes          float64
-	requestID      uint64
-	lastGrant      uint64        // the call whose grant was taken last
-	requestSentAt  time.Duration // when the question that is out was sent; 0: none is
-	lastRequestAt  time.Duration // when the last was sent
-	silentSince    time.Duration // since when no question was answered; 0: the last one was
-	lastResponseAt time.Duration // when the last answer came; 0: none has
+	incarnation   uint64 // of the process: no other has or had it
+	limits        func(tenant string) Limits
+	send          func(m *message.Message) // to the allocator; it must not block
+	onStateChange func(State)
+
+	mu      sync.Mutex
+	state   State
+	tenants map[string]*tenantState
+	epoch   uint64 // of the allocator; 0: none is known yet
+	nodes   float64
+
+	requestID      uint64        // of the last request
+	lastGrant      uint64        // the request whose grant was taken last
+	requestSentAt  time.Duration // when the request that is out was sent; 0: none is
+	lastRequestAt  time.Duration // when the last was sent; 0: none was
+	silentSince    time.Duration // since when no request was answered; 0: the last one was
+	lastResponseAt time.Duration // when the last grant came; 0: none has
 }
 
-// NewLimiter returns the meter of a life of a process. Change is told of states.
-func NewLimiter(life uint64, limits func(tenant string) Limits, send func(*message.Message),
-	change func(State)) *Limiter {
-	return &Limiter{
-		incarnation:   life,
-		limits:        limits,
-		send:          send,
-		onStateChange: change,
-		tenants:       map[string]*tenantState{},
-		nodes:         1,
-	}
+// NewLimiter returns the limiter of an incarnation of a process. onStateChange is told of states, under a lock.
+func NewLimiter(incarnation uint64, limits func(tenant string) Limits, send func(*message.Message),
+	onStateChange func(State)) *Limiter {
+	return &Limiter{incarnation: incarnation, limits: limits, send: send, onStateChange: onStateChange,
+		tenants: map[string]*tenantState{}, nodes: 1}
 }
 
 // transition is the one place where the state changes.
-func (m *Limiter) transition(now time.Duration, s State) {
-	if s == m.state {
+func (l *Limiter) transition(now time.Duration, to State) {
+	if to == l.state {
 		return
 	}
-	m.state = s
-	m.onStateChange(s)
-	for _, a := range m.tenants { // shares begin empty: what the desk has given last was all that there was
-		a.localTokens, a.localRefilledAt = 0, now
+	l.state = to
+	l.onStateChange(to)
+	for _, tenant := range l.tenants { // local shares begin empty: what was granted last was all that there was
+		tenant.localTokens, tenant.localRefilledAt = 0, now
 	}
 }
 
-// SetAllocator takes the epoch under which the desk is to be asked, and how many ingresses there are.
-func (m *Limiter) SetAllocator(epoch uint64, members int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if epoch > m.epoch {
-		m.epoch, m.requestSentAt = epoch, 0
+// SetAllocator takes the epoch under which the allocator is to be asked, and how many gateways there are.
+func (l *Limiter) SetAllocator(epoch uint64, nodes int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if epoch > l.epoch {
+		l.epoch, l.requestSentAt = epoch, 0
 	}
-	m.nodes = float64(max(1, members))
+	l.nodes = float64(max(1, nodes))
 }
 
-// Take asks to let a request of a tenant in. With Wait, decided is called later, and not under a lock.
-func (m *Limiter) Take(now time.Duration, tenant string,
-	decided func(ok bool, after time.Duration)) (v Decision, after time.Duration) {
-	l := m.limits(tenant)
-	if l.Rate <= 0 {
+// Take asks to let a request of a tenant in. With Wait, decide is called later, and not under a lock. With Deny, the
+// client may come back after the given time.
+func (l *Limiter) Take(now time.Duration, name string, decide Decide) (d Decision, retryAfter time.Duration) {
+	limits := l.limits(name)
+	if limits.Rate <= 0 {
 		return Allow, 0
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a := m.tenant(now, tenant, l)
-	a.demand = a.demand*math.Exp(-(now-a.demandAt).Seconds()/demandHalfLife) + 1/demandHalfLife
-	a.demandAt = now
-	if now > a.leasedAt+leaseDuration {
-		a.tokens = min(a.tokens, 0)
-	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	tenant := l.tenant(now, name, limits)
+	tenant.recordDemand(now)
+	tenant.dropExpiredLease(now)
 	switch {
-	case a.tokens >= 1:
-		a.tokens--
-		if a.tokens < renewShare*m.targetLease(a) {
-			m.requestTokens(now)
+	case tenant.tokens >= 1:
+		tenant.tokens--
+		if tenant.tokens < renewShare*tenant.targetLease(l.nodes) {
+			l.requestTokens(now)
 		}
 		return Allow, 0
-	case m.state == StateConnected && !a.exhausted && m.lastResponseAt != 0 &&
-		now < m.lastResponseAt+statusValidity && a.unreported < m.unreportedLimit(a):
-		a.unreported++
-		if now >= m.lastRequestAt+reportInterval {
-			m.requestTokens(now)
+	case l.maySpendUnreported(now, tenant):
+		tenant.unreported++
+		if now >= l.lastRequestAt+reportInterval {
+			l.requestTokens(now)
 		}
 		return Allow, 0
-	case m.state == StateDisconnected:
-		m.requestTokens(now)
-		if m.takeLocal(now, a) {
+	case l.state == StateDisconnected:
+		l.requestTokens(now)
+		if tenant.takeLocal(now, l.nodes) {
 			return Allow, 0
 		}
-		return Deny, m.retryAfter(a)
-	case now < a.emptyUntil:
-		return Deny, m.retryAfter(a)
+		return Deny, tenant.retryAfter(l.nodes)
+	case now < tenant.emptyUntil:
+		return Deny, tenant.retryAfter(l.nodes)
 	}
-	a.queue = append(a.queue, queuedRequest{now, decided})
-	m.requestTokens(now)
+	tenant.queue = append(tenant.queue, queuedRequest{now, decide})
+	l.requestTokens(now)
 	return Wait, 0
 }
 
-func (m *Limiter) tenant(now time.Duration, tenant string, l Limits) *tenantState {
-	a := m.tenants[tenant]
-	if a == nil {
-		a = &tenantState{demandAt: now, localRefilledAt: now, leasedAt: now}
-		m.tenants[tenant] = a
-	}
-	a.limits = l
-	return a
-}
-
-// retryAfter is when a tenant's store may have tokens again, for this ingress.
-func (m *Limiter) retryAfter(a *tenantState) time.Duration {
-	return time.Duration(min(1, max(0.05, m.nodes/a.limits.Rate)) * float64(time.Second))
-}
-
-// targetLease is how many tokens to hold: some of the demand to come, and no more than an even part of the
-// room; none where that is less than a request.
-func (m *Limiter) targetLease(a *tenantState) float64 {
-	return math.Floor(min(max(1, leaseAheadSeconds*a.demand), maxLeasedTokens(a.limits)/m.nodes))
+// maySpendUnreported reports whether a request may pass that is told to the allocator afterwards: it has said a moment
+// ago that the tenant has plenty.
+func (l *Limiter) maySpendUnreported(now time.Duration, tenant *tenantState) bool {
+	return l.state == StateConnected && !tenant.exhausted && l.lastResponseAt != 0 &&
+		now < l.lastResponseAt+statusValidity && tenant.unreported < tenant.unreportedLimit(l.nodes)
 }
 
-// unreportedLimit is how much an ingress may let in before it has told the desk.
-func (m *Limiter) unreportedLimit(a *tenantState) float64 { return max(1, a.limits.Burst/4/m.nodes) }
-
-// takeLocal spends of the even share that an ingress has alone.
-func (m *Limiter) takeLocal(now time.Duration, a *tenantState) bool {
-	rate := disconnectedShare * a.limits.Rate / m.nodes
-	a.localTokens = min(
-		max(2, disconnectedShare*a.limits.Burst/m.nodes),
-		a.localTokens+rate*(now-a.localRefilledAt).Seconds(),
-	)
-	a.localRefilledAt = now
-	if a.localTokens < 1 {
-		return false
+func (l *Limiter) tenant(now time.Duration, name string, limits Limits) *tenantState {
+	tenant := l.tenants[name]
+	if tenant == nil {
+		tenant = &tenantState{demandAt: now, localRefilledAt: now, leasedAt: now}
+		l.tenants[name] = tenant
 	}
-	a.localTokens--
-	return true
+	tenant.limits = limits
+	return tenant
 }
 
-// requestTokens sends a question for all that is short, unless one is out. Alone it asks if nothing is short,
-// too: only an answer ends that, and where shares of the room are parts of a request nothing is leased ahead.
-func (m *Limiter) requestTokens(now time.Duration) {
-	if m.epoch == 0 { // no desk is known yet: who waits does so no longer than for one that is silent
-		if m.silentSince == 0 && m.hasQueued() {
-			m.silentSince = max(now, 1)
+// requestTokens sends a request for all that is short, unless one is out. While disconnected it asks if nothing is
+// short, too: only a grant ends that, and where shares of the leases are parts of a request nothing is leased ahead.
+func (l *Limiter) requestTokens(now time.Duration) {
+	if l.epoch == 0 { // no allocator is known yet: who waits does so no longer than for one that is silent
+		if l.silentSince == 0 && l.hasQueued() {
+			l.silentSince = max(now, 1)
 		}
 		return
 	}
-	if m.requestSentAt != 0 && now < m.requestSentAt+requestTimeout ||
-		now < m.lastRequestAt+requestInterval && m.lastRequestAt != 0 {
+	if l.requestSentAt != 0 && now < l.requestSentAt+requestTimeout {
 		return
 	}
-	var tolls []message.TenantTokens
-	for tenant, a := range m.tenants {
-		want := float64(len(a.queue)) - max(a.tokens, 0)
-		if a.demand*math.Exp(-(now-a.demandAt).Seconds()/demandHalfLife) > minLeaseDemand {
-			want += m.targetLease(a)
-		}
-		a.requested = math.Ceil(max(want, 0))
-		if want >= 1 || a.unreported > 0 {
-			tolls = append(tolls, message.TenantTokens{Tenant: tenant, Tokens: a.requested, Spent: a.unreported})
+	if l.lastRequestAt != 0 && now < l.lastRequestAt+requestInterval {
+		return
+	}
+	var tokens []message.TenantTokens
+	for name, tenant := range l.tenants {
+		if asked, ok := tenant.shortage(now, l.nodes); ok {
+			tokens = append(tokens, message.TenantTokens{Tenant: name, Tokens: asked, Spent: tenant.unreported})
 		}
 	}
-	if len(tolls) == 0 && m.state == StateConnected {
+	if len(tokens) == 0 && l.state == StateConnected {
 		return
 	}
-	m.requestID++
-	m.requestSentAt, m.lastRequestAt = max(now, 1), max(now, 1)
-	if m.silentSince == 0 {
-		m.silentSince = m.requestSentAt
+	l.requestID++
+	l.requestSentAt, l.lastRequestAt = max(now, 1), max(now, 1)
+	if l.silentSince == 0 {
+		l.silentSince = l.requestSentAt
 	}
-	m.send(
-		&message.Message{
-			Type:        message.TypeTokenRequest,
-			Incarnation: m.incarnation,
-			RequestID:   m.requestID,
-			Epoch:       m.epoch,
-			LastGrant:   m.lastGrant,
-			Tokens:      tolls,
-		},
-	)
+	l.send(&message.Message{RequestID: l.requestID, Incarnation: l.incarnation,
+		Body: &message.TokenRequest{Epoch: l.epoch, LastGrant: l.lastGrant, Tokens: tokens}})
 }
 
 // hasQueued reports whether some request waits.
-func (m *Limiter) hasQueued() bool {
-	for _, a := range m.tenants {
-		if len(a.queue) > 0 {
+func (l *Limiter) hasQueued() bool {
+	for _, tenant := range l.tenants {
+		if len(tenant.queue) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// HandleGrant takes the desk's answer to the question that is out, once. Any other has been given up. One
-// under another epoch is of a desk whose duty has ended: what it gives is given once more by the next.
-func (m *Limiter) HandleGrant(now time.Duration, g *message.Message) {
-	m.mu.Lock()
-	if g.Incarnation != m.incarnation || g.RequestID != m.requestID || g.Epoch != m.epoch || !g.OK ||
-		m.requestSentAt == 0 || now >= m.requestSentAt+maxGrantAge {
-		m.mu.Unlock()
+// HandleGrant takes the allocator's answer to the request that is out, once. Any other has been given up. One under
+// another epoch is of an allocator whose lease has ended: what it grants is granted once more by the next.
+func (l *Limiter) HandleGrant(now time.Duration, incarnation, requestID uint64, grant *message.TokenGrant) {
+	l.mu.Lock()
+	if incarnation != l.incarnation || requestID != l.requestID || grant.Epoch != l.epoch || !grant.OK ||
+		l.requestSentAt == 0 || now >= l.requestSentAt+maxGrantAge {
+		l.mu.Unlock()
 		return
 	}
-	m.requestSentAt, m.silentSince, m.lastResponseAt, m.lastGrant = 0, 0, max(now, 1), g.RequestID
-	m.transition(now, StateConnected)
-	var then []func()
-	for tenant, a := range m.tenants {
-		a.exhausted = slices.Contains(g.ExhaustedTenants, tenant)
+	l.requestSentAt, l.silentSince, l.lastResponseAt, l.lastGrant = 0, 0, max(now, 1), requestID
+	l.transition(now, StateConnected)
+	for name, tenant := range l.tenants {
+		tenant.exhausted = slices.Contains(grant.ExhaustedTenants, name)
 	}
-	for _, t := range g.Tokens {
-		a := m.tenants[t.Tenant]
-		if a == nil || !(t.Tokens >= 0) {
+	var decisions []func()
+	for _, granted := range grant.Tokens {
+		tenant := l.tenants[granted.Tenant]
+		if tenant == nil || !(granted.Tokens >= 0) { // not a number, or negative: of no use
 			continue
 		}
-		a.unreported = max(0, a.unreported-max(t.Spent, 0))
-		a.tokens += t.Tokens
-		a.leasedAt = now
-		for len(a.queue) > 0 && a.tokens >= 1 {
-			w := a.queue[0]
-			a.queue = a.queue[1:]
-			a.tokens--
-			then = append(then, func() { w.decide(true, 0) })
-		}
-		if len(a.queue) > 0 && t.Tokens < a.requested { // the store is empty
-			a.emptyUntil = now + emptyHoldTime
-			then = append(then, m.denyQueued(a)...)
-		}
-	}
-	m.requestTokens(now) // for those that came since
-	m.mu.Unlock()
-	for _, f := range then {
-		f()
+		decisions = append(decisions, tenant.takeGrant(now, granted, l.nodes)...)
 	}
+	l.requestTokens(now) // for those that came since
+	l.mu.Unlock()
+	runAll(decisions)
 }
 
-// denyQueued refuses all that wait for a tenant.
-func (m *Limiter) denyQueued(a *tenantState) (then []func()) {
-	after := m.retryAfter(a)
-	for _, w := range a.queue {
-		then = append(then, func() { w.decide(false, after) })
+// Tick asks again for what is short, and decides on what has waited too long. It is to be called every 100 ms or so.
+func (l *Limiter) Tick(now time.Duration) {
+	l.mu.Lock()
+	if l.silentSince != 0 && now > l.silentSince+disconnectAfter {
+		l.transition(now, StateDisconnected)
 	}
-	a.queue = nil
-	return then
+	var decisions []func()
+	for name, tenant := range l.tenants {
+		decisions = append(decisions, l.decideOverdue(now, tenant)...)
+		if tenant.idle(now) {
+			delete(l.tenants, name)
+		}
+	}
+	l.requestTokens(now)
+	l.mu.Unlock()
+	runAll(decisions)
 }
 
-// Tick asks again for what is short, and decides on what has waited too long. It is to be called every 100 ms
-// or so.
-func (m *Limiter) Tick(now time.Duration) {
-	m.mu.Lock()
-	if m.silentSince != 0 && now > m.silentSince+disconnectAfter {
-		m.transition(now, StateDisconnected)
-	}
-	var then []func()
-	for tenant, a := range m.tenants {
-		for len(a.queue) > 0 && (m.state == StateDisconnected || now > a.queue[0].queuedAt+maxQueueTime) {
-			if m.state == StateConnected || !m.takeLocal(now, a) {
-				then = append(then, m.denyQueued(a)...)
-				break
-			}
-			w := a.queue[0]
-			a.queue = a.queue[1:]
-			then = append(then, func() { w.decide(true, 0) })
-		}
-		if len(a.queue) == 0 && now > a.demandAt+time.Minute {
-			delete(m.tenants, tenant)
+// decideOverdue decides on the requests of a tenant that have waited too long; while disconnected, on all.
+func (l *Limiter) decideOverdue(now time.Duration, tenant *tenantState) (decisions []func()) {
+	for len(tenant.queue) > 0 && (l.state == StateDisconnected || now > tenant.queue[0].queuedAt+maxQueueTime) {
+		if l.state == StateConnected || !tenant.takeLocal(now, l.nodes) {
+			return append(decisions, tenant.denyQueued(l.nodes)...)
 		}
+		decisions = append(decisions, tenant.allowFirst())
 	}
-	m.requestTokens(now)
-	m.mu.Unlock()
-	for _, f := range then {
-		f()
+	return decisions
+}
+
+// runAll calls what was decided, outside of the lock.
+func runAll(decisions []func()) {
+	for _, decision := range decisions {
+		decision()
 	}
 }
--- a/internal/ratelimit/overlap_test.go
+++ b/internal/ratelimit/overlap_test.go
@@ -8,29 +8,29 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// The bounds of the core: for how long an earlier keeper of the counts may give tokens after the view of the
+// The bounds of the core: for how long an earlier allocator of the counts may give tokens after the view of the
 // next one began, and how much later those who ask it may hear of that one.
 const (
 	earlierGives = 750 * time.Millisecond
 	hearsAfter   = 810 * time.Millisecond
 )
 
-// succeeded has another keeper begin while the one before still gives for a time: half of the ingresses go on
+// succeeded has another allocator begin while the one before still gives for a time: half of the gateways go on
 // asking that and hear of the next one afterwards, the others hear of it soon. The next one gives from the
 // view's beginning, or once the other has left off.
-func (w *town) succeeded(gives time.Duration, waits bool) {
-	earlier := w.desk
+func (w *cluster) succeeded(gives time.Duration, waits bool) {
+	earlier := w.allocator
 	w.epoch++
-	w.desk = NewAllocator(func(string) Limits { return w.limits })
-	next, epoch, opens := w.desk, w.epoch, time.Duration(0)
+	w.allocator = NewAllocator(func(string) Limits { return w.limits })
+	next, epoch, opens := w.allocator, w.epoch, time.Duration(0)
 	until := w.now + gives
 	if waits {
 		opens = gives
 	}
 	w.at(opens, func() { next.Activate(w.now, epoch) })
-	for i, m := range w.meters {
+	for i, m := range w.limiters {
 		hears := time.Duration(w.rng.Int64N(int64(100 * time.Millisecond)))
-		if i < len(w.meters)/2 {
+		if i < len(w.limiters)/2 {
 			hears = gives + time.Duration(w.rng.Int64N(int64(hearsAfter)))
 		}
 		m.send = func(q *message.Message) {
@@ -38,12 +38,12 @@
 		}
 		w.at(hears, func() {
 			m.send = func(q *message.Message) { w.ask(i, m, q) }
-			m.SetAllocator(epoch, len(w.meters))
+			m.SetAllocator(epoch, len(w.limiters))
 		})
 	}
 }
 
-// overlap draws a tenant that asks many times its quota, from rest or not, at ingresses whose keeper changes
+// overlap draws a tenant that asks many times its quota, from rest or not, at gateways whose allocator changes
 // in the midst of it, and returns how many more were let in within a window than the rules allow, as a part
 // of the quota.
 func overlap(seed uint64, waits bool) float64 {
@@ -61,10 +61,10 @@
 	return (float64(w.most()) - w.allowed()) / (rate*quotaWindowSeconds + w.limits.Burst)
 }
 
-// Given any tenant, ingresses and moment, when a keeper of the counts gives tokens until the next one does,
+// Given any tenant, gateways and moment, when an allocator of the counts gives tokens until the next one does,
 // to those who have not heard of that, then no window holds more than the rules allow. When both give at
 // once, for the time that a word of the core may be old, some do.
-func TestOneKeeperAfterTheOtherGivesWhatThereIs(t *testing.T) {
+func TestOneAllocatorAfterTheOtherGrantsWhatThereIs(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		if over := overlap(seed, true); over > 0 {
@@ -75,6 +75,6 @@
 		}
 	}
 	if found < 5 {
-		t.Errorf("not found: of 40 with two keepers at once %d break the rule", found)
+		t.Errorf("not found: of 40 with two allocators at once %d break the rule", found)
 	}
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -14,18 +14,18 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// town is ingresses and desks with delays between them, in virtual time.
-type town struct {
-	now    time.Duration
-	events queue
-	rng    *rand.Rand
-	limits Limits
-	meters []*Limiter
-	desk   *Allocator
-	epoch  uint64
-	cut    map[int]bool // ingresses that don't reach the desk
-	passed []time.Duration
-	denied []time.Duration
+// cluster is gateways and allocators with delays between them, in virtual time.
+type cluster struct {
+	now       time.Duration
+	events    queue
+	rng       *rand.Rand
+	limits    Limits
+	limiters  []*Limiter
+	allocator *Allocator
+	epoch     uint64
+	cut       map[int]bool // gateways that don't reach the allocator
+	passed    []time.Duration
+	denied    []time.Duration
 }
 
 type event struct {
@@ -45,15 +45,15 @@
 	return e
 }
 
-func (w *town) at(after time.Duration, do func()) { heap.Push(&w.events, event{w.now + after, do}) }
+func (w *cluster) at(after time.Duration, do func()) { heap.Push(&w.events, event{w.now + after, do}) }
 
-// given makes a town of so many ingresses before one tenant.
-func given(seed uint64, ingresses int, l Limits) *town {
-	w := &town{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), limits: l, cut: map[int]bool{}}
-	for i := range ingresses {
+// given makes a cluster of so many gateways before one tenant.
+func given(seed uint64, gateways int, l Limits) *cluster {
+	w := &cluster{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 3)), limits: l, cut: map[int]bool{}}
+	for i := range gateways {
 		m := NewLimiter(uint64(i+1), func(string) Limits { return w.limits }, nil, func(State) {})
 		m.send = func(q *message.Message) { w.ask(i, m, q) }
-		w.meters = append(w.meters, m)
+		w.limiters = append(w.limiters, m)
 		var tick func()
 		tick = func() {
 			m.Tick(w.now)
@@ -61,42 +61,43 @@
 		}
 		w.at(time.Duration(i)*time.Millisecond, tick)
 	}
-	w.opens()
+	w.activateNext()
 	return w
 }
 
-// opens has another machine keep the counts.
-func (w *town) opens() {
+// activateNext has another machine keep the counts.
+func (w *cluster) activateNext() {
 	w.epoch++
-	w.desk = NewAllocator(func(string) Limits { return w.limits })
-	w.desk.Activate(w.now, w.epoch)
-	for _, m := range w.meters {
-		m.SetAllocator(w.epoch, len(w.meters))
+	w.allocator = NewAllocator(func(string) Limits { return w.limits })
+	w.allocator.Activate(w.now, w.epoch)
+	for _, m := range w.limiters {
+		m.SetAllocator(w.epoch, len(w.limiters))
 	}
 }
 
-func (w *town) ask(i int, m *Limiter, q *message.Message) {
+func (w *cluster) ask(i int, m *Limiter, q *message.Message) {
 	if w.cut[i] {
 		return
 	}
-	desk := w.desk
-	w.askAt(i, m, desk, q, func() bool { return desk != w.desk })
+	allocator := w.allocator
+	w.askAt(i, m, allocator, q, func() bool { return allocator != w.allocator })
 }
 
-// askAt asks a desk, unless that has gone by the time at which the question comes.
-func (w *town) askAt(i int, m *Limiter, desk *Allocator, q *message.Message, gone func() bool) {
+// askAt asks an allocator, unless that has gone by the time at which the question comes.
+func (w *cluster) askAt(i int, m *Limiter, allocator *Allocator, q *message.Message, gone func() bool) {
 	delay := func() time.Duration { return time.Duration(500+w.rng.IntN(3000)) * time.Microsecond }
 	w.at(delay(), func() {
 		if gone() {
 			return
 		}
-		answer := desk.Allocate(w.now, fmt.Sprint(i), q)
-		w.at(delay(), func() { m.HandleGrant(w.now, answer) })
+		grant := allocator.Allocate(w.now, Requester{fmt.Sprint(i), q.Incarnation}, q.RequestID,
+			q.Body.(*message.TokenRequest))
+		w.at(delay(), func() { m.HandleGrant(w.now, q.Incarnation, q.RequestID, grant) })
 	})
 }
 
-// asks has the tenant ask so often a second, at any ingress, for a time.
-func (w *town) asks(rate float64, length time.Duration) {
+// asks has the tenant ask so often a second, at any gateway, for a time.
+func (w *cluster) asks(rate float64, length time.Duration) {
 	end := w.now + length
 	var next func()
 	next = func() {
@@ -104,7 +105,7 @@
 			return
 		}
 		decided := func(ok bool, _ time.Duration) { w.decided(ok) }
-		if v, _ := w.meters[w.rng.IntN(len(w.meters))].Take(w.now, "t", decided); v != Wait {
+		if v, _ := w.limiters[w.rng.IntN(len(w.limiters))].Take(w.now, "t", decided); v != Wait {
 			w.decided(v == Allow)
 		}
 		w.at(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -113,7 +114,7 @@
 	w.run(length)
 }
 
-func (w *town) decided(ok bool) {
+func (w *cluster) decided(ok bool) {
 	if ok {
 		w.passed = append(w.passed, w.now)
 	} else {
@@ -121,7 +122,7 @@
 	}
 }
 
-func (w *town) run(length time.Duration) {
+func (w *cluster) run(length time.Duration) {
 	for end := w.now + length; len(w.events) > 0 && w.events[0].at <= end; {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -130,7 +131,7 @@
 }
 
 // most is the most that was let in within any window.
-func (w *town) most() (most int) {
+func (w *cluster) most() (most int) {
 	from := 0
 	for i, at := range w.passed {
 		for w.passed[from] < at-time.Duration(quotaWindowSeconds*float64(time.Second)) {
@@ -142,25 +143,25 @@
 }
 
 // allowed is the rules' bound: a tenth over the quota, and twenty requests.
-func (w *town) allowed() float64 {
+func (w *cluster) allowed() float64 {
 	return (w.limits.Rate*quotaWindowSeconds+w.limits.Burst)*1.1 + 20
 }
 
-// Given any tenant, ingresses and demand, when it asks many times its quota, desks change and ingresses are
+// Given any tenant, gateways and demand, when it asks many times its quota, allocators change and gateways are
 // cut off, then no window holds more than the rules allow.
 func TestNoWindowHoldsMoreThanTheRulesAllow(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 15
 	p := gopter.NewProperties(params)
-	p.Property("bounded", prop.ForAll(func(seed uint64, ingresses int, rate float64, times float64) bool {
-		w := given(seed, ingresses, Limits{Rate: rate, Burst: rate})
+	p.Property("bounded", prop.ForAll(func(seed uint64, gateways int, rate float64, times float64) bool {
+		w := given(seed, gateways, Limits{Rate: rate, Burst: rate})
 		w.run(8 * time.Second)
 		w.asks(rate*0.6, 3*time.Second)
 		w.asks(rate*times, 6*time.Second)
 		if seed%2 == 0 {
-			w.opens()
+			w.activateNext()
 		}
-		for i := range ingresses * int(seed%4) / 12 {
+		for i := range gateways * int(seed%4) / 12 {
 			w.cut[i] = true
 		}
 		w.asks(rate*times, 6*time.Second)
@@ -169,61 +170,61 @@
 	p.TestingRun(t)
 }
 
-// Given a tenant within its quota, when it asks at few or many ingresses, then all but a few are let in.
+// Given a tenant within its quota, when it asks at few or many gateways, then all but a few are let in.
 func TestWhoStaysWithinItsQuotaIsLetIn(t *testing.T) {
 	for _, c := range []struct {
-		ingresses int
-		rate      float64
+		gateways int
+		rate     float64
 	}{{3, 20}, {15, 148}, {15, 30}, {84, 40}, {84, 300}} {
-		w := given(9, c.ingresses, Limits{Rate: c.rate, Burst: c.rate})
+		w := given(9, c.gateways, Limits{Rate: c.rate, Burst: c.rate})
 		w.run(8 * time.Second)
 		w.asks(c.rate*0.62, 20*time.Second)
 		if part := float64(len(w.denied)) / float64(len(w.passed)+len(w.denied)); part > 0.005 {
-			t.Errorf("%d ingresses, %v a second: %.1f%% refused", c.ingresses, c.rate, 100*part)
+			t.Errorf("%d gateways, %v a second: %.1f%% refused", c.gateways, c.rate, 100*part)
 		}
 	}
 }
 
 // Given a tenant that asks many times its quota, when all is well, then it gets what its quota holds.
 func TestWhoAsksTooMuchGetsItsQuota(t *testing.T) {
-	for _, ingresses := range []int{5, 15, 84} {
-		w := given(5, ingresses, Limits{Rate: 100, Burst: 100})
+	for _, gateways := range []int{5, 15, 84} {
+		w := given(5, gateways, Limits{Rate: 100, Burst: 100})
 		w.run(8 * time.Second)
 		w.asks(600, 20*time.Second)
 		if got := float64(len(w.passed)) / (100*20 + 100); got < 0.9 {
-			t.Errorf("%d ingresses: %.0f%% of the quota", ingresses, 100*got)
+			t.Errorf("%d gateways: %.0f%% of the quota", gateways, 100*got)
 		}
 	}
 }
 
-// Given ingresses among which a tenant's room is parts of a request, so that nothing is leased ahead, when
-// the desk was silent for a while, then all reach it again, and who stays within its quota is let in.
-func TestAllReachADeskThatIsBack(t *testing.T) {
+// Given gateways among which a tenant's room is parts of a request, so that nothing is leased ahead, when
+// the allocator was silent for a while, then all reach it again, and who stays within its quota is let in.
+func TestAllReachAnAllocatorThatIsBack(t *testing.T) {
 	w := given(3, 84, Limits{Rate: 40, Burst: 40})
 	w.run(8 * time.Second)
 	w.asks(25, 2*time.Second)
-	for i := range w.meters {
+	for i := range w.limiters {
 		w.cut[i] = true
 	}
 	w.asks(25, 3*time.Second)
 	clear(w.cut)
 	w.asks(25, time.Second)
 	alone := 0
-	for _, m := range w.meters {
+	for _, m := range w.limiters {
 		alone += int(m.state)
 	}
 	before := len(w.denied)
 	w.asks(25, 10*time.Second)
 	if n := len(w.denied) - before; alone > 0 || n > 3 {
-		t.Errorf("%d alone a second after the desk was back, %d refused then", alone, n)
+		t.Errorf("%d alone a second after the allocator was back, %d refused then", alone, n)
 	}
 }
 
-// Given a desk that falls silent, when a tenant goes on within half its quota, then most of it is let in.
-func TestWithoutADeskEvenSharesAreGoneBy(t *testing.T) {
+// Given an allocator that falls silent, when a tenant goes on within half its quota, then most of it is let in.
+func TestWithoutAnAllocatorEvenSharesAreSpent(t *testing.T) {
 	w := given(2, 12, Limits{Rate: 100, Burst: 100})
 	w.run(8 * time.Second)
-	for i := range w.meters {
+	for i := range w.limiters {
 		w.cut[i] = true
 	}
 	w.asks(40, 10*time.Second)
@@ -234,6 +235,6 @@
 	before := len(w.denied)
 	w.asks(60, 5*time.Second)
 	if n := len(w.denied) - before; n > 15 {
-		t.Errorf("%d refused after the desk was back", n)
+		t.Errorf("%d refused after the allocator was back", n)
 	}
 }
--- /dev/null
+++ b/internal/server/listeners.go
@@ -0,0 +1,71 @@
+package server
+
+import (
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/rs/zerolog"
+
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/events"
+	"dunespoke/internal/flow"
+	"dunespoke/internal/http1"
+	"dunespoke/internal/net/accept"
+	"dunespoke/internal/net/direct"
+)
+
+// Bounds of connections that others open.
+const (
+	maxControlConnections = 96       // of operators and checks
+	maxControlHeader      = 16 << 10 // bytes
+	maxControlBody        = message.MaxFrameSize - 64<<10
+	maxShortBody          = 64 << 10 // bytes of a client's body that is read before the request is passed on
+	storedBodyMemoryShare = 8        // one in so many bytes of the memory is for bodies that are stored
+	minClientRate         = 32 << 10 // bytes a second that a client has to take or give
+	clientGrace           = 3 * time.Second
+	// acceptAfterTerm is for how long clients are accepted after SIGTERM: two checks of the platform, and a connection
+	// on its way.
+	acceptAfterTerm     = 2300 * time.Millisecond
+	defaultGraceSeconds = 6 // of the bound grace_period_s
+)
+
+// serveControl takes calls at the addresses for them.
+func (s *Server) serveControl() error {
+	for _, addr := range []string{s.settings.Listen.Ready, s.settings.Listen.Control} {
+		if addr == "" {
+			continue
+		}
+		listener, err := direct.Listen("tcp", addr)
+		if err != nil {
+			return trace.ConvertSystemError(err)
+		}
+		server := accept.New(listener, s.api, maxControlConnections, zerolog.Nop())
+		server.Bound(http1.Limits{Head: maxControlHeader, Body: maxControlBody})
+		go server.Serve()
+	}
+	return nil
+}
+
+// acceptClients accepts clients, once requests can be served.
+func (s *Server) acceptClients() error {
+	set := s.settings
+	if set.Listen.Front == "" {
+		return nil
+	}
+	listener, err := direct.Listen("tcp", set.Listen.Front)
+	if err != nil {
+		return trace.ConvertSystemError(err)
+	}
+	files := fileBudget(set)
+	limits := s.handler.ClientLimits()
+	grace := set.Bound("grace_period_s", defaultGraceSeconds)
+	s.listener = accept.NewStreams(listener, s.handler, files-int(upstreamFileShare*float64(files)), accept.Streams{
+		Head: limits.MaxHeaderBytes, Promises: true, Short: maxShortBody, Wait: limits.HeaderTimeout,
+		Idle: limits.IdleTimeout, Accept: acceptAfterTerm, Life: time.Duration(grace * float64(time.Second)),
+		Store: flow.NewStore(max(minBodyMemory, set.Limits.MemoryMB) << 20 / storedBodyMemoryShare),
+		Rest:  flow.Pace{Least: minClientRate, Grace: clientGrace},
+	}, zerolog.Nop())
+	go s.listener.Serve()
+	s.Log(events.Ready)
+	return nil
+}
