--- a/cmd/dunespoke-lab/cluster.go
+++ b/cmd/dunespoke-lab/cluster.go
@@ -22,38 +22,38 @@
 
 // exchangeCases are what can happen to an exchange, to its chain's head, middle or tail where one is named. A
 // machine that can't hear of the change meanwhile is returned.
-var exchangeCases = map[string]func(x *simulation.Exchange, chain []*simulation.Machine) *simulation.Machine{
-	"calm": func(*simulation.Exchange, []*simulation.Machine) *simulation.Machine { return nil },
-	"head-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+var exchangeCases = map[string]func(x *simulation.Cluster, chain []*simulation.Machine) *simulation.Machine{
+	"calm": func(*simulation.Cluster, []*simulation.Machine) *simulation.Machine { return nil },
+	"head-killed": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[0].Kill()
 		return c[0]
 	},
-	"middle-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+	"middle-killed": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[len(c)/2].Kill()
 		return c[len(c)/2]
 	},
-	"tail-killed": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+	"tail-killed": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[len(c)-1].Kill()
 		return c[len(c)-1]
 	},
-	"head-frozen": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+	"head-frozen": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[0].Freeze()
 		return c[0]
 	},
-	"tail-cut": func(x *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+	"tail-cut": func(x *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		x.Isolate(c[len(c)-1], true)
 		return c[len(c)-1]
 	},
-	"head-disk-hangs": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
-		c[0].SetSync(5 * time.Second)
+	"head-disk-hangs": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
+		c[0].SetSyncTime(5 * time.Second)
 		return nil
 	},
-	"head-wiped": func(_ *simulation.Exchange, c []*simulation.Machine) *simulation.Machine {
+	"head-wiped": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[0].Kill()
-		c[0].Wipe()
+		c[0].WipeDisk()
 		return c[0]
 	},
-	"all-killed": func(x *simulation.Exchange, _ []*simulation.Machine) *simulation.Machine {
+	"all-killed": func(x *simulation.Cluster, _ []*simulation.Machine) *simulation.Machine {
 		for _, m := range x.Machines {
 			m.Kill()
 		}
@@ -72,8 +72,9 @@
 	var messages, bytes, calm float64
 	for seed := range c.Seeds {
 		x := simulation.New(
-			simulation.Options{Zones: c.Zones, Disks: c.Disks, Others: c.Others, Survive: c.Survive,
-				Seed: seed + 1, Sync: c.Sync, Latency: c.Latency},
+			simulation.Options{Zones: c.Zones, ReplicasPerZone: c.Disks, GatewaysPerZone: c.Others,
+				SurviveMachines: c.Survive,
+				Seed:            seed + 1, SyncTime: c.Sync, Latency: c.Latency},
 		)
 		x.StartAll()
 		if !x.Until(func() bool { return len(x.Chain()) == c.Zones*c.Disks }, 20*time.Second) {
@@ -94,7 +95,7 @@
 			})
 		}
 		from, size, began := x.Messages, x.Bytes, x.Now
-		took, ok := x.Change(x.Machines[len(x.Machines)-1], 100, 20*time.Second)
+		took, ok := x.PutUntilAcknowledged(x.Machines[len(x.Machines)-1], 100, 20*time.Second)
 		if !ok {
 			return fmt.Errorf("seed %d: not acknowledged", seed+1)
 		}
@@ -108,15 +109,15 @@
 		x.HealAll()
 		back := x.Now
 		for _, m := range chain {
-			m.SetSync(c.Sync)
+			m.SetSyncTime(c.Sync)
 			m.Thaw()
 			m.Start()
 		}
-		if !x.Until(func() bool { return len(x.Chain()) == len(chain) && x.Settled(100) }, 20*time.Second) {
+		if !x.Until(func() bool { return len(x.Chain()) == len(chain) && x.Converged(100) }, 20*time.Second) {
 			return fmt.Errorf("seed %d: the chain is not whole again", seed+1)
 		}
 		whole = append(whole, (x.Now - back).Seconds())
-		if b := x.Broken(); len(b) > 0 {
+		if b := x.Violations(); len(b) > 0 {
 			return fmt.Errorf("seed %d: %s", seed+1, b[0])
 		}
 	}
--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -1,7 +1,8 @@
-// Package api is the control API: the calls of servers and operators, each declared beside its handler, and the question
-// whether this process is ready.
+// Package api is the control API: the calls of servers and operators, each declared beside its handler, and
+// the question whether this process is ready.
 //
-// The names of calls and of JSON fields are those of the wire, which stays; the Go names beside them are the field's.
+// The names of calls and of JSON fields are those of the wire, which stays; the Go names beside them are the
+// field's.
 package api
 
 import (
@@ -23,11 +24,11 @@
 	Put(version uint64, config []byte, done client.PutDone)
 	// Read asks for the newest configuration.
 	Read(done client.ReadDone)
-	// NearestReplica is the host of a replica that answers and has a wider link than this process; empty: this process
-	// has a replica itself, or knows none.
+	// NearestReplica is the host of a replica that answers and has a wider link than this process; empty: this
+	// process has a replica itself, or knows none.
 	NearestReplica() string
-	// ChangeMembers has the core change its members: add one, remove one or both; or tell them where both addresses are
-	// empty.
+	// ChangeMembers has the core change its members: add one, remove one or both; or tell them where both
+	// addresses are empty.
 	ChangeMembers(add, remove string, done client.ChangeMembersDone)
 	// Status tells how this process sees the cluster; done is called once.
 	Status(done func(NodeStatus))
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// admit bounds how many calls are open. Readiness checks are answered at once, and not counted: a busy API is no reason
-// for clients to go elsewhere.
+// admit bounds how many calls are open. Readiness checks are answered at once, and not counted: a busy API is
+// no reason for clients to go elsewhere.
 func (h *Handler) admit(c call, r *http1.Request, respond func(*http1.Answer)) {
 	if c.name == "" {
 		c.serve(h, r, respond)
@@ -126,5 +127,6 @@
 }
 
 func jsonBody(body []byte) *http1.Answer {
-	return &http1.Answer{Status: http.StatusOK, Header: [][2]string{{"Content-Type", "application/json"}}, Body: body}
+	return &http1.Answer{Status: http.StatusOK, Header: [][2]string{{"Content-Type", "application/json"}},
+		Body: body}
 }
--- a/internal/controlplane/api/config.go
+++ b/internal/controlplane/api/config.go
@@ -18,8 +18,8 @@
 const (
 	putRetryAfter  = 50 * time.Millisecond
 	readRetryAfter = 100 * time.Millisecond
-	// redirectThreshold is the length in bytes from which a configuration is not sent over the link of a machine without
-	// a disk: a quarter of a second of the narrowest.
+	// redirectThreshold is the length in bytes from which a configuration is not sent over the link of a machine
+	// without a disk: a quarter of a second of the narrowest.
 	redirectThreshold = 64 << 10
 )
 
--- a/internal/controlplane/api/members.go
+++ b/internal/controlplane/api/members.go
@@ -16,7 +16,8 @@
 	Members           []Member `json:"members"`
 	Learners          []Member `json:"candidates"` // replicas that are no members
 	ToleratedFailures uint64   `json:"spare"`      // members that may be lost now
-	ToleranceGap      string   `json:"lacks"`      // why not all that survive names may be lost now; empty: it may
+	// why not all that survive names may be lost now; empty: it may
+	ToleranceGap string `json:"lacks"`
 }
 
 // Member is one of the core, or could be.
--- a/internal/controlplane/client/calls.go
+++ b/internal/controlplane/client/calls.go
@@ -16,7 +16,8 @@
 	CallTimeout = 880 * time.Millisecond
 )
 
-// ErrNoResponse tells of a call that got no clear answer in time: it may have been carried out, or may be yet.
+// ErrNoResponse tells of a call that got no clear answer in time: it may have been carried out, or may be
+// yet.
 var ErrNoResponse = errors.New("client: no clear answer of the core in time")
 
 // ConflictError tells of a configuration whose version was accepted before with another content.
@@ -26,11 +27,12 @@
 
 // Error tells the committed version.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("client: the version was accepted with another content; version %d is committed", e.Committed)
+	return fmt.Sprintf("client: the version was accepted with another content; version %d is committed",
+		e.Committed)
 }
 
-// PutDone is called once with the end of a Put: the version that the core holds, which may be a later one. The error is
-// ErrNoResponse or a *ConflictError.
+// PutDone is called once with the end of a Put: the version that the core holds, which may be a later one.
+// The error is ErrNoResponse or a *ConflictError.
 type PutDone func(held uint64, err error)
 
 // ReadDone is called once with the end of a Read: the newest configuration. The error is ErrNoResponse.
@@ -117,13 +119,14 @@
 func (c *Client) startCall(now time.Duration, request message.Body, done func(message.Body)) {
 	c.now = now
 	c.calls.lastID++
-	call := &pendingCall{request: message.Message{RequestID: c.calls.lastID, Body: request}, startedAt: now, done: done}
+	call := &pendingCall{request: message.Message{RequestID: c.calls.lastID, Body: request}, startedAt: now,
+		done: done}
 	c.calls.pending[c.calls.lastID] = call
 	c.sendCall(call)
 }
 
-// sendCall sends a call to who serves: reads to the tail, all others to the head; every third time, and where nobody is
-// known, to one member of the core after the other.
+// sendCall sends a call to who serves: reads to the tail, all others to the head; every third time, and where
+// nobody is known, to one member of the core after the other.
 func (c *Client) sendCall(call *pendingCall) {
 	call.sentAt = c.now
 	call.attempts++
@@ -143,7 +146,8 @@
 	}
 }
 
-// tickCalls ends calls that have taken too long and sends others again. It returns when it wants the next call.
+// tickCalls ends calls that have taken too long and sends others again. It returns when it wants the next
+// call.
 func (c *Client) tickCalls() (next time.Duration) {
 	next = c.now + watchWait
 	for _, id := range sortedKeys(c.calls.pending) {
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -1,6 +1,7 @@
-// Package client is every process's client of the control plane: it finds the replicas by the seeds, watches one of
-// them with the versions that it has, and by watching renews this process's lease. What it holds only ever moves on.
-// It knows no sockets and no clock: the caller drives it by Step and Tick, and it acts through Actions.
+// Package client is every process's client of the control plane: it finds the replicas by the seeds, watches
+// one of them with the versions that it has, and by watching renews this process's lease. What it holds only
+// ever moves on. It knows no sockets and no clock: the caller drives it by Step and Tick, and it acts through
+// Actions.
 package client
 
 import (
@@ -25,7 +26,8 @@
 
 // Times of watching.
 const (
-	watchWait     = 800 * time.Millisecond // for which a replica may hold a request: leases last for three of these
+	// for which a replica may hold a request: leases last for three of these
+	watchWait     = 800 * time.Millisecond
 	responseGrace = 450 * time.Millisecond // beyond that, until another replica is asked
 )
 
@@ -33,8 +35,8 @@
 const (
 	// ResponseTimeout is how long a response is awaited and taken.
 	ResponseTimeout = watchWait + responseGrace
-	// FailoverTimeout is how long it takes until another replica than one that has fallen silent has answered, or
-	// has not.
+	// FailoverTimeout is how long it takes until another replica than one that has fallen silent has answered,
+	// or has not.
 	FailoverTimeout = ResponseTimeout + congestedFirstResponse
 	// RedirectTimeout is the same, from the answer of a replica that says that it doesn't serve.
 	RedirectTimeout = retryDelay + congestedFirstResponse
@@ -193,8 +195,8 @@
 	return c.nextRequest
 }
 
-// Announce tells the seeds, and the core as far as it is known, that this process is there. One with a disk that would
-// be a member tells the id of its store; 0: it would not.
+// Announce tells the seeds, and the core as far as it is known, that this process is there. One with a disk
+// that would be a member tells the id of its store; 0: it would not.
 func (c *Client) Announce(storeID uint64) {
 	to := slices.Clone(c.options.Seeds)
 	for _, member := range c.members.list {
@@ -207,8 +209,8 @@
 	}
 }
 
-// selectServer chooses the replica to watch: this process's own, then those of its zone, then the others; the next one
-// after each failure.
+// selectServer chooses the replica to watch: this process's own, then those of its zone, then the others; the
+// next one after each failure.
 func (c *Client) selectServer() {
 	order := slices.Clone(c.members.list)
 	rank := func(member message.Node) int {
@@ -237,10 +239,11 @@
 	return firstResponseTimeout
 }
 
-// retryPause is how long to wait before the next replica is asked, when some have been silent, and late responses tell
-// of congestion: not at all after the first, and then longer each time, with jitter, so that clients that fail at the
-// same moment ask again at moments of their own. It stays short, since a partition that ends must be over for all soon
-// after; where no responses come at all, as in a partition, there is none.
+// retryPause is how long to wait before the next replica is asked, when some have been silent, and late
+// responses tell of congestion: not at all after the first, and then longer each time, with jitter, so that
+// clients that fail at the same moment ask again at moments of their own. It stays short, since a partition
+// that ends must be over for all soon after; where no responses come at all, as in a partition, there is
+// none.
 func (c *Client) retryPause() time.Duration {
 	if !c.congested || c.silent < 2 {
 		return 0
@@ -250,7 +253,8 @@
 	return pause/2 + time.Duration(mix(c.options.Incarnation^c.requestID)%uint64(pause/2))
 }
 
-// mix spreads a number over all numbers: what differs by a little goes far apart. It is the finalizer of splitmix64.
+// mix spreads a number over all numbers: what differs by a little goes far apart. It is the finalizer of
+// splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -277,7 +281,8 @@
 	if c.state == StateConnected { // a replica that was just chosen says at once how it is
 		watch.WaitMillis = uint64(watchWait.Milliseconds())
 	}
-	if last, ok := c.lastResponses[c.server]; ok { // so that it knows when this was sent: the lease counts from then
+	// so that it knows when this was sent: the lease counts from then
+	if last, ok := c.lastResponses[c.server]; ok {
 		watch.EchoRequestID = last.requestID
 		watch.EchoDelayMillis = uint64((c.now - last.at).Milliseconds())
 	}
@@ -285,8 +290,8 @@
 	c.options.Actions.Send(c.server, &message.Message{RequestID: c.requestID, Body: watch})
 }
 
-// handleWatchResponse takes a response to a watch. One that comes later than it is awaited was held up on its way, or
-// with this process and its turn to ask another replica: it says nothing of what is the newest.
+// handleWatchResponse takes a response to a watch. One that comes later than it is awaited was held up on its
+// way, or with this process and its turn to ask another replica: it says nothing of what is the newest.
 func (c *Client) handleWatchResponse(from string, requestID uint64, response *message.WatchResponse) {
 	expected := from == c.server && requestID == c.requestID && c.nextRequest == 0
 	if !expected || c.now >= c.requestSentAt+c.responseTimeout() {
@@ -328,7 +333,8 @@
 // Members returns the members of the core, as far as known.
 func (c *Client) Members() []message.Node { return c.members.list }
 
-// MemberList returns what this process may tell others of the core; without members where it knows nothing for sure.
+// MemberList returns what this process may tell others of the core; without members where it knows nothing
+// for sure.
 func (c *Client) MemberList() *message.MemberList {
 	list := &message.MemberList{MembershipEpoch: c.members.epoch}
 	if !c.members.joint {
@@ -337,8 +343,8 @@
 	return list
 }
 
-// learnMembers takes what is said of the members. Of a change that is not known to be complete it is taken where
-// nothing else is known, and not passed on.
+// learnMembers takes what is said of the members. Of a change that is not known to be complete it is taken
+// where nothing else is known, and not passed on.
 func (c *Client) learnMembers(list *message.MemberList) {
 	joint := len(list.OutgoingMembers) > 0
 	if len(list.Members) == 0 || list.MembershipEpoch < c.members.epoch || joint && len(c.members.list) > 0 {
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Given clients that have failed at the same moments, when late responses tell of congestion, then they ask again
-// at moments of their own, within the longest pause; after the first failure, or where nothing comes at all,
-// each asks the next replica at once, by which the bounds of what is told out of touch go.
+// Given clients that have failed at the same moments, when late responses tell of congestion, then they ask
+// again at moments of their own, within the longest pause; after the first failure, or where nothing comes at
+// all, each asks the next replica at once, by which the bounds of what is told out of touch go.
 func TestClientsThatFailTogetherRetryApart(t *testing.T) {
 	moments := map[time.Duration]bool{}
 	for incarnation := range uint64(50) {
--- a/internal/controlplane/client/resources.go
+++ b/internal/controlplane/client/resources.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// applyDelta returns a configuration, which may be a delta over the one in force or over the one that is held.
+// applyDelta returns a configuration, which may be a delta over the one in force or over the one that is
+// held.
 func (r *resources) applyDelta(delta *message.Delta) ([]byte, error) {
 	base := r.config
 	if delta.BaseVersion != base.version && delta.BaseVersion == r.base.version {
@@ -98,8 +99,8 @@
 	return delta.Apply(base.version, base.config)
 }
 
-// takeChunks takes what a fresh response brings of snapshots. Each that the response names as the newest, and that is
-// complete by now, comes into force. What it doesn't name is of no use any more.
+// takeChunks takes what a fresh response brings of snapshots. Each that the response names as the newest, and
+// that is complete by now, comes into force. What it doesn't name is of no use any more.
 func (r *resources) takeChunks(chunks []message.SnapshotChunk, took time.Duration, actions Actions) {
 	incomplete := snapshotTransfers{}
 	received := 0
@@ -141,8 +142,8 @@
 	}
 }
 
-// hold keeps a configuration that is complete and may be old, as the base of deltas: the next response tells what is
-// newer, or that nothing is, in a few bytes, and that puts it in force.
+// hold keeps a configuration that is complete and may be old, as the base of deltas: the next response tells
+// what is newer, or that nothing is, in a few bytes, and that puts it in force.
 func (r *resources) hold(transfer *snapshotTransfer) {
 	snapshot, ok := transfer.decode()
 	if !ok || snapshot.Config == nil || snapshot.Version <= max(r.config.version, r.base.version) {
--- a/internal/controlplane/client/snapshot_transfer.go
+++ b/internal/controlplane/client/snapshot_transfer.go
@@ -2,9 +2,9 @@
 
 import "dunespoke/internal/controlplane/message"
 
-// A long snapshot comes in chunks. Its bytes are one thing, and the word that it is the newest another: bytes are kept
-// whenever they come, whoever sent them, since they are named by a checksum; and what they are put together to comes
-// into force by a response to the present request alone, which names it as the newest.
+// A long snapshot comes in chunks. Its bytes are one thing, and the word that it is the newest another: bytes
+// are kept whenever they come, whoever sent them, since they are named by a checksum; and what they are put
+// together to comes into force by a response to the present request alone, which names it as the newest.
 
 const (
 	// maxTransferSize bounds what is kept of one, in bytes. A list of 47,000 servers has 2.6 MB.
@@ -44,11 +44,12 @@
 // snapshotTransfers are those of all resources.
 type snapshotTransfers map[message.Resource]*snapshotTransfer
 
-// merge takes what a chunk brings, and returns its transfer; nil: it is of no use. A chunk that answers an earlier
-// request starts nothing anew while something else goes on.
+// merge takes what a chunk brings, and returns its transfer; nil: it is of no use. A chunk that answers an
+// earlier request starts nothing anew while something else goes on.
 func (ts snapshotTransfers) merge(chunk *message.SnapshotChunk, late bool) *snapshotTransfer {
 	transfer := ts[chunk.Resource]
-	if transfer == nil || transfer.header.Checksum != chunk.Checksum || transfer.header.TotalSize != chunk.TotalSize {
+	if transfer == nil || transfer.header.Checksum != chunk.Checksum ||
+		transfer.header.TotalSize != chunk.TotalSize {
 		if chunk.TotalSize > maxTransferSize {
 			return nil
 		}
--- a/internal/controlplane/message/accepted_versions.go
+++ b/internal/controlplane/message/accepted_versions.go
@@ -12,13 +12,13 @@
 	Digest  Digest `pb:"2"` // of the configuration
 }
 
-// The accepted versions are a text of their own, on disk and on the wire: entries of one length, in chunks of a fixed
-// number. Only the last chunk grows, and whole chunks are dropped in front, so that all between stay as they are, and
-// what is written or sent follows from what is new.
+// The accepted versions are a text of their own, on disk and on the wire: entries of one length, in chunks of
+// a fixed number. Only the last chunk grows, and whole chunks are dropped in front, so that all between stay
+// as they are, and what is written or sent follows from what is new.
 
 const (
-	// AcceptedVersionsPerChunk is how many entries a chunk has. Of 512, larger chunks make the last one dearer to
-	// write, and smaller ones the index.
+	// AcceptedVersionsPerChunk is how many entries a chunk has. Of 512, larger chunks make the last one dearer
+	// to write, and smaller ones the index.
 	AcceptedVersionsPerChunk = 32
 
 	acceptedVersionSize = 8 + digestSize // bytes
--- a/internal/controlplane/message/chain.go
+++ b/internal/controlplane/message/chain.go
@@ -9,8 +9,8 @@
 // Type is TypePut.
 func (*Put) Type() Type { return TypePut }
 
-// Committed says that a version is on all disks of the chain: to the rest of the chain, under the view's epoch, or
-// in response to a Put.
+// Committed says that a version is on all disks of the chain: to the rest of the chain, under the view's
+// epoch, or in response to a Put.
 type Committed struct {
 	Epoch   uint64 `pb:"4"`
 	Version uint64 `pb:"7"`
--- a/internal/controlplane/message/chunks.go
+++ b/internal/controlplane/message/chunks.go
@@ -6,10 +6,10 @@
 	"hash/crc32"
 )
 
-// A long configuration is cut into content-defined chunks, whose ends follow from the items in them alone: a change of
-// an item changes its chunk, and leaves all others as they are, wherever they move. The disk keeps chunks by their
-// digests, so that a change writes only what is new; and a replica that is behind tells the digests of what it has,
-// whatever that is, and is sent the chunks that differ.
+// A long configuration is cut into content-defined chunks, whose ends follow from the items in them alone: a
+// change of an item changes its chunk, and leaves all others as they are, wherever they move. The disk keeps
+// chunks by their digests, so that a change writes only what is new; and a replica that is behind tells the
+// digests of what it has, whatever that is, and is sent the chunks that differ.
 
 // Sizes of chunks.
 const (
@@ -58,8 +58,8 @@
 	}
 }
 
-// ChunkIndex returns the digests and lengths of a text's chunks: some twenty bytes for a chunk of eight thousand. It is
-// what a replica tells of the text that it has.
+// ChunkIndex returns the digests and lengths of a text's chunks: some twenty bytes for a chunk of eight
+// thousand. It is what a replica tells of the text that it has.
 func ChunkIndex(text []byte, chunker Chunker) []byte {
 	var index []byte
 	chunker(text, func(chunk []byte) {
@@ -69,8 +69,8 @@
 	return index
 }
 
-// chunkOffsets reads a ChunkIndex: the offsets of the chunks by their digests. It returns nil for an index that can't
-// be read.
+// chunkOffsets reads a ChunkIndex: the offsets of the chunks by their digests. It returns nil for an index
+// that can't be read.
 func chunkOffsets(index []byte) map[Digest]uint64 {
 	offsets := map[Digest]uint64{}
 	offset := uint64(0)
@@ -89,8 +89,9 @@
 	return offsets
 }
 
-// NewDeltaOver returns a text as a delta over what the receiver has, of which only the version, which may be of any age,
-// and the index of chunks are known. Without an index, or with one that can't be read, the text goes in full.
+// NewDeltaOver returns a text as a delta over what the receiver has, of which only the version, which may be
+// of any age, and the index of chunks are known. Without an index, or with one that can't be read, the text
+// goes in full.
 func NewDeltaOver(text []byte, baseVersion uint64, index []byte, chunker Chunker) *Delta {
 	offsets := chunkOffsets(index)
 	if baseVersion == 0 || len(offsets) == 0 {
--- a/internal/controlplane/message/codec.go
+++ b/internal/controlplane/message/codec.go
@@ -14,9 +14,10 @@
 // typeNumber is the field of a message that says of which type it is. It is written first.
 const typeNumber = 1
 
-// fieldOrder is the order in which the fields of a message's header and body are written. Readers take them in any
-// order; it is kept so that the same message has the same bytes in all versions.
-var fieldOrder = []protowire.Number{2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 17, 18, 19, 20, 21, 22, 39, 40,
+// fieldOrder is the order in which the fields of a message's header and body are written. Readers take them
+// in any order; it is kept so that the same message has the same bytes in all versions.
+var fieldOrder = []protowire.Number{2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 17, 18, 19, 20, 21, 22,
+	39, 40,
 	41, 42, 45, 46, 47, 30, 31, 32, 33, 34, 35, 36, 37, 38, 48, 53, 54, 50, 51, 52, 60, 61, 62, 70, 71}
 
 // errFieldType tells of a field whose wire type is not the one that its Go type has.
@@ -33,7 +34,8 @@
 // structCodecs caches a []fieldCodec by reflect.Type.
 var structCodecs sync.Map
 
-// codecOf returns the codecs of a struct's fields that have a tag "pb", in the order in which they are declared.
+// codecOf returns the codecs of a struct's fields that have a tag "pb", in the order in which they are
+// declared.
 func codecOf(t reflect.Type) []fieldCodec {
 	if known, ok := structCodecs.Load(t); ok {
 		return known.([]fieldCodec)
@@ -63,8 +65,8 @@
 // messageCodecs caches a []messageField by the reflect.Type of the body.
 var messageCodecs sync.Map
 
-// messageCodecOf returns the fields of a message with a body of the given struct, in the order in which they are
-// written.
+// messageCodecOf returns the fields of a message with a body of the given struct, in the order in which they
+// are written.
 func messageCodecOf(body reflect.Type) []messageField {
 	if known, ok := messageCodecs.Load(body); ok {
 		return known.([]messageField)
@@ -83,7 +85,8 @@
 	return fields
 }
 
-// MarshalAppend writes a struct whose fields have tags, or a pointer to one, behind buf. Empty fields take no bytes.
+// MarshalAppend writes a struct whose fields have tags, or a pointer to one, behind buf. Empty fields take no
+// bytes.
 func MarshalAppend(buf []byte, v any) []byte {
 	if m, ok := v.(*Message); ok {
 		return marshalMessage(buf, m)
--- a/internal/controlplane/message/delta.go
+++ b/internal/controlplane/message/delta.go
@@ -17,9 +17,9 @@
 	ErrDigestMismatch = errors.New("message: digest mismatch")
 )
 
-// Delta is a text on its way: what changed since a base that the receiver has, where that is known, else the text in
-// full; compressed where it is long. Links may be as slow as a quarter of a megabyte a second, and configurations
-// longer than that.
+// Delta is a text on its way: what changed since a base that the receiver has, where that is known, else the
+// text in full; compressed where it is long. Links may be as slow as a quarter of a megabyte a second, and
+// configurations longer than that.
 type Delta struct {
 	BaseVersion uint64 `pb:"1"` // the version that it is a change of; 0: it is the full text
 	Checksum    uint64 `pb:"2"` // of the full text; 0: empty
@@ -27,8 +27,8 @@
 	Compressed  []byte `pb:"4"` // the same, deflated
 }
 
-// Checksum returns the 64-bit FNV-1a checksum of a text, never 0. It guards against a wrong base, not against an
-// adversary.
+// Checksum returns the 64-bit FNV-1a checksum of a text, never 0. It guards against a wrong base, not against
+// an adversary.
 func Checksum(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
@@ -68,8 +68,9 @@
 	return d
 }
 
-// Apply returns the full text. The receiver has the base version, with the text base. The error is ErrUnknownBase for
-// a delta over another version, ErrDigestMismatch if the text did not come out right: it is to be asked for in full.
+// Apply returns the full text. The receiver has the base version, with the text base. The error is
+// ErrUnknownBase for a delta over another version, ErrDigestMismatch if the text did not come out right: it
+// is to be asked for in full.
 func (d *Delta) Apply(baseVersion uint64, base []byte) ([]byte, error) {
 	raw := d.Raw
 	if len(d.Compressed) > 0 {
@@ -143,8 +144,8 @@
 	}
 }
 
-// itemPrefix is how an item of a configuration begins: texts are cut there. One that is written otherwise is a single
-// item, and goes in full.
+// itemPrefix is how an item of a configuration begins: texts are cut there. One that is written otherwise is
+// a single item, and goes in full.
 var itemPrefix = []byte(`{"item_kind"`)
 
 // forEachItem cuts a text into items, and calls do with each and its offset.
--- a/internal/controlplane/message/handshake.go
+++ b/internal/controlplane/message/handshake.go
@@ -1,7 +1,7 @@
 package message
 
-// Handshake comes first on a connection, from both ends: who is there. The incarnation of the message's header is
-// that of the sender.
+// Handshake comes first on a connection, from both ends: who is there. The incarnation of the message's
+// header is that of the sender.
 type Handshake struct {
 	Sender   string `pb:"3"`  // the sender's address
 	Receiver string `pb:"41"` // the address that was dialled; empty in the answer of the end that was dialled
--- a/internal/controlplane/message/membership.go
+++ b/internal/controlplane/message/membership.go
@@ -1,13 +1,14 @@
 package message
 
-// Announce is sent by a process that starts, and by a replica that is no member, to ask what is known of the core
-// and to be known as a candidate for it.
+// Announce is sent by a process that starts, and by a replica that is no member, to ask what is known of the
+// core and to be known as a candidate for it.
 type Announce struct {
 	HasDisk    bool   `pb:"11"` // the sender has a disk, and would be a member
 	Zone       string `pb:"18"`
 	FirstStart bool   `pb:"20"` // the whole system starts for the first time
 	StoreID    uint64 `pb:"32"`
-	// RemovedByOperator says that the sender was a member that an operator removed: only an operator adds it again.
+	// RemovedByOperator says that the sender was a member that an operator removed: only an operator adds it
+	// again.
 	RemovedByOperator bool `pb:"54"`
 }
 
@@ -18,7 +19,8 @@
 type MemberList struct {
 	Members         []Node `pb:"6"`
 	MembershipEpoch uint64 `pb:"30"` // of the view that installed the members; 0: the first start did
-	// OutgoingMembers are the members before, until the change is known to be complete: both must agree until then.
+	// OutgoingMembers are the members before, until the change is known to be complete: both must agree until
+	// then.
 	OutgoingMembers []Node `pb:"31"`
 	RemovedMembers  []Node `pb:"53"` // that operators have removed last
 }
--- a/internal/controlplane/message/message.go
+++ b/internal/controlplane/message/message.go
@@ -3,8 +3,8 @@
 //
 // Each type of message has a struct of its own, its body. On the wire a message is one protobuf message whose
 // fields are those of the header and of the body together; a field number means the same in all bodies.
-// Numbers are never used again, and fields that a reader doesn't know are skipped, so that two versions of the
-// program can serve side by side.
+// Numbers are never used again, and fields that a reader doesn't know are skipped, so that two versions of
+// the program can serve side by side.
 package message
 
 // Message is one message: a header that the transport and the node read, and a body that depends on the type.
@@ -40,8 +40,8 @@
 // IsRequest reports whether a message expects a response.
 func (m *Message) IsRequest() bool { return len(ResponseTypes[m.Type()]) > 0 }
 
-// IsResponse reports whether a message answers a request. Committed without a request id does not: the tail of
-// the chain tells it to the others.
+// IsResponse reports whether a message answers a request. Committed without a request id does not: the tail
+// of the chain tells it to the others.
 func (m *Message) IsResponse() bool {
 	return isResponse[m.Type()] && (m.Type() != TypeCommitted || m.RequestID != 0)
 }
--- a/internal/controlplane/message/message_test.go
+++ b/internal/controlplane/message/message_test.go
@@ -145,7 +145,8 @@
 
 // Given all that is written by numbered fields, then no two fields of one have the same number.
 func TestNumbersOfFieldsStandForOne(t *testing.T) {
-	written := []any{AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{}, TenantTokens{}, Delta{}, SnapshotChunk{},
+	written := []any{AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{}, TenantTokens{}, Delta{},
+		SnapshotChunk{},
 		patch{}, segment{}}
 	for _, v := range written {
 		seen := map[protowire.Number]bool{}
@@ -158,8 +159,8 @@
 	}
 }
 
-// Given the body of each type, then it says its type, none of its fields has the number of another or of the header,
-// and each has its place in the order of writing.
+// Given the body of each type, then it says its type, none of its fields has the number of another or of the
+// header, and each has its place in the order of writing.
 func TestBodiesShareTheNumbersOfTheHeader(t *testing.T) {
 	for number, makeBody := range newBody {
 		body := makeBody()
@@ -176,8 +177,8 @@
 	}
 }
 
-// Given a message of a type that a later version of the program has added, when it is read, then it is passed on as
-// unknown, and not taken for broken.
+// Given a message of a type that a later version of the program has added, when it is read, then it is passed
+// on as unknown, and not taken for broken.
 func TestAnUnknownTypeIsNoError(t *testing.T) {
 	b := AppendFrame(nil, &Message{RequestID: 7, Body: &Unknown{99}})
 	var decoder FrameDecoder
--- a/internal/controlplane/message/ratelimit.go
+++ b/internal/controlplane/message/ratelimit.go
@@ -26,5 +26,6 @@
 type TenantTokens struct {
 	Tenant string  `pb:"1"`
 	Tokens float64 `pb:"2"`
-	Spent  float64 `pb:"3"` // in a TokenRequest: tokens that were spent beyond what was granted; repeated in the grant
+	// in a TokenRequest: tokens that were spent beyond what was granted; repeated in the grant
+	Spent float64 `pb:"3"`
 }
--- a/internal/controlplane/message/types.go
+++ b/internal/controlplane/message/types.go
@@ -78,8 +78,8 @@
 	TypeChangeMembersResult: func() Body { return new(ChangeMembersResult) },
 }
 
-// ResponseTypes are the types of the responses to each type of request. A response repeats the request id or the
-// epoch of its request, and the incarnation of the process that asked.
+// ResponseTypes are the types of the responses to each type of request. A response repeats the request id or
+// the epoch of its request, and the incarnation of the process that asked.
 var ResponseTypes = map[Type][]Type{
 	TypeAnnounce:         {TypeMemberList},
 	TypePrepare:          {TypePromise, TypeReject},
--- a/internal/controlplane/message/view.go
+++ b/internal/controlplane/message/view.go
@@ -30,8 +30,8 @@
 // Type is TypePromise.
 func (*Promise) Type() Type { return TypePromise }
 
-// Reject says that the sender has promised a later epoch, or is not the replica to ask; it tells the view or the
-// members that it knows.
+// Reject says that the sender has promised a later epoch, or is not the replica to ask; it tells the view or
+// the members that it knows.
 type Reject struct {
 	Epoch           uint64   `pb:"4"`
 	Chain           []string `pb:"5"`
--- a/internal/controlplane/message/watch.go
+++ b/internal/controlplane/message/watch.go
@@ -1,7 +1,7 @@
 package message
 
-// Watch asks for what has changed since the versions that the sender holds, and renews the sender's lease. It is
-// held back until there is a change, or for WaitMillis.
+// Watch asks for what has changed since the versions that the sender holds, and renews the sender's lease. It
+// is held back until there is a change, or for WaitMillis.
 type Watch struct {
 	Epoch         uint64        `pb:"4"`
 	Version       uint64        `pb:"7"`  // of the configuration; 0: none, or the full one is wanted
@@ -10,14 +10,16 @@
 	WaitMillis    uint64        `pb:"17"`
 	Zone          string        `pb:"18"`
 
-	// EchoRequestID names the request whose response the sender had last from the receiver, and EchoDelayMillis how
-	// long ago that came: the lease counts from when this was sent.
+	// EchoRequestID names the request whose response the sender had last from the receiver, and EchoDelayMillis
+	// how long ago that came: the lease counts from when this was sent.
 	EchoRequestID   uint64 `pb:"46"`
 	EchoDelayMillis uint64 `pb:"47"`
 
-	Chunks      []SnapshotChunk `pb:"60"` // how far snapshots have come
-	ChunkBudget uint64          `pb:"61"` // bytes of snapshots that the response may bring; 0: InitialChunkBudget
-	BaseVersion uint64          `pb:"62"` // a configuration that is held and not in force: deltas over it will do
+	Chunks []SnapshotChunk `pb:"60"` // how far snapshots have come
+	// bytes of snapshots that the response may bring; 0: InitialChunkBudget
+	ChunkBudget uint64 `pb:"61"`
+	// a configuration that is held and not in force: deltas over it will do
+	BaseVersion uint64 `pb:"62"`
 }
 
 // Type is TypeWatch.
@@ -90,9 +92,9 @@
 	ResourceNodes
 )
 
-// SnapshotChunk is a run of bytes of a snapshot: a WatchResponse with one resource, encoded. A long snapshot is told
-// in chunks, which are asked for one after the other. It is named by its checksum, so that a transfer goes on at any
-// replica that has the same.
+// SnapshotChunk is a run of bytes of a snapshot: a WatchResponse with one resource, encoded. A long snapshot
+// is told in chunks, which are asked for one after the other. It is named by its checksum, so that a transfer
+// goes on at any replica that has the same.
 type SnapshotChunk struct {
 	Resource  Resource `pb:"1"`
 	Checksum  uint64   `pb:"2"` // of the snapshot
@@ -107,8 +109,8 @@
 
 // Bytes of snapshots that a response may bring.
 const (
-	// InitialChunkBudget holds where the request doesn't say: on a link of a quarter of a megabyte a second it takes
-	// half of the time that a first response has.
+	// InitialChunkBudget holds where the request doesn't say: on a link of a quarter of a megabyte a second it
+	// takes half of the time that a first response has.
 	InitialChunkBudget = 32 << 10
 	MinChunkBudget     = 4 << 10 // however slow the link is, and however many watch
 	MaxChunkBudget     = 1 << 20
--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -1,6 +1,7 @@
-// Package node puts together all that one process does for the control plane: its client, its replica if it has a disk,
-// its part in the first start, and its rate-limit allocator. It is pure, and is driven by one goroutine, or by the
-// simulation of the tests: Step for a message, HandleSaved for a save that has ended, Tick when it says so.
+// Package node puts together all that one process does for the control plane: its client, its replica if it
+// has a disk, its part in the first start, and its rate-limit allocator. It is pure, and is driven by one
+// goroutine, or by the simulation of the tests: Step for a message, HandleSaved for a save that has ended,
+// Tick when it says so.
 package node
 
 import (
@@ -18,8 +19,8 @@
 const (
 	// announceInterval is how often a replica that is of no core says that it is there.
 	announceInterval = 300 * time.Millisecond
-	// seedUpdateInterval is how often a member tells its seeds who the members are: those that have no disk know nothing
-	// after a start, and all processes find the core by them.
+	// seedUpdateInterval is how often a member tells its seeds who the members are: those that have no disk know
+	// nothing after a start, and all processes find the core by them.
 	seedUpdateInterval = 2 * time.Second
 	// replicaTickInterval is how often a replica is to be looked after.
 	replicaTickInterval = 50 * time.Millisecond
@@ -61,8 +62,8 @@
 	nextSeedUpdate time.Duration // and when a member tells the seeds
 }
 
-// requestStamper has every request of this process tell its incarnation, and that it was a member that an operator has
-// removed, if it was.
+// requestStamper has every request of this process tell its incarnation, and that it was a member that an
+// operator has removed, if it was.
 type requestStamper struct {
 	Actions
 	node *Node
@@ -111,8 +112,8 @@
 	return n
 }
 
-// isFirstStart reports whether the whole system starts for the first time: by the settings, or by what the disk says
-// from before this process was restarted.
+// isFirstStart reports whether the whole system starts for the first time: by the settings, or by what the
+// disk says from before this process was restarted.
 func (n *Node) isFirstStart() bool {
 	if n.replica == nil {
 		return n.options.FirstStart
@@ -120,8 +121,9 @@
 	return n.replica.Bootstrap().Trusted && !n.options.Saved.CaughtUp
 }
 
-// newBootstrapper makes this process's bootstrapper; nil: it has no part in a first start. One that is restarted votes
-// by what it has on its disk; without a disk it may have forgotten what it promised, and has no vote.
+// newBootstrapper makes this process's bootstrapper; nil: it has no part in a first start. One that is
+// restarted votes by what it has on its disk; without a disk it may have forgotten what it promised, and has
+// no vote.
 func (n *Node) newBootstrapper(now time.Duration) *replica.Bootstrapper {
 	options := replica.BootstrapOptions{Self: n.options.Self.Addr, Seeds: n.options.Seeds,
 		Tolerance: n.options.Tolerance, Actions: n.options.Actions,
@@ -148,8 +150,8 @@
 	return replica.NewBootstrapper(now, options)
 }
 
-// Step takes a message of another process, or of this one. A response that an earlier incarnation of this process asked
-// for, or another process at its address, is dropped.
+// Step takes a message of another process, or of this one. A response that an earlier incarnation of this
+// process asked for, or another process at its address, is dropped.
 func (n *Node) Step(now time.Duration, from string, m *message.Message) {
 	n.now = now
 	if m.IsResponse() && m.Incarnation != n.options.Incarnation {
@@ -160,7 +162,8 @@
 		n.handleAnnounce(from, m, body)
 	case *message.TokenRequest:
 		n.handleTokenRequest(from, m, body)
-	case *message.BootstrapPrepare, *message.BootstrapPromise, *message.BootstrapAccept, *message.BootstrapAccepted:
+	case *message.BootstrapPrepare, *message.BootstrapPromise, *message.BootstrapAccept,
+		*message.BootstrapAccepted:
 		if n.bootstrapper != nil {
 			n.bootstrapper.Step(now, from, m)
 		}
@@ -199,8 +202,8 @@
 	}
 }
 
-// memberList is what this process tells of the core: what its replica has or what it was told, whichever is newer; and
-// what a bootstrapper has decided where nothing is known.
+// memberList is what this process tells of the core: what its replica has or what it was told, whichever is
+// newer; and what a bootstrapper has decided where nothing is known.
 func (n *Node) memberList() *message.MemberList {
 	list := n.client.MemberList()
 	if n.replica != nil {
@@ -231,13 +234,14 @@
 	if !n.updateAllocator(n.now) {
 		return
 	}
-	grant := n.allocator.Allocate(n.now, ratelimit.Requester{Addr: from, Incarnation: m.Incarnation}, m.RequestID,
+	grant := n.allocator.Allocate(n.now, ratelimit.Requester{Addr: from, Incarnation: m.Incarnation},
+		m.RequestID,
 		request)
 	n.options.Actions.Send(from, m.Reply(grant))
 }
 
-// updateAllocator activates the allocator as soon as this process holds that role: buckets fill from then on. It reports
-// whether it does.
+// updateAllocator activates the allocator as soon as this process holds that role: buckets fill from then on.
+// It reports whether it does.
 func (n *Node) updateAllocator(now time.Duration) bool {
 	epoch, ok := n.HoldsRole(now, replica.QuotaAllocator)
 	if ok && !n.allocating {
@@ -258,8 +262,8 @@
 	return n.replica.HoldsRole(now, role)
 }
 
-// SetEndpoints takes the list of servers, as this process read it by its role: with the epoch under which it held that
-// when the reading began.
+// SetEndpoints takes the list of servers, as this process read it by its role: with the epoch under which it
+// held that when the reading began.
 func (n *Node) SetEndpoints(now time.Duration, epoch uint64, list []message.Endpoint) {
 	if n.replica != nil {
 		n.replica.SetEndpoints(now, epoch, list)
@@ -283,7 +287,8 @@
 	if n.replica == nil {
 		return next
 	}
-	if n.replica.IsUninitialized() && now >= n.nextAnnounce { // its client may know the core, and it is none of that yet
+	// its client may know the core, and it is none of that yet
+	if n.replica.IsUninitialized() && now >= n.nextAnnounce {
 		n.nextAnnounce = now + announceInterval
 		n.client.Announce(n.replica.PersistentState().StoreID)
 	}
--- a/internal/controlplane/replica/bootstrap.go
+++ b/internal/controlplane/replica/bootstrap.go
@@ -19,8 +19,8 @@
 
 // BootstrapState is what a seed keeps of the first start, until a core is named.
 type BootstrapState struct {
-	// Trusted says that this disk holds all that the seed promised: it was made in the first life of the system. A seed
-	// on another disk may have promised what it doesn't know.
+	// Trusted says that this disk holds all that the seed promised: it was made in the first life of the system.
+	// A seed on another disk may have promised what it doesn't know.
 	Trusted         bool
 	Seeds           []string // of the first start
 	PromisedBallot  uint64   // it accepts no proposal below this ballot
@@ -50,18 +50,19 @@
 	Tolerance FaultTolerance
 	Saved     BootstrapState // as found on the disk
 	Actions   Actions
-	// Save writes what there is to keep and syncs it, and calls onSaved once that is done. A seed without a disk calls
-	// it at once: what its process forgets, it may not vote on again.
+	// Save writes what there is to keep and syncs it, and calls onSaved once that is done. A seed without a disk
+	// calls it at once: what its process forgets, it may not vote on again.
 	Save func(state BootstrapState, onSaved func())
 	// ClusterKnown tells whether a core is known here: all is decided then.
 	ClusterKnown func() bool
 }
 
-// Bootstrapper names the members of the core at the first start of the whole system. One runs at each seed; the seeds
-// are the same everywhere then. The first live one in their order proposes whom it has heard of, and a majority of the
-// seeds decides, by single-decree Paxos, as for a view: whoever dies midway, and however many propose at once, no two
-// cores are named. A seed that may have forgotten what it promised proposes nothing, and its promise counts only beside
-// those of all other seeds: whatever is decided, one of them knows.
+// Bootstrapper names the members of the core at the first start of the whole system. One runs at each seed;
+// the seeds are the same everywhere then. The first live one in their order proposes whom it has heard of,
+// and a majority of the seeds decides, by single-decree Paxos, as for a view: whoever dies midway, and
+// however many propose at once, no two cores are named. A seed that may have forgotten what it promised
+// proposes nothing, and its promise counts only beside those of all other seeds: whatever is decided, one of
+// them knows.
 type Bootstrapper struct {
 	options    BootstrapOptions
 	now        time.Duration
@@ -108,7 +109,8 @@
 // HandleAnnounce notes a process that knows of no core.
 func (b *Bootstrapper) HandleAnnounce(now time.Duration, from string, announce *message.Announce) {
 	b.now = now
-	if announce.FirstStart && slices.Contains(b.options.Seeds, from) { // one that forgot its votes proposes nothing
+	// one that forgot its votes proposes nothing
+	if announce.FirstStart && slices.Contains(b.options.Seeds, from) {
 		b.seedHeardAt[from] = now
 	}
 	if announce.HasDisk {
@@ -137,7 +139,8 @@
 	}
 }
 
-// isFirstLiveSeed reports whether no seed before this one lives. One that has not been heard of yet is given time.
+// isFirstLiveSeed reports whether no seed before this one lives. One that has not been heard of yet is given
+// time.
 func (b *Bootstrapper) isFirstLiveSeed() bool {
 	rank := slices.Index(b.options.Seeds, b.options.Self)
 	for i, seed := range b.options.Seeds[:rank] {
@@ -150,10 +153,10 @@
 	return true
 }
 
-// proposableMembers is a core that tolerates what may be lost at once, if enough candidates are there for one and no
-// more come. All of the core have a vote at once: they are named by the ids of their stores, on which all is that they
-// will have acknowledged. After a while it is those that are there then, if no loss of machines covers them: one more
-// would be one too many that is not, or is another store by now.
+// proposableMembers is a core that tolerates what may be lost at once, if enough candidates are there for one
+// and no more come. All of the core have a vote at once: they are named by the ids of their stores, on which
+// all is that they will have acknowledged. After a while it is those that are there then, if no loss of
+// machines covers them: one more would be one too many that is not, or is another store by now.
 func (b *Bootstrapper) proposableMembers() []message.Node {
 	tolerance := b.options.Tolerance
 	members, tolerated := tolerance.bootstrapMembers(b.sortedCandidates())
@@ -215,7 +218,8 @@
 	}
 }
 
-// handlePrepare promises to accept no proposal under a lower ballot, and tells the one that was accepted last.
+// handlePrepare promises to accept no proposal under a lower ballot, and tells the one that was accepted
+// last.
 func (b *Bootstrapper) handlePrepare(from string, m *message.Message, prepare *message.BootstrapPrepare) {
 	if prepare.Ballot <= b.pending.PromisedBallot || b.options.ClusterKnown() {
 		return // who asks tries again, under a higher one
@@ -237,8 +241,8 @@
 	})
 }
 
-// handlePromise counts a promise. The newest proposal that any of them has accepted may be decided already: it is the
-// one.
+// handlePromise counts a promise. The newest proposal that any of them has accepted may be decided already:
+// it is the one.
 func (b *Bootstrapper) handlePromise(from string, promise *message.BootstrapPromise) {
 	if b.phase != BootstrapPreparing || promise.Ballot != b.ballot {
 		return
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -23,7 +23,8 @@
 
 // respond sends the response to a client.
 func (r *Replica) respond(to clientRequest, body message.Body) {
-	r.options.Actions.Send(to.addr, &message.Message{RequestID: to.requestID, Incarnation: to.incarnation, Body: body})
+	r.options.Actions.Send(to.addr, &message.Message{RequestID: to.requestID, Incarnation: to.incarnation,
+		Body: body})
 }
 
 // proposal is a configuration that waits to be acknowledged.
@@ -108,12 +109,13 @@
 		return // the client sends it again
 	}
 	r.replication.proposals = append(r.replication.proposals, proposal{client: client, config: config,
-		receivedAt: r.now, accepted: message.AcceptedVersion{Version: put.Version, Digest: message.DigestOf(config)}})
+		receivedAt: r.now, accepted: message.AcceptedVersion{Version: put.Version,
+			Digest: message.DigestOf(config)}})
 	r.proposeNext()
 }
 
-// proposeNext responds to what is committed, and starts on the next: all that wait go down the chain at once, the
-// highest version with its configuration, those below it as accepted versions.
+// proposeNext responds to what is committed, and starts on the next: all that wait go down the chain at once,
+// the highest version with its configuration, those below it as accepted versions.
 func (r *Replica) proposeNext() {
 	if r.chainPosition() != 0 {
 		return
@@ -143,8 +145,9 @@
 	r.saveAndRelay()
 }
 
-// respondToCommitted responds to those whose versions are not above what is committed. What has gone down the chain in
-// this view was accepted by all of it; for the rest a quorum is asked first whether this is the head still.
+// respondToCommitted responds to those whose versions are not above what is committed. What has gone down the
+// chain in this view was accepted by all of it; for the rest a quorum is asked first whether this is the head
+// still.
 func (r *Replica) respondToCommitted() {
 	settled := r.replication.take(func(p *proposal) bool {
 		return p.accepted.Version <= r.committed && p.replicating
@@ -176,9 +179,9 @@
 	})
 }
 
-// respondToProposal responds for a version that is not above what is committed: one that was accepted with the same
-// content is acknowledged, however often it comes, and with another is a conflict. One of which nothing is remembered is
-// acknowledged and changes nothing, since the highest version wins.
+// respondToProposal responds for a version that is not above what is committed: one that was accepted with
+// the same content is acknowledged, however often it comes, and with another is a conflict. One of which
+// nothing is remembered is acknowledged and changes nothing, since the highest version wins.
 func (r *Replica) respondToProposal(p *proposal) {
 	digest, known := r.store.pending.digestOf(p.accepted.Version)
 	if known && digest != p.accepted.Digest {
@@ -245,7 +248,8 @@
 
 // handleCommitted takes that the tail has a version: it is committed.
 func (r *Replica) handleCommitted(m *message.Committed) {
-	if r.state != StateServing || m.Epoch != r.epoch || m.Version <= r.committed || m.Version > r.store.saved.Version {
+	if r.state != StateServing || m.Epoch != r.epoch || m.Version <= r.committed ||
+		m.Version > r.store.saved.Version {
 		return
 	}
 	r.commit(m.Version)
@@ -261,8 +265,8 @@
 	}
 }
 
-// commitOverdue reports whether something has been on this disk for long, and is not known to be committed: it may be,
-// and acknowledged, and this replica alone has not been told.
+// commitOverdue reports whether something has been on this disk for long, and is not known to be committed:
+// it may be, and acknowledged, and this replica alone has not been told.
 func (r *Replica) commitOverdue() bool {
 	return r.store.saved.Version > r.committed && r.now > r.store.versionSince+contactTimeout
 }
--- a/internal/controlplane/replica/config_history.go
+++ b/internal/controlplane/replica/config_history.go
@@ -18,8 +18,8 @@
 // deltaKey names a delta by its version and the base; base 0: in full.
 type deltaKey struct{ version, base uint64 }
 
-// configHistory is the configurations that were committed last, and the deltas between them, each made once for all who
-// ask for the same.
+// configHistory is the configurations that were committed last, and the deltas between them, each made once
+// for all who ask for the same.
 type configHistory struct {
 	committed []configVersion // in rising order
 	deltas    map[deltaKey]*message.Delta
--- a/internal/controlplane/replica/endpoints.go
+++ b/internal/controlplane/replica/endpoints.go
@@ -33,9 +33,9 @@
 	return true
 }
 
-// SetEndpoints takes the list of servers as this replica has read it by its role, and the epoch under which it held that
-// when it began to read: the list's fencing token. A reading that was held up while another view came is older than what
-// the next holder has told by then, and is dropped.
+// SetEndpoints takes the list of servers as this replica has read it by its role, and the epoch under which
+// it held that when it began to read: the list's fencing token. A reading that was held up while another view
+// came is older than what the next holder has told by then, and is dropped.
 func (r *Replica) SetEndpoints(now time.Duration, startedUnder uint64, endpoints []message.Endpoint) {
 	epoch, ok := r.HoldsRole(now, EndpointReader)
 	if !ok || startedUnder != epoch {
@@ -61,17 +61,19 @@
 }
 
 func (r *Replica) sendEndpointsTo(to string, p *peerState) {
-	list := r.endpoints.list                                          // a copy: this replica's own may change before it is sent
+	// a copy: this replica's own may change before it is sent
+	list := r.endpoints.list
 	p.endpointsEpoch, p.endpointsSequence = list.Epoch, list.Sequence // until its heartbeat says otherwise
 	r.send(to, &message.EndpointUpdate{Endpoints: &list})
 }
 
-// sendNewerEndpoints has the list go on where none was read under this view for long, since the platform may be down: to
-// the replica whose role that is, if others have a newer one, and from there to those that are behind. It keeps its
-// fencing token.
+// sendNewerEndpoints has the list go on where none was read under this view for long, since the platform may
+// be down: to the replica whose role that is, if others have a newer one, and from there to those that are
+// behind. It keeps its fencing token.
 func (r *Replica) sendNewerEndpoints(to string, p *peerState) {
 	holder := RoleHolder(r.chain, EndpointReader)
-	if r.state != StateServing || r.now < r.stateSince+endpointsStaleAfter || r.endpoints.list.Epoch == r.epoch ||
+	if r.state != StateServing || r.now < r.stateSince+endpointsStaleAfter ||
+		r.endpoints.list.Epoch == r.epoch ||
 		holder != r.self && holder != to || !slices.Contains(r.chain, to) {
 		return
 	}
--- a/internal/controlplane/replica/failure_detector.go
+++ b/internal/controlplane/replica/failure_detector.go
@@ -9,15 +9,16 @@
 
 // Times of heartbeats.
 const (
-	heartbeatInterval        = 150 * time.Millisecond // four in the time after which silence counts
-	heartbeatsPerLeaseReport = 5                      // of them one tells of nodes: leases last for four of those
+	heartbeatInterval = 150 * time.Millisecond // four in the time after which silence counts
+	// of them one tells of nodes: leases last for four of those
+	heartbeatsPerLeaseReport = 5
 	failureTimeout           = 650 * time.Millisecond // some lost packets and a slow turn are no failure
 	// unresponsiveTimeout is for a replica that is heard and doesn't answer: within sync_s.
 	unresponsiveTimeout = 2 * time.Second
 )
 
-// How old the news of a replica may be. Both go by the teller's own steady clock, which runs on while its process
-// stands still.
+// How old the news of a replica may be. Both go by the teller's own steady clock, which runs on while its
+// process stands still.
 const (
 	// contactTimeout is the most for what is told as fresh: silence that counts as failure, and a round trip.
 	contactTimeout = failureTimeout + 100*time.Millisecond
@@ -27,7 +28,8 @@
 	MaxWatchSilence = contactTimeout + viewChangeAllowance
 )
 
-// heartbeatHistorySize is how many heartbeats of its own a replica remembers the times of: ten seconds of them.
+// heartbeatHistorySize is how many heartbeats of its own a replica remembers the times of: ten seconds of
+// them.
 const heartbeatHistorySize = 64
 
 // heartbeatHistory has the times of the heartbeats that a replica sent last, by their sequence numbers.
@@ -96,7 +98,8 @@
 // silent reports whether a peer has fallen silent.
 func (p *peerState) silent(now time.Duration) bool { return now > p.lastHeard+failureTimeout }
 
-// recordContact notes what a heartbeat tells of its sender's view. One that was sent before another changes nothing.
+// recordContact notes what a heartbeat tells of its sender's view. One that was sent before another changes
+// nothing.
 func (p *peerState) recordContact(epoch uint64, at time.Duration) {
 	if at >= p.contactAt {
 		p.contactAt, p.epoch = at, epoch
@@ -175,10 +178,14 @@
 	return list
 }
 
-// partitioned reports whether a replica and one of some others don't hear each other: they can't be in one chain.
+// partitioned reports whether a replica and one of some others don't hear each other: they can't be in one
+// chain.
 func (d *failureDetector) partitioned(addr string, others []string) bool {
 	misses := func(a, b string) bool { return a != d.self && slices.Contains(d.byAddr[a].unreachable, b) }
-	return slices.ContainsFunc(others, func(other string) bool { return misses(addr, other) || misses(other, addr) })
+	return slices.ContainsFunc(others, func(other string) bool {
+		return misses(addr, other) || misses(other,
+			addr)
+	})
 }
 
 // echo has a heartbeat name the last one that came from who it goes to.
@@ -190,9 +197,10 @@
 	return &h
 }
 
-// sentTime returns when a peer sent a heartbeat, by this replica's clock, or a little earlier: it names the last
-// heartbeat of this one that it had, and how long before it had that. What waited on its way, in a socket or before a
-// process that stood still, is as old as it is, however late it is read. False: it has heard none.
+// sentTime returns when a peer sent a heartbeat, by this replica's clock, or a little earlier: it names the
+// last heartbeat of this one that it had, and how long before it had that. What waited on its way, in a
+// socket or before a process that stood still, is as old as it is, however late it is read. False: it has
+// heard none.
 func (d *failureDetector) sentTime(now time.Duration, h *message.Heartbeat) (at time.Duration, ok bool) {
 	echoed, ok := d.sent.sentTime(h.EchoSequence)
 	if !ok {
@@ -204,8 +212,8 @@
 // ReachableMembers returns the members of the core that are heard now, this one among them.
 func (r *Replica) ReachableMembers() []string { return r.peers.reachable(r.now, r.store.saved.Members) }
 
-// hearsQuorum reports whether this replica hears a quorum, or may yet after its start. One that doesn't is of no use to
-// those who hear it.
+// hearsQuorum reports whether this replica hears a quorum, or may yet after its start. One that doesn't is of
+// no use to those who hear it.
 func (r *Replica) hearsQuorum() bool {
 	if r.peers.starting(r.now) {
 		return true
@@ -297,7 +305,8 @@
 		r.quorumSeen = true
 		r.answerDueWatchers()
 	}
-	if r.state == StateServing && h.CaughtUp && h.Epoch < r.epoch && slices.Contains(r.chain, from) { // it missed that
+	// it missed that
+	if r.state == StateServing && h.CaughtUp && h.Epoch < r.epoch && slices.Contains(r.chain, from) {
 		r.send(from, &message.ActivateView{Epoch: r.epoch, Chain: r.chain, Version: r.committed})
 	}
 }
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -10,14 +10,15 @@
 
 // Times and bounds of membership.
 const (
-	// defaultReplaceAfter is for where the settings name no sync_s, half of which it is: a successor has to be a member
-	// within sync_s of its start, and a process that is restarted is back within a second.
+	// defaultReplaceAfter is for where the settings name no sync_s, half of which it is: a successor has to be a
+	// member within sync_s of its start, and a process that is restarted is back within a second.
 	defaultReplaceAfter = 2 * time.Second
-	// learnerSnapshotInterval is between snapshots to a learner that has not answered: a configuration may be long.
+	// learnerSnapshotInterval is between snapshots to a learner that has not answered: a configuration may be
+	// long.
 	learnerSnapshotInterval = time.Second
 	changeRequestTimeout    = 5 * time.Second // for an operator's order to become a view
-	// maxRemovedMembers is how many of those that operators have removed are remembered: who is started again only after
-	// as many more comes as a learner.
+	// maxRemovedMembers is how many of those that operators have removed are remembered: who is started again
+	// only after as many more comes as a learner.
 	maxRemovedMembers = 64
 )
 
@@ -62,8 +63,8 @@
 	}
 }
 
-// admitHeartbeat reports whether a heartbeat is a member's. One that was removed is told so, and who knows of newer
-// members is asked for them.
+// admitHeartbeat reports whether a heartbeat is a member's. One that was removed is told so, and who knows of
+// newer members is asked for them.
 func (r *Replica) admitHeartbeat(from string, h *message.Heartbeat) bool {
 	saved := &r.store.saved
 	joint := len(saved.OutgoingMembers) > 0
@@ -80,8 +81,8 @@
 	return false
 }
 
-// handleMemberList takes what another process says of the members. A replica without a vote waits until a change is
-// known to be complete.
+// handleMemberList takes what another process says of the members. A replica without a vote waits until a
+// change is known to be complete.
 func (r *Replica) handleMemberList(list *message.MemberList) {
 	switch {
 	case len(list.Members) == 0:
@@ -92,8 +93,9 @@
 	}
 }
 
-// storeMembers notes the members on a replica without a vote. Whoever stands among those of the first start with this
-// very store has had all that was acknowledged since: it has caught up. Others are repaired by a view.
+// storeMembers notes the members on a replica without a vote. Whoever stands among those of the first start
+// with this very store has had all that was acknowledged since: it has caught up. Others are repaired by a
+// view.
 func (r *Replica) storeMembers(list *message.MemberList) {
 	pending := &r.store.pending
 	if !hasMember(list.Members, r.selfMember()) {
@@ -115,8 +117,8 @@
 	})
 }
 
-// adoptMembers takes newer members, if they are. They may be of a change that is not known to be complete: then both
-// memberships have to agree from here on. A replica that is in neither was removed.
+// adoptMembers takes newer members, if they are. They may be of a change that is not known to be complete:
+// then both memberships have to agree from here on. A replica that is in neither was removed.
 func (r *Replica) adoptMembers(list *message.MemberList) {
 	pending := &r.store.pending
 	known := list.MembershipEpoch == pending.MembershipEpoch &&
@@ -136,9 +138,9 @@
 	}
 }
 
-// retire gives up this replica's membership, for ever: it was removed. What it holds counts no more, and it may come
-// back as another member, with another store id; if an operator has removed it, by operators alone. What it has promised
-// stays.
+// retire gives up this replica's membership, for ever: it was removed. What it holds counts no more, and it
+// may come back as another member, with another store id; if an operator has removed it, by operators alone.
+// What it has promised stays.
 func (r *Replica) retire(membershipEpoch uint64, removed []message.Node) {
 	const retirementShift = 40 // so that store ids of this incarnation differ from those of all others
 	byOperator := hasMember(removed, r.selfMember())
@@ -153,8 +155,8 @@
 	r.save(nil)
 }
 
-// completeMembershipChange notes that a change of members is so: its view is on the disks of a majority before and
-// after.
+// completeMembershipChange notes that a change of members is so: its view is on the disks of a majority
+// before and after.
 func (r *Replica) completeMembershipChange(epoch uint64) {
 	pending := &r.store.pending
 	if len(pending.OutgoingMembers) == 0 || pending.MembershipEpoch != epoch {
@@ -193,15 +195,16 @@
 	}
 }
 
-// handleLearnerSnapshot takes the newest value, as a replica without a vote: a view that makes it a member finds it
-// there.
+// handleLearnerSnapshot takes the newest value, as a replica without a vote: a view that makes it a member
+// finds it there.
 func (r *Replica) handleLearnerSnapshot(from string, m *message.LearnerSnapshot) {
 	pending := &r.store.pending
 	if r.state != StateUninitialized || pending.CaughtUp || m.StoreID != r.store.saved.StoreID ||
 		r.DiskUnhealthy() {
 		return
 	}
-	value, err := pending.receive(transferredValue{m.AcceptedEpoch, m.Version, m.AcceptedVersions, m.AcceptedDelta,
+	value, err := pending.receive(transferredValue{m.AcceptedEpoch, m.Version, m.AcceptedVersions,
+		m.AcceptedDelta,
 		m.Config})
 	if err != nil {
 		return // it comes again
@@ -218,8 +221,8 @@
 	}
 }
 
-// Drain notes that this process was told to stop: another replica may take its place, and until it has, this one stays
-// a member.
+// Drain notes that this process was told to stop: another replica may take its place, and until it has, this
+// one stays a member.
 func (r *Replica) Drain(now time.Duration) {
 	r.now, r.draining = now, true
 	r.sendHeartbeats()
@@ -238,8 +241,8 @@
 	return false
 }
 
-// promotableLearners returns the learners that may become members of themselves: they have caught up, and no operator
-// has removed them.
+// promotableLearners returns the learners that may become members of themselves: they have caught up, and no
+// operator has removed them.
 func (c *membershipChanger) promotableLearners() (list []message.Node) {
 	for _, l := range c.learners {
 		if l.caughtUp && !l.removedByOperator {
--- a/internal/controlplane/replica/membership_change.go
+++ b/internal/controlplane/replica/membership_change.go
@@ -9,8 +9,8 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// nextMembership is the members that there should be next; nil: the present ones. It is asked for while a view serves
-// well, so one change follows the other.
+// nextMembership is the members that there should be next; nil: the present ones. It is asked for while a
+// view serves well, so one change follows the other.
 func (r *Replica) nextMembership() []message.Node {
 	if len(r.store.saved.OutgoingMembers) > 0 || len(r.store.pending.OutgoingMembers) > 0 ||
 		r.proposer() != r.self || !r.ServingWithQuorum() {
@@ -50,7 +50,8 @@
 	}
 }
 
-// replaceLost is the members with the best of some learners in the place of one that is lost; nil: there is none.
+// replaceLost is the members with the best of some learners in the place of one that is lost; nil: there is
+// none.
 func (r *Replica) replaceLost(lost string, ready []message.Node) []message.Node {
 	if len(ready) == 0 {
 		return nil
@@ -61,8 +62,8 @@
 	return withReplacement(members, lost, ready[best])
 }
 
-// rebalancedMembership is the members by which more losses can be tolerated; nil: none. Who is away may be gone, and a
-// learner is its successor then: members are spread only while all serve.
+// rebalancedMembership is the members by which more losses can be tolerated; nil: none. Who is away may be
+// gone, and a learner is its successor then: members are spread only while all serve.
 func (r *Replica) rebalancedMembership(ready []message.Node) []message.Node {
 	members := r.store.saved.Members
 	tooFew := len(members) < 2*r.tolerance.Machines+1
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// memberToReplace is the member whose place another should take: one that drains, or the one that is lost for longest:
-// silent, unresponsive, or with a disk that takes nothing; empty: none.
+// memberToReplace is the member whose place another should take: one that drains, or the one that is lost for
+// longest: silent, unresponsive, or with a disk that takes nothing; empty: none.
 func (r *Replica) memberToReplace() string {
 	lost, since := "", r.now-cmp.Or(r.options.ReplaceAfter, defaultReplaceAfter)
 	for _, m := range r.store.saved.Members {
@@ -98,8 +99,8 @@
 	return lost
 }
 
-// withReplacement is the members with a replica in place of another, or, where that is empty, beside all; nil: there is
-// no proposer id for it.
+// withReplacement is the members with a replica in place of another, or, where that is empty, beside all;
+// nil: there is no proposer id for it.
 func withReplacement(members []message.Node, old string, replica message.Node) []message.Node {
 	taken := map[uint64]bool{}
 	var list []message.Node
@@ -128,17 +129,17 @@
 	receivedAt  time.Duration
 }
 
-// changeRefused says why an operator's order can't be carried out.
-type changeRefused struct{ reason string }
+// changeRefusedError says why an operator's order can't be carried out.
+type changeRefusedError struct{ reason string }
 
-func (e *changeRefused) Error() string { return e.reason }
+func (e *changeRefusedError) Error() string { return e.reason }
 
 func refuseChange(format string, args ...any) error {
-	return &changeRefused{fmt.Sprintf(format, args...)}
+	return &changeRefusedError{fmt.Sprintf(format, args...)}
 }
 
-// handleChangeMembers takes an operator's order at the head, or tells the members where nothing is to be changed. An
-// order that comes again is the same one, and is answered when it is carried out.
+// handleChangeMembers takes an operator's order at the head, or tells the members where nothing is to be
+// changed. An order that comes again is the same one, and is answered when it is carried out.
 func (r *Replica) handleChangeMembers(from string, m *message.Message, order *message.ChangeMembers) {
 	if r.chainPosition() != 0 || !r.ServingWithQuorum() {
 		r.redirect(from, m)
@@ -146,7 +147,8 @@
 	}
 	client := clientRequest{from, m.Incarnation, m.RequestID}
 	onlyShow := order.AddMember == "" && order.RemoveMember == ""
-	if onlyShow || len(r.store.pending.OutgoingMembers) == 0 && r.isApplied(order.AddMember, order.RemoveMember) {
+	if onlyShow || len(r.store.pending.OutgoingMembers) == 0 && r.isApplied(order.AddMember,
+		order.RemoveMember) {
 		r.respondToChange(client, nil)
 		return
 	}
@@ -199,8 +201,8 @@
 	}
 }
 
-// removedMembersAfter returns the members that operators have removed, once other members are in force. As they are part
-// of the membership, who is told of one is told of the other.
+// removedMembersAfter returns the members that operators have removed, once other members are in force. As
+// they are part of the membership, who is told of one is told of the other.
 func (r *Replica) removedMembersAfter(next []message.Node) []message.Node {
 	saved, request := &r.store.saved, r.membership.request
 	if request == nil || hasAddress(next, request.remove) {
@@ -210,7 +212,7 @@
 	return list[max(0, len(list)-maxRemovedMembers):]
 }
 
-// requestedMembership is the members that an order asks for. The error is a *changeRefused.
+// requestedMembership is the members that an order asks for. The error is a *changeRefusedError.
 func (r *Replica) requestedMembership(add, remove string) (next []message.Node, err error) {
 	members := r.store.saved.Members
 	var added message.Node
@@ -247,8 +249,8 @@
 	return l.Node, nil
 }
 
-// checkMembership refuses members by which a quorum, or a loss that can be tolerated now, could not be any more. The
-// member at the address add is one that is added, and can vote.
+// checkMembership refuses members by which a quorum, or a loss that can be tolerated now, could not be any
+// more. The member at the address add is one that is added, and can vote.
 func (r *Replica) checkMembership(next []message.Node, add string) error {
 	votes := 0
 	for _, m := range next {
@@ -261,7 +263,8 @@
 			r.tolerance.Machines)
 	}
 	if votes < majority(next) {
-		return refuseChange("no quorum would be left: of the %d members, %d are heard and have a vote, and %d have to",
+		return refuseChange("no quorum would be left: "+
+			"of the %d members, %d are heard and have a vote, and %d have to",
 			len(next), votes, majority(next))
 	}
 	if !r.tolerance.coversDomains() {
--- a/internal/controlplane/replica/node_leases.go
+++ b/internal/controlplane/replica/node_leases.go
@@ -51,7 +51,10 @@
 // expire drops the leases that have run out.
 func (l *nodeLeases) expire(now time.Duration) {
 	before := len(l.byAddr)
-	maps.DeleteFunc(l.byAddr, func(_ string, lease nodeLease) bool { return now > lease.renewedAt+nodeLeaseDuration })
+	maps.DeleteFunc(l.byAddr, func(_ string,
+		lease nodeLease) bool {
+		return now > lease.renewedAt+nodeLeaseDuration
+	})
 	if len(l.byAddr) != before {
 		l.updateChecksum()
 	}
@@ -89,9 +92,9 @@
 	return list
 }
 
-// leasesGathered reports whether this replica has answered watches for as long as all who watch take to ask again.
-// Before that it knows of too few nodes, and each would take too large a share of a quota: who knows others goes by
-// those, and no lease runs out.
+// leasesGathered reports whether this replica has answered watches for as long as all who watch take to ask
+// again. Before that it knows of too few nodes, and each would take too large a share of a quota: who knows
+// others goes by those, and no lease runs out.
 func (r *Replica) leasesGathered() bool {
 	return r.recentlyServing() && r.now >= r.watchers.servingSince+leaseGatherTime
 }
--- a/internal/controlplane/replica/persistent_state.go
+++ b/internal/controlplane/replica/persistent_state.go
@@ -16,7 +16,8 @@
 	// MembershipEpoch is that of the view that installed the members; 0: the first start did.
 	MembershipEpoch uint64
 	OutgoingMembers []message.Node // the members before, until the change is known to be complete
-	// RemovedMembers are those that operators have removed last, with the ids that they had. They go with Members.
+	// RemovedMembers are those that operators have removed last, with the ids that they had. They go with
+	// Members.
 	RemovedMembers    []message.Node
 	RemovedByOperator bool     // of a replica that was: it is no learner until an operator adds it
 	PromisedEpoch     uint64   // nothing below this epoch is accepted
@@ -26,8 +27,8 @@
 	Bootstrap BootstrapState // of a seed, at the first start
 }
 
-// electorates returns the memberships of which a majority each has to agree: the outgoing one, too, while a change is
-// not known to be complete.
+// electorates returns the memberships of which a majority each has to agree: the outgoing one, too, while a
+// change is not known to be complete.
 func (s *PersistentState) electorates() [][]message.Node {
 	if len(s.OutgoingMembers) > 0 {
 		return [][]message.Node{s.Members, s.OutgoingMembers}
@@ -102,8 +103,8 @@
 	s.actions.Save(s.lastToken, s.pending)
 }
 
-// handleSaved ends the save that is under way for longest. Of one that failed, what it would have led to does not
-// happen; the state to come keeps it, for the next try.
+// handleSaved ends the save that is under way for longest. Of one that failed, what it would have led to does
+// not happen; the state to come keeps it, for the next try.
 func (s *stateStore) handleSaved(now time.Duration, token uint64, ok bool) {
 	if len(s.saves) == 0 || s.saves[0].token != token {
 		return
--- a/internal/controlplane/replica/quorum.go
+++ b/internal/controlplane/replica/quorum.go
@@ -10,8 +10,8 @@
 // majority is how many of an electorate agree for all.
 func majority[T any](electorate []T) int { return len(electorate)/2 + 1 }
 
-// hasQuorum reports whether those that a condition holds for are a majority of each of some electorates: memberships, or
-// the seeds of a first start.
+// hasQuorum reports whether those that a condition holds for are a majority of each of some electorates:
+// memberships, or the seeds of a first start.
 func hasQuorum[T any](holds func(voter T) bool, electorates ...[]T) bool {
 	for _, electorate := range electorates {
 		votes := 0
--- a/internal/controlplane/replica/quorum_read.go
+++ b/internal/controlplane/replica/quorum_read.go
@@ -10,7 +10,8 @@
 // confirmationTimeout is how long a quorum is awaited.
 const confirmationTimeout = time.Second
 
-// epochConfirmation is a question to a quorum, whether this replica's view is still the newest that can serve.
+// epochConfirmation is a question to a quorum, whether this replica's view is still the newest that can
+// serve.
 type epochConfirmation struct {
 	confirmed map[string]bool
 	startedAt time.Duration
@@ -65,12 +66,13 @@
 	})
 }
 
-// confirmEpoch asks the other members whether this replica's view is the newest that can serve, and goes on once a
-// quorum has said so. Without a quorum nothing comes of it.
+// confirmEpoch asks the other members whether this replica's view is the newest that can serve, and goes on
+// once a quorum has said so. Without a quorum nothing comes of it.
 func (r *Replica) confirmEpoch(onQuorum func()) {
 	r.confirmations.lastID++
 	id := r.confirmations.lastID
-	r.confirmations.pending[id] = &epochConfirmation{confirmed: map[string]bool{}, startedAt: r.now, onQuorum: onQuorum}
+	r.confirmations.pending[id] = &epochConfirmation{confirmed: map[string]bool{}, startedAt: r.now,
+		onQuorum: onQuorum}
 	for _, m := range r.store.saved.Members {
 		if m.Addr != r.self {
 			r.options.Actions.Send(m.Addr,
@@ -81,8 +83,8 @@
 		&message.EpochConfirmed{Epoch: r.epoch, OK: r.store.pending.PromisedEpoch == r.epoch})
 }
 
-// handleConfirmEpoch answers not what this replica serves, but what it has promised: no later view can serve unless a
-// quorum has promised its epoch.
+// handleConfirmEpoch answers not what this replica serves, but what it has promised: no later view can serve
+// unless a quorum has promised its epoch.
 func (r *Replica) handleConfirmEpoch(from string, m *message.Message, ask *message.ConfirmEpoch) {
 	ok := r.store.saved.CaughtUp && r.store.pending.CaughtUp && r.store.pending.PromisedEpoch == ask.Epoch
 	r.reply(from, m, &message.EpochConfirmed{Epoch: ask.Epoch, OK: ok})
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -1,15 +1,16 @@
-// Package replica is the control state that the machines with a disk hold together. The replicas form a chain: a
-// configuration is proposed at the head, handed down, and committed once it is on the tail's disk. Which replicas form
-// the chain, and in which order, is a view under an epoch that a majority agrees on, one view at a time. There is no
-// log and no leader.
+// Package replica is the control state that the machines with a disk hold together. The replicas form a
+// chain: a configuration is proposed at the head, handed down, and committed once it is on the tail's disk.
+// Which replicas form the chain, and in which order, is a view under an epoch that a majority agrees on, one
+// view at a time. There is no log and no leader.
 //
-// A Replica knows no sockets, disks or clocks. The caller drives it: Step for a message, HandleSaved for a save that
-// has ended, Tick every 50 ms or so, each with the time of a clock that never goes back. It acts through Actions. Its
-// methods must not be called concurrently.
+// A Replica knows no sockets, disks or clocks. The caller drives it: Step for a message, HandleSaved for a
+// save that has ended, Tick every 50 ms or so, each with the time of a clock that never goes back. It acts
+// through Actions. Its methods must not be called concurrently.
 //
-// Each concern is a type with its own state, in a file of its own: stateStore (what is on disk), failureDetector,
-// viewChanger, replication (the chain), epochConfirmations (quorum reads), membershipChanger, Bootstrapper, watchers,
-// nodeLeases, endpointTable, snapshotCache, allocatorLease and toleranceMonitor. This file joins them.
+// Each concern is a type with its own state, in a file of its own: stateStore (what is on disk),
+// failureDetector, viewChanger, replication (the chain), epochConfirmations (quorum reads),
+// membershipChanger, Bootstrapper, watchers, nodeLeases, endpointTable, snapshotCache, allocatorLease and
+// toleranceMonitor. This file joins them.
 package replica
 
 import (
@@ -49,7 +50,8 @@
 type Options struct {
 	Self      message.Node
 	Tolerance FaultTolerance
-	// ReplaceAfter is for how long a member must be silent before another replica takes its place; 0: two seconds.
+	// ReplaceAfter is for how long a member must be silent before another replica takes its place; 0: two
+	// seconds.
 	ReplaceAfter time.Duration
 	Incarnation  uint64 // of the process: a store that is made in it gets it as its id
 	FirstStart   bool   // the whole system starts for the first time
@@ -209,8 +211,9 @@
 		r.store.saved.StoreID == r.store.pending.StoreID
 }
 
-// ServingWithQuorum reports whether this replica serves, and a quorum was with it a moment ago: since any later view
-// needs the promises of a quorum, none served before then, and what this one tells is no older than contactTimeout.
+// ServingWithQuorum reports whether this replica serves, and a quorum was with it a moment ago: since any
+// later view needs the promises of a quorum, none served before then, and what this one tells is no older
+// than contactTimeout.
 func (r *Replica) ServingWithQuorum() bool {
 	if r.state != StateServing {
 		return false
@@ -233,8 +236,8 @@
 // save writes what is pending, and goes on once that is on disk.
 func (r *Replica) save(onSaved func()) { r.store.save(r.now, onSaved) }
 
-// ensureStoreID gives a store that has just been made its id. That of an earlier program goes by the one that it has
-// among its members.
+// ensureStoreID gives a store that has just been made its id. That of an earlier program goes by the one that
+// it has among its members.
 func (r *Replica) ensureStoreID() {
 	saved, pending := &r.store.saved, &r.store.pending
 	if saved.StoreID != 0 {
--- a/internal/controlplane/replica/roles.go
+++ b/internal/controlplane/replica/roles.go
@@ -24,8 +24,8 @@
 	return chain[1%len(chain)]
 }
 
-// HoldsRole reports whether this replica holds a role now, and under which epoch, which is the fencing token of what it
-// does.
+// HoldsRole reports whether this replica holds a role now, and under which epoch, which is the fencing token
+// of what it does.
 func (r *Replica) HoldsRole(now time.Duration, role Role) (epoch uint64, ok bool) {
 	r.now = now
 	if !r.ServingWithQuorum() || RoleHolder(r.chain, role) != r.self {
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -8,18 +8,19 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// What is long is told as a snapshot, in chunks that are asked for one after the other, so that no response takes long,
-// and none of a chunk that came late is sent again.
+// What is long is told as a snapshot, in chunks that are asked for one after the other, so that no response
+// takes long, and none of a chunk that came late is sent again.
 
 const (
-	maxInlineSize     = 4 << 10         // bytes: a resource up to this long is told whole in each response
-	totalChunkBudget  = 16 << 20        // bytes of all responses on their way: it is shared by those who ask for chunks
+	maxInlineSize = 4 << 10 // bytes: a resource up to this long is told whole in each response
+	// bytes of all responses on their way: it is shared by those who ask for chunks
+	totalChunkBudget  = 16 << 20
 	snapshotRetention = 3 * time.Second // after it was last asked for
 	readerRetention   = time.Second     // for which who asked for a chunk counts as asking
 )
 
-// snapshotKey names what a snapshot was made of: an endpoint list by epoch and sequence, a configuration by its version
-// and that of its base, the nodes by their checksum.
+// snapshotKey names what a snapshot was made of: an endpoint list by epoch and sequence, a configuration by
+// its version and that of its base, the nodes by their checksum.
 type snapshotKey struct {
 	resource message.Resource
 	version  [2]uint64
@@ -65,7 +66,8 @@
 }
 
 // get returns the snapshot of a key, which is made if there is none.
-func (c *snapshotCache) get(now time.Duration, key snapshotKey, tell func() *message.WatchResponse) *snapshot {
+func (c *snapshotCache) get(now time.Duration, key snapshotKey,
+	tell func() *message.WatchResponse) *snapshot {
 	s := c.byKey[key]
 	if s == nil {
 		if c.byKey == nil {
@@ -86,8 +88,9 @@
 	maps.DeleteFunc(c.readers, func(_ string, at time.Duration) bool { return now > at+readerRetention })
 }
 
-// budget is how many bytes of snapshots the response to a watch may bring: what it asks for, and no more than its share
-// of all that may be on its way. The bound is what admission control would be: nobody is turned away, and all get less.
+// budget is how many bytes of snapshots the response to a watch may bring: what it asks for, and no more than
+// its share of all that may be on its way. The bound is what admission control would be: nobody is turned
+// away, and all get less.
 func (c *snapshotCache) budget(watch *message.Watch) int {
 	budget := uint64(message.InitialChunkBudget)
 	if watch.ChunkBudget != 0 {
@@ -120,7 +123,8 @@
 }
 
 // appendResources puts into a response what the watcher lacks, and reports whether that is new for it.
-func (r *Replica) appendResources(to string, watch *message.Watch, response *message.WatchResponse) (isNew bool) {
+func (r *Replica) appendResources(to string, watch *message.Watch,
+	response *message.WatchResponse) (isNew bool) {
 	b := &responseBuilder{r, to, watch, response, r.snapshots.budget(watch)}
 	// What is on this disk and not committed yet is not told.
 	if r.history.newest() == r.committed && r.committed > watch.Version {
@@ -146,9 +150,9 @@
 	return isNew || len(watch.Chunks) > 0 && len(response.Chunks) > 0
 }
 
-// configSnapshot is the snapshot of a configuration that a watcher is to get. One that it has begun with goes on while
-// the newest can be told as a delta over that: otherwise who has a slow link would begin anew with each change, and
-// never come to an end.
+// configSnapshot is the snapshot of a configuration that a watcher is to get. One that it has begun with goes
+// on while the newest can be told as a delta over that: otherwise who has a slow link would begin anew with
+// each change, and never come to an end.
 func (r *Replica) configSnapshot(watch *message.Watch) (s *snapshot, key snapshotKey, stale bool) {
 	held := findChunk(watch.Chunks, message.ResourceConfig)
 	if held != nil && held.Version > max(watch.Version, watch.BaseVersion) && r.mayContinue(held, watch) {
@@ -167,8 +171,8 @@
 	return s, key, false
 }
 
-// mayContinue reports whether a transfer of a configuration can go on: it is kept, and so is its base, which the watcher
-// has.
+// mayContinue reports whether a transfer of a configuration can go on: it is kept, and so is its base, which
+// the watcher has.
 func (r *Replica) mayContinue(held *message.SnapshotChunk, watch *message.Watch) bool {
 	if !r.history.contains(held.Version) {
 		return false
@@ -180,7 +184,8 @@
 		(held.BaseVersion == watch.Version || held.BaseVersion == watch.BaseVersion)
 }
 
-// deltaSnapshot is the snapshot of one of the configurations that are kept, as a delta over another; base 0: in full.
+// deltaSnapshot is the snapshot of one of the configurations that are kept, as a delta over another; base 0:
+// in full.
 func (r *Replica) deltaSnapshot(version, base uint64) (*snapshot, snapshotKey) {
 	key := configKey(version, base)
 	return r.snapshots.get(r.now, key, func() *message.WatchResponse {
--- a/internal/controlplane/replica/snapshot_test.go
+++ b/internal/controlplane/replica/snapshot_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Given ever more who ask for chunks, then what is on its way to all together stays within the bound, as long as each
-// gets the least; and whoever stops asking is no longer counted.
+// Given ever more who ask for chunks, then what is on its way to all together stays within the bound, as long
+// as each gets the least; and whoever stops asking is no longer counted.
 func TestWhatIsOnItsWayIsBounded(t *testing.T) {
 	c := snapshotCache{readers: map[string]time.Duration{}}
 	watch := &message.Watch{ChunkBudget: 1 << 40}
--- a/internal/controlplane/replica/tolerance_monitor.go
+++ b/internal/controlplane/replica/tolerance_monitor.go
@@ -8,8 +8,8 @@
 	"dunespoke/internal/events"
 )
 
-// gapReportDelay is for how long the members can't tolerate what survive names, were they all healthy, before it is
-// logged.
+// gapReportDelay is for how long the members can't tolerate what survive names, were they all healthy, before
+// it is logged.
 const gapReportDelay = 30 * time.Second
 
 // toleranceMonitor notes what was logged of the fault tolerance.
@@ -19,13 +19,14 @@
 	impossibleLog bool          // and that was logged
 }
 
-// ToleratedFailures is how many members may be lost now with nothing lost and a view that serves again; 0 on a replica
-// that does not know that a view serves. A repair has ended once it is what is to be tolerated.
+// ToleratedFailures is how many members may be lost now with nothing lost and a view that serves again; 0 on
+// a replica that does not know that a view serves. A repair has ended once it is what is to be tolerated.
 func (r *Replica) ToleratedFailures() int {
 	return r.tolerance.toleratedFailures(r.healthyMembers(), r.store.saved.Members)
 }
 
-// ToleranceGap tells why not all that may be lost at once can be now, by machines, zones and regions; empty: it can.
+// ToleranceGap tells why not all that may be lost at once can be now, by machines, zones and regions; empty:
+// it can.
 func (r *Replica) ToleranceGap() string {
 	if r.tolerance.isZero() {
 		return ""
@@ -36,8 +37,8 @@
 	return r.tolerance.gap(r.healthyMembers(), r.store.saved.Members)
 }
 
-// healthyMembers returns the members of the view that can be counted on: heard, caught up, serving in it, with the last
-// membership change noted as complete; none on a replica that does not know that a view serves.
+// healthyMembers returns the members of the view that can be counted on: heard, caught up, serving in it,
+// with the last membership change noted as complete; none on a replica that does not know that a view serves.
 func (r *Replica) healthyMembers() []message.Node {
 	saved := &r.store.saved
 	if !r.ServingWithQuorum() || len(saved.OutgoingMembers) > 0 {
@@ -58,8 +59,8 @@
 		p.membershipEpoch == r.store.saved.MembershipEpoch
 }
 
-// monitorTolerance logs when what is to be tolerated can be again, and when not; and once when it never can be, by the
-// members that there are.
+// monitorTolerance logs when what is to be tolerated can be again, and when not; and once when it never can
+// be, by the members that there are.
 func (r *Replica) monitorTolerance() {
 	gap, was := r.ToleranceGap(), r.monitor.tolerated
 	r.monitor.tolerated = gap == ""
@@ -73,8 +74,8 @@
 	r.reportImpossible()
 }
 
-// reportImpossible logs once that the members can't tolerate what the settings name, where no learner changes that for
-// a while.
+// reportImpossible logs once that the members can't tolerate what the settings name, where no learner changes
+// that for a while.
 func (r *Replica) reportImpossible() {
 	members := r.store.saved.Members
 	gap := ""
@@ -86,7 +87,8 @@
 	case gap == "":
 		monitor.impossible, monitor.impossibleLog = 0, false
 	case monitor.impossibleLog:
-	case r.proposer() != r.self || !r.ServingWithQuorum(): // who is first only for a moment, or alone, can't tell
+	// who is first only for a moment, or alone, can't tell
+	case r.proposer() != r.self || !r.ServingWithQuorum():
 		monitor.impossible = 0
 	case monitor.impossible == 0:
 		monitor.impossible = r.now
--- a/internal/controlplane/replica/value.go
+++ b/internal/controlplane/replica/value.go
@@ -7,9 +7,9 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// minAcceptedVersions is how many accepted versions are remembered at the least, with the digest of what stands under
-// each: an order that is sent again is told apart from another one under its version. Of older ones nothing is known any
-// more, and they are acknowledged as all that is not above the version held.
+// minAcceptedVersions is how many accepted versions are remembered at the least, with the digest of what
+// stands under each: an order that is sent again is told apart from another one under its version. Of older
+// ones nothing is known any more, and they are acknowledged as all that is not above the version held.
 const minAcceptedVersions = 512
 
 // Value is what the core keeps for its operators: one configuration, and what is known of earlier ones.
@@ -22,8 +22,9 @@
 	AcceptedVersions []message.AcceptedVersion
 }
 
-// newerThan reports whether a value was accepted after another, by epoch and then by version: a version alone says
-// nothing, since two replicas may have accepted different contents under it, of which one was left behind.
+// newerThan reports whether a value was accepted after another, by epoch and then by version: a version alone
+// says nothing, since two replicas may have accepted different contents under it, of which one was left
+// behind.
 func (v *Value) newerThan(acceptedEpoch, version uint64) bool {
 	return cmp.Or(cmp.Compare(v.AcceptedEpoch, acceptedEpoch), cmp.Compare(v.Version, version)) > 0
 }
@@ -69,7 +70,8 @@
 	return v.AcceptedVersions[len(v.AcceptedVersions)-1:]
 }
 
-// withOwnDigest returns a value as it was found on a disk. An earlier program kept nothing but the configuration.
+// withOwnDigest returns a value as it was found on a disk. An earlier program kept nothing but the
+// configuration.
 func (v Value) withOwnDigest() Value {
 	if _, known := v.digestOf(v.Version); v.Version > 0 && !known {
 		own := message.AcceptedVersion{Version: v.Version, Digest: message.DigestOf(v.Config)}
@@ -115,8 +117,8 @@
 	config        *message.Delta // nil where the receiver has it
 }
 
-// receive returns a value that was told, with this replica's own configuration if that is the same. The error is that of
-// a delta that does not apply.
+// receive returns a value that was told, with this replica's own configuration if that is the same. The error
+// is that of a delta that does not apply.
 func (v *Value) receive(t transferredValue) (received Value, err error) {
 	received.AcceptedEpoch, received.Version = t.acceptedEpoch, t.version
 	if t.version == 0 {
@@ -151,9 +153,10 @@
 	return received, nil
 }
 
-// AppendAccepted returns the accepted versions with more of them. What is remembered of a version stays. Of the oldest,
-// whole chunks are dropped, so that the others stay where they are.
-func AppendAccepted(past []message.AcceptedVersion, more ...message.AcceptedVersion) []message.AcceptedVersion {
+// AppendAccepted returns the accepted versions with more of them. What is remembered of a version stays. Of
+// the oldest, whole chunks are dropped, so that the others stay where they are.
+func AppendAccepted(past []message.AcceptedVersion,
+	more ...message.AcceptedVersion) []message.AcceptedVersion {
 	past = slices.Clone(past) // others hold the old one
 	for _, accepted := range more {
 		if i, found := slices.BinarySearchFunc(past, accepted.Version, compareVersion); !found {
--- a/internal/controlplane/replica/view_change.go
+++ b/internal/controlplane/replica/view_change.go
@@ -25,8 +25,8 @@
 	epochFloor     uint64 // epochs up to here were promised by others
 }
 
-// viewChange is a proposal under way, in the two phases of single-decree agreement: first promises are gathered, then
-// the view is handed out with the newest value that was told.
+// viewChange is a proposal under way, in the two phases of single-decree agreement: first promises are
+// gathered, then the view is handed out with the newest value that was told.
 type viewChange struct {
 	epoch           uint64
 	chain           []string
@@ -102,8 +102,9 @@
 	}
 }
 
-// startViewChange asks for promises of a view. With other members, those before have to promise, and a majority of both
-// has to have the view on disk before it serves. A change that may serve, or not, is gone on with.
+// startViewChange asks for promises of a view. With other members, those before have to promise, and a
+// majority of both has to have the view on disk before it serves. A change that may serve, or not, is gone on
+// with.
 func (r *Replica) startViewChange(chain []string, members []message.Node) {
 	saved, pending := &r.store.saved, &r.store.pending
 	i := slices.IndexFunc(saved.Members, func(m message.Node) bool { return m.Addr == r.self })
@@ -134,14 +135,16 @@
 		if r.view.change != v || r.store.pending.PromisedEpoch != epoch {
 			return
 		}
-		v.newest, v.phaseStartedAt = r.store.saved.Value, r.now // the others have the time that this disk has taken, too
+		// the others have the time that this disk has taken, too
+		v.newest, v.phaseStartedAt = r.store.saved.Value, r.now
 		r.sendPhase()
 		v.storeIDs[r.self] = r.store.saved.StoreID
 		r.recordPromise(r.self)
 	})
 }
 
-// changeMembersIn has a view change install other members: the new one is in the chain, beside those that are live.
+// changeMembersIn has a view change install other members: the new one is in the chain, beside those that are
+// live.
 func (r *Replica) changeMembersIn(v *viewChange, members []message.Node) {
 	live := v.chain
 	v.outgoing, v.members, v.removed = r.store.saved.Members, members, r.removedMembersAfter(members)
@@ -167,8 +170,8 @@
 	}
 }
 
-// sendPhase sends the phase's message to all participants that have not answered it. What is sent again relies on
-// nothing that was told before.
+// sendPhase sends the phase's message to all participants that have not answered it. What is sent again
+// relies on nothing that was told before.
 func (r *Replica) sendPhase() {
 	v := r.view.change
 	again := v.lastSentAt != 0
@@ -321,8 +324,8 @@
 	})
 }
 
-// mayInstall reports whether a view can serve with those that promised: a quorum of each membership, spread as the
-// tolerance wants it.
+// mayInstall reports whether a view can serve with those that promised: a quorum of each membership, spread
+// as the tolerance wants it.
 func (r *Replica) mayInstall(v *viewChange) bool {
 	serves := func(m message.Node) bool { return slices.Contains(v.chain, m.Addr) }
 	installs := func(m message.Node) bool {
@@ -333,8 +336,8 @@
 		r.tolerance.chainSuffices(membersAt(v.members, v.chain), v.members)
 }
 
-// saveView saves a view, and the value that it begins with, under its epoch. Whatever else was on the disk is dropped:
-// it was never acknowledged.
+// saveView saves a view, and the value that it begins with, under its epoch. Whatever else was on the disk is
+// dropped: it was never acknowledged.
 func (r *Replica) saveView(install *message.InstallView, value Value, onSaved func()) {
 	pending := &r.store.pending
 	pending.Epoch, pending.Chain, pending.PromisedEpoch = install.Epoch, install.Chain, install.Epoch
@@ -366,7 +369,8 @@
 	if pending.Epoch == install.Epoch {
 		return // it is being saved, or an earlier incarnation installed it, and may have accepted more since
 	}
-	value, err := pending.receive(transferredValue{0, install.Version, install.AcceptedVersions, install.AcceptedDelta,
+	value, err := pending.receive(transferredValue{0, install.Version, install.AcceptedVersions,
+		install.AcceptedDelta,
 		install.Config})
 	if err != nil {
 		return // it comes again, in full
@@ -405,12 +409,14 @@
 	r.handleActivateView(activate)
 }
 
-// handleActivateView puts a view into service that all its replicas have on disk: what it began with is committed. A
-// replica that was restarted since takes no part in the view that it finds on its disk: what it told under the epoch,
-// such as endpoint lists by their numbers, is not on the disk. It comes back by another view.
+// handleActivateView puts a view into service that all its replicas have on disk: what it began with is
+// committed. A replica that was restarted since takes no part in the view that it finds on its disk: what it
+// told under the epoch, such as endpoint lists by their numbers, is not on the disk. It comes back by another
+// view.
 func (r *Replica) handleActivateView(m *message.ActivateView) {
 	serving := r.state == StateServing && r.epoch == m.Epoch
-	if r.view.installedEpoch != m.Epoch || r.store.pending.PromisedEpoch != m.Epoch || r.epoch > m.Epoch || serving {
+	if r.view.installedEpoch != m.Epoch || r.store.pending.PromisedEpoch != m.Epoch || r.epoch > m.Epoch ||
+		serving {
 		return
 	}
 	r.completeMembershipChange(m.Epoch)
--- a/internal/controlplane/replica/view_selection.go
+++ b/internal/controlplane/replica/view_selection.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// viewChangeDelay is how long another view must be desired. A replica that doesn't serve has nothing to lose by a wrong
-// one.
+// viewChangeDelay is how long another view must be desired. A replica that doesn't serve has nothing to lose
+// by a wrong one.
 func (r *Replica) viewChangeDelay() time.Duration {
 	if r.state == StateServing {
 		return viewChangeDelay
@@ -56,8 +56,8 @@
 	return viewChangeDelay / 2
 }
 
-// isChainHealthy reports whether all others of the chain serve in this view, or may yet do so in a moment: not one that
-// has lost its disk, nor one that has promised another epoch to who is gone.
+// isChainHealthy reports whether all others of the chain serve in this view, or may yet do so in a moment:
+// not one that has lost its disk, nor one that has promised another epoch to who is gone.
 func (r *Replica) isChainHealthy() bool {
 	return !slices.ContainsFunc(r.chain, func(addr string) bool {
 		if addr == r.self {
@@ -68,8 +68,8 @@
 	})
 }
 
-// proposer is the first live member in the agreed order, of those that serve in the newest view where any do: who is not
-// in it, or hears only some of those who are, waits until they take it in.
+// proposer is the first live member in the agreed order, of those that serve in the newest view where any do:
+// who is not in it, or hears only some of those who are, waits until they take it in.
 func (r *Replica) proposer() (first string) {
 	newest := uint64(0)
 	for _, m := range r.store.saved.Members {
@@ -90,7 +90,8 @@
 	return first
 }
 
-// desiredChain is the chain that there should be, in the agreed order; nil where too few members live for any.
+// desiredChain is the chain that there should be, in the agreed order; nil where too few members live for
+// any.
 func (r *Replica) desiredChain() []string {
 	if chain := r.liveChain(false); chain != nil {
 		return chain
@@ -118,7 +119,8 @@
 	return chain
 }
 
-// mayJoinChain reports whether a live peer may be in the chain: while this replica serves, one that has come back waits.
+// mayJoinChain reports whether a live peer may be in the chain: while this replica serves, one that has come
+// back waits.
 func (r *Replica) mayJoinChain(addr string, withUnresponsive bool) bool {
 	p := r.peers.byAddr[addr]
 	if !withUnresponsive && r.now < p.unresponsiveUntil {
--- a/internal/controlplane/replica/watch.go
+++ b/internal/controlplane/replica/watch.go
@@ -8,7 +8,8 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// answeredWatchRetention is how long an answer is remembered: who watches turns to all others first, and comes back.
+// answeredWatchRetention is how long an answer is remembered: who watches turns to all others first, and
+// comes back.
 const answeredWatchRetention = 4 * nodeLeaseDuration
 
 // watcher is a watch that waits for something new.
@@ -40,7 +41,10 @@
 
 // forgetAnswers drops answers of long ago.
 func (w *watchers) forgetAnswers(now time.Duration) {
-	maps.DeleteFunc(w.answered, func(_ string, a answeredWatch) bool { return now > a.at+answeredWatchRetention })
+	maps.DeleteFunc(w.answered, func(_ string,
+		a answeredWatch) bool {
+		return now > a.at+answeredWatchRetention
+	})
 }
 
 // recordAnswer notes that a watch is answered, unless it was before.
@@ -51,8 +55,8 @@
 	}
 }
 
-// due returns who waits for something new, all or those who have waited long enough, in an agreed order: a simulation
-// repeats by its seed.
+// due returns who waits for something new, all or those who have waited long enough, in an agreed order: a
+// simulation repeats by its seed.
 func (w *watchers) due(now time.Duration, all bool) (list []string) {
 	for from, waiting := range w.waiting {
 		if all || now >= waiting.deadline {
@@ -63,9 +67,9 @@
 	return list
 }
 
-// handleWatch takes a watch, which renews the lease of who sent it. The lease counts from when that was sent, by what it
-// says of the response before: one that waited on its way, or comes again, is as old as it is. A first watch names none,
-// and the next one follows at once.
+// handleWatch takes a watch, which renews the lease of who sent it. The lease counts from when that was sent,
+// by what it says of the response before: one that waited on its way, or comes again, is as old as it is. A
+// first watch names none, and the next one follows at once.
 func (r *Replica) handleWatch(from string, request *message.Message, watch *message.Watch) {
 	last, known := r.watchers.answered[from]
 	if known && last.incarnation == request.Incarnation && last.requestID == watch.EchoRequestID {
@@ -74,7 +78,8 @@
 		r.nodes.renew(r.now, message.Node{Addr: from, Zone: watch.Zone, LeaseAge: age}, true)
 	}
 	old := r.watchers.waiting[from]
-	if old != nil && old.request.Incarnation == request.Incarnation && old.request.RequestID >= request.RequestID {
+	if old != nil && old.request.Incarnation == request.Incarnation &&
+		old.request.RequestID >= request.RequestID {
 		return // it comes again, or late: who watches has gone on
 	}
 	wait := min(time.Duration(watch.WaitMillis)*time.Millisecond, nodeLeaseDuration/2)
@@ -106,8 +111,8 @@
 // tellsNewest reports whether what this replica knows may be told as the newest.
 func (r *Replica) tellsNewest() bool { return r.ServingWithQuorum() && !r.commitOverdue() }
 
-// recentlyServing reports whether this replica serves, or did so a moment ago: a change of the view is over soon, and
-// those who watch need not turn elsewhere for it.
+// recentlyServing reports whether this replica serves, or did so a moment ago: a change of the view is over
+// soon, and those who watch need not turn elsewhere for it.
 func (r *Replica) recentlyServing() bool {
 	return r.watchers.lastServing != 0 && r.now < r.watchers.lastServing+viewChangeAllowance
 }
@@ -137,8 +142,8 @@
 	r.reply(to, waiting.request, response)
 }
 
-// tellView tells the view and the members, with the outgoing ones, where this replica knows of a change that may never
-// be complete.
+// tellView tells the view and the members, with the outgoing ones, where this replica knows of a change that
+// may never be complete.
 func (r *Replica) tellView(response *message.WatchResponse) {
 	pending := &r.store.pending
 	response.Epoch, response.Chain = r.epoch, r.chain
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -15,7 +15,7 @@
 func TestAChangeThatIsNotCompleteIsNoNews(t *testing.T) {
 	play := func(defect bool) string {
 		s := given(t, 1)
-		a, b, c, asker := s.Named("z1-1"), s.Named("z2-1"), s.Named("z3-1"), s.Named("z3-2")
+		a, b, c, asker := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
 		asker.Kill()
 		fresh := s.Add("z1")
 		fresh.Start()
@@ -23,18 +23,18 @@
 		s.Cut(a, c, true)
 		s.CutOneWay(fresh, b, true)
 		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
-		a.SetSync(430 * time.Millisecond)
-		a.office.Drain(s.Now)
+		a.SetSyncTime(430 * time.Millisecond)
+		a.controlNode.Drain(s.Now)
 		s.then(
 			"the other has promised",
 			time.Second,
-			func() bool { return a.Frame().State() == replica.StateInstalling },
+			func() bool { return a.Replica().State() == replica.StateInstalling },
 		)
 		b.Kill()
 		s.then("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
-			return len(c.record.OutgoingMembers) > 0
+			return len(c.stored.OutgoingMembers) > 0
 		})
-		if len(a.record.OutgoingMembers)+len(b.record.OutgoingMembers) > 0 || !c.Frame().ServingWithQuorum() {
+		if len(a.stored.OutgoingMembers)+len(b.stored.OutgoingMembers) > 0 || !c.Replica().ServingWithQuorum() {
 			t.Fatal("the others have it, or it is out of touch already")
 		}
 		if defect {
@@ -54,14 +54,14 @@
 				s.Cut(m, other, true)
 			}
 		}
-		a.SetSync(s.Sync)
-		s.seeds = []string{asker.self.Addr} // by the settings of that moment
+		a.SetSyncTime(s.SyncTime)
+		s.seeds = []string{asker.node.Addr} // by the settings of that moment
 		c.Start()
 		a.Start()
 		b.Start()
 		s.Run(6 * time.Second)
-		s.PutText(b, 90, "of-the-old")
-		s.PutText(c, 90, "of-the-new")
+		s.Put(b, 90, "of-the-old")
+		s.Put(c, 90, "of-the-new")
 		s.Run(2 * time.Second)
 		return s.consistent()
 	}
@@ -80,19 +80,20 @@
 func TestAFirstStartWithoutOneDisk(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for what, hit := range map[string]func(m *Machine){
-			"full":      func(m *Machine) { m.Fill(true) },
-			"hangs":     func(m *Machine) { m.Hang(true) },
-			"not there": func(m *Machine) { m.gone = true },
+			"full":      func(m *Machine) { m.FillDisk(true) },
+			"hangs":     func(m *Machine) { m.HangDisk(true) },
+			"not there": func(m *Machine) { m.removed = true },
 		} {
-			s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: 5}), t, 0}
-			m := s.Named(name)
+			s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 5}),
+				t, 0}
+			m := s.Machine(name)
 			hit(m)
 			s.StartAll()
 			s.Run(300 * time.Millisecond) // by which all have started
-			if took := s.change(s.Named("z1-2")); took > quietFor+mostForAChange-time.Second {
+			if took := s.change(s.Machine("z1-2")); took > quietFor+mostForAChange-time.Second {
 				t.Errorf("%s %s: acknowledged after %v", name, what, took)
 			}
-			m.gone = false
+			m.removed = false
 			s.heal(m)
 			s.then(name+" "+what+": it is a member", 8*time.Second, func() bool { return s.member(m) })
 			s.borne(time.Second)
@@ -106,18 +107,18 @@
 // view that it has proposed and is not in: what is acknowledged there does not come to its disk.
 func TestWhoProposesAViewWithoutItselfDoesNotServe(t *testing.T) {
 	s := given(t, 2)
-	a, b, c := s.Named("z1-1"), s.Named("z2-1"), s.Named("z3-1")
-	w := watched(s.Exchange)
-	watching, proposed := s.Told, false
-	s.Told = func(from *Machine, to string, m *message.Message) {
+	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
+	w := watched(s.Cluster)
+	watching, proposed := s.Observe, false
+	s.Observe = func(from *Machine, to string, m *message.Message) {
 		if from == b && m.Type() == message.TypePrepare { // for a moment it is heard
 			s.HealAll()
 			proposed = true
 		}
 		watching(from, to, m)
 	}
-	s.Wire = func(_, to string, m *message.Message) []Delivery {
-		if m.Type() == message.TypePromise && to == a.self.Addr {
+	s.Network = func(_, to string, m *message.Message) []Delivery {
+		if m.Type() == message.TypePromise && to == a.node.Addr {
 			return nil
 		}
 		return []Delivery{{To: to, Message: m}}
@@ -126,7 +127,7 @@
 	s.then("it has proposed a view", 4*time.Second, func() bool { return proposed })
 	s.then("that serves", 2*time.Second, func() bool { return len(s.Chain()) > 0 })
 	s.CutOneWay(b, a, true)
-	s.Wire = nil
+	s.Network = nil
 	for range 10 {
 		s.change(c)
 		s.Run(500 * time.Millisecond)
@@ -135,7 +136,10 @@
 		t.Errorf("%d words, the first: %s", len(w.wrong), w.wrong[0])
 	}
 	s.HealAll()
-	s.then("it is back", 4*time.Second, func() bool { return s.Spare() == 1 && b.Version() == s.version })
+	s.then("it is back", 4*time.Second, func() bool {
+		return s.ToleratedFailures() == 1 &&
+			b.Version() == s.version
+	})
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
@@ -145,12 +149,12 @@
 // processes are started again, then a view comes into service, and a change is acknowledged.
 func TestAViewIsAgreedOnWhereAllDisksAreSlow(t *testing.T) {
 	s := given(t, 1)
-	for _, m := range s.Disked() {
-		m.SetSync(500 * time.Millisecond)
+	for _, m := range s.Replicas() {
+		m.SetSyncTime(500 * time.Millisecond)
 	}
 	s.restartAll()
 	s.then("a view serves", 8*time.Second, func() bool { return len(s.Chain()) == 3 })
-	s.change(s.Named("z3-2"))
+	s.change(s.Machine("z3-2"))
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -25,7 +25,7 @@
 // asking begins to ask.
 func (s *story) asking() *ingress {
 	g := &ingress{s: s, last: s.Now}
-	s.Told = func(from *Machine, _ string, m *message.Message) {
+	s.Observe = func(from *Machine, _ string, m *message.Message) {
 		if grant, ok := m.Body.(*message.TokenGrant); ok && grant.OK {
 			g.granted(from, grant.Epoch)
 		}
@@ -33,15 +33,15 @@
 	var ask func()
 	ask = func() {
 		g.calls++
-		for _, m := range s.Disked() {
+		for _, m := range s.Replicas() {
 			if m.up {
-				epoch, _ := m.Frame().View()
+				epoch, _ := m.Replica().View()
 				request := &message.Message{Incarnation: 1, RequestID: g.calls,
 					Body: &message.TokenRequest{Epoch: epoch}}
-				s.deliver("client", Delivery{To: m.self.Addr, Message: request})
+				s.deliver("client", Delivery{To: m.node.Addr, Message: request})
 			}
 		}
-		s.at(10*time.Millisecond, ask)
+		s.schedule(10*time.Millisecond, ask)
 	}
 	ask()
 	return g
@@ -57,8 +57,8 @@
 }
 
 // keeper is the machine that keeps the counts; nil: none does.
-func (x *Exchange) keeper() *Machine {
-	return x.At(replica.RoleHolder(x.Chain(), replica.QuotaAllocator))
+func (c *Cluster) keeper() *Machine {
+	return c.At(replica.RoleHolder(c.Chain(), replica.QuotaAllocator))
 }
 
 // halves are troubles in which a machine is in touch with some of the core and not with others: one that
@@ -68,7 +68,7 @@
 	{name: "does not hear one", hit: func(s *story, m *Machine) { s.CutOneWay(s.next(m), m, true) }},
 	{name: "not heard by one, and hears nobody as that makes another view", hit: func(s *story, m *Machine) {
 		s.CutOneWay(m, s.next(m), true)
-		s.at(time.Duration(800+s.rng.IntN(100))*time.Millisecond, func() {
+		s.schedule(time.Duration(800+s.rng.IntN(100))*time.Millisecond, func() {
 			for _, other := range s.others(m) {
 				s.CutOneWay(other, m, true)
 			}
@@ -78,13 +78,13 @@
 	{name: "killed", hit: func(_ *story, m *Machine) { m.Kill() }},
 	{name: "killed for a moment", hit: func(s *story, m *Machine) {
 		m.Kill()
-		s.at(300*time.Millisecond, m.Start)
+		s.schedule(300*time.Millisecond, m.Start)
 	}},
 }
 
 // next is the machine of the core after one.
-func (x *Exchange) next(m *Machine) *Machine {
-	all := x.Disked()
+func (c *Cluster) next(m *Machine) *Machine {
+	all := c.Replicas()
 	return all[(slices.Index(all, m)+1)%len(all)]
 }
 
@@ -92,19 +92,20 @@
 // trouble, some in the middle of a change of the view, and returns the ingress that asked all the while.
 func keepers(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *ingress {
 	survive := 1 + int(seed%2)
-	s := &story{New(Options{Zones: 3, Disks: survive, Others: 1, Survive: survive, Seed: seed}), t, 0}
+	s := &story{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
+		Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 21))
 	s.Tamper = tamper
 	s.StartAll()
-	s.then("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Disked()) })
+	s.then("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
 	g := s.asking()
 	all := append(slices.Clone(halves), troubles...)
 	for range 4 {
 		var hit []*Machine
-		for range 1 + rng.IntN(s.Survive) {
+		for range 1 + rng.IntN(s.SurviveMachines) {
 			m := s.keeper()
 			if m == nil || rng.IntN(3) == 0 {
-				m = s.Disked()[rng.IntN(len(s.Disked()))]
+				m = s.Replicas()[rng.IntN(len(s.Replicas()))]
 			}
 			all[rng.IntN(len(all))].hit(s, m)
 			hit = append(hit, m)
@@ -150,7 +151,7 @@
 		s.Run(2 * time.Second)
 		g := s.asking()
 		s.Run(time.Second)
-		s.At(s.Chain()[place]).office.Drain(s.Now)
+		s.At(s.Chain()[place]).controlNode.Drain(s.Now)
 		s.Run(2 * time.Second)
 		if g.pause > 100*time.Millisecond || len(s.Chain()) != 3 {
 			t.Errorf("place %d hands over: no tokens for %v, chain %v", place, g.pause, s.Chain())
@@ -174,15 +175,15 @@
 	s := given(t, 1)
 	g := s.asking()
 	s.Run(time.Second)
-	for _, m := range s.Disked() {
+	for _, m := range s.Replicas() {
 		m.Kill()
 	}
 	s.Run(300 * time.Millisecond)
-	third := s.Named("z3-1")
+	third := s.Machine("z3-1")
 	for _, m := range s.others(third) {
 		m.Start()
 	}
-	s.at(200*time.Millisecond, third.Start)
+	s.schedule(200*time.Millisecond, third.Start)
 	s.then("a view of two", 2*time.Second, func() bool { return len(s.Chain()) == 2 })
 	began, last := s.Now, g.last
 	s.then("tokens are given", time.Second, func() bool { return g.last > last })
@@ -196,12 +197,12 @@
 func heldUp(t *testing.T, again bool, tamper func(*Machine, *message.Message)) time.Duration {
 	s := given(t, 2)
 	s.Tamper = tamper
-	m, other := s.Named("z1-2"), s.Named("z2-2")
-	s.then("all are members", 5*time.Second, func() bool { return other.Members() == len(s.Machines) })
-	s.Wire = func(from, to string, x *message.Message) []Delivery {
+	m, other := s.Machine("z1-2"), s.Machine("z2-2")
+	s.then("all are members", 5*time.Second, func() bool { return other.Nodes() == len(s.Machines) })
+	s.Network = func(from, to string, x *message.Message) []Delivery {
 		late := Delivery{To: to, Message: x, After: 2500 * time.Millisecond}
 		switch {
-		case x.Type() != message.TypeWatch || from != m.self.Addr:
+		case x.Type() != message.TypeWatch || from != m.node.Addr:
 			late.After = 0
 		case again:
 			return []Delivery{{To: to, Message: x}, late}
@@ -212,7 +213,7 @@
 	m.Kill()
 	killed, last := s.Now, s.Now
 	s.Until(func() bool {
-		if other.Members() == len(s.Machines) {
+		if other.Nodes() == len(s.Machines) {
 			last = s.Now
 		}
 		return false
--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -44,7 +44,8 @@
 
 // play lets the machine miss the changes, and come back.
 func (a *absence) play(t *testing.T) {
-	s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: 11}), t, 0}
+	s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 11}), t,
+		0}
 	s.Tamper, s.Spoil = a.tamper, a.spoil
 	s.StartAll()
 	s.then("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
@@ -53,9 +54,9 @@
 		t.Helper()
 		version++
 		for tries := 0; ; tries++ {
-			c := s.PutText(at, uint64(version), textOf(version, a.items))
+			c := s.Put(at, uint64(version), textOf(version, a.items))
 			s.Until(func() bool { return c.Ended }, time.Second)
-			if c.Acked {
+			if c.Acknowledged {
 				return
 			}
 			if tries > 12 {
@@ -66,8 +67,8 @@
 	for range cmp.Or(a.before, 5) {
 		change()
 	}
-	m := s.Named(a.name)
-	s.then("all have it", 2*time.Second, func() bool { return s.Settled(uint64(version)) })
+	m := s.Machine(a.name)
+	s.then("all have it", 2*time.Second, func() bool { return s.Converged(uint64(version)) })
 	m.Kill()
 	for range a.missed {
 		change()
@@ -78,38 +79,38 @@
 	quiet := (s.Bytes - before) / 4
 
 	if a.disk != nil {
-		a.disk(&m.record)
+		a.disk(&m.stored)
 	}
 	m.Start()
 	began, from := s.Now, s.Bytes
 	ok := s.Until(func() bool {
-		f := m.Frame()
+		f := m.Replica()
 		if f.State() == replica.StateServing && f.PersistentState().Version < uint64(version) && a.found == "" {
 			a.found = fmt.Sprintf("it is in service with r%d, the newest is r%d", f.PersistentState().Version, version)
 		}
 		return f.State() == replica.StateServing && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
-			a.found != "" || len(s.Broken()) > 0
+			a.found != "" || len(s.Violations()) > 0
 	}, 10*time.Second)
 	a.took, a.bytes = s.Now-began, s.Bytes-from-int(float64(quiet)*(s.Now-began).Seconds())
 	if !ok {
-		a.found = fmt.Sprintf("after %v it has r%d in state %v", a.took, m.Frame().PersistentState().Version,
-			m.Frame().State())
+		a.found = fmt.Sprintf("after %v it has r%d in state %v", a.took, m.Replica().PersistentState().Version,
+			m.Replica().State())
 	}
 	change()
-	for _, other := range s.Disked() {
+	for _, other := range s.Replicas() {
 		s.then("the next is everywhere", 3*time.Second, func() bool {
-			return other.Frame().PersistentState().Version == uint64(version)
+			return other.Replica().PersistentState().Version == uint64(version)
 		})
 	}
-	if text := string(m.Frame().PersistentState().Config); a.found == "" && text != textOf(version, a.items) {
+	if text := string(m.Replica().PersistentState().Config); a.found == "" && text != textOf(version, a.items) {
 		a.found = "it has another text"
 	}
-	for _, other := range s.Disked() {
-		if a.found == "" && !slices.Equal(m.record.AcceptedVersions, other.record.AcceptedVersions) {
+	for _, other := range s.Replicas() {
+		if a.found == "" && !slices.Equal(m.stored.AcceptedVersions, other.stored.AcceptedVersions) {
 			a.found = "it remembers other numbers than " + other.Name
 		}
 	}
-	if b := s.Broken(); a.found == "" && len(b) > 0 {
+	if b := s.Violations(); a.found == "" && len(b) > 0 {
 		a.found = fmt.Sprint(b)
 	}
 }
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -16,8 +16,9 @@
 
 // domains are exchanges that are to outlive the loss of a zone, and of a region.
 var domains = map[string]Options{
-	"zones":   {Zones: 3, Disks: 2, Survive: 1, SurviveZones: 1},
-	"regions": {Zones: 6, Disks: 1, Survive: 1, SurviveZones: 1, SurviveRegions: 1, ZonesARegion: 2},
+	"zones": {Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, SurviveZones: 1},
+	"regions": {Zones: 6, ReplicasPerZone: 1, SurviveMachines: 1, SurviveZones: 1, SurviveRegions: 1,
+		ZonesPerRegion: 2},
 }
 
 // founded starts an exchange, and waits until what may be lost can be borne.
@@ -32,14 +33,14 @@
 
 // disksIn returns the machines with a disk in some zones.
 func (s *story) disksIn(zones ...string) []*Machine {
-	return slices.DeleteFunc(s.Disked(), func(m *Machine) bool { return !slices.Contains(zones, m.self.Zone) })
+	return slices.DeleteFunc(s.Replicas(), func(m *Machine) bool { return !slices.Contains(zones, m.node.Zone) })
 }
 
 // lose takes machines away at once, with their disks.
 func lose(list []*Machine) {
 	for _, m := range list {
 		m.Kill()
-		m.Wipe()
+		m.WipeDisk()
 	}
 }
 
@@ -96,7 +97,7 @@
 	o = domains["zones"]
 	o.Seed = 0
 	x := New(o)
-	x.countsAlone = true
+	x.ignoresDomains = true
 	if memberships(x) == "" {
 		t.Error("the seeded defect is not found")
 	}
@@ -108,12 +109,12 @@
 // count alone acknowledges what is lost.
 func TestAChainIsSpreadOverZones(t *testing.T) {
 	play := func(countsAlone bool) (acked, kept bool, log string) {
-		x := New(Options{Zones: 2, Disks: 3, Survive: 1, SurviveZones: 1, Seed: 5})
+		x := New(Options{Zones: 2, ReplicasPerZone: 3, SurviveMachines: 1, SurviveZones: 1, Seed: 5})
 		x.Trace = func(line string) { log += line }
-		x.countsAlone = countsAlone
-		away := x.Named("z2-1")
+		x.ignoresDomains = countsAlone
+		away := x.Machine("z2-1")
 		x.Machines = x.Machines[:4]
-		x.seeds = []string{x.Machines[0].self.Addr, x.Machines[1].self.Addr, away.self.Addr}
+		x.seeds = []string{x.Machines[0].node.Addr, x.Machines[1].node.Addr, away.node.Addr}
 		s := &story{x, t, 0}
 		s.StartAll()
 		s.then("all four serve", 36*time.Second, func() bool { return len(s.Chain()) == 4 })
@@ -122,18 +123,18 @@
 		}
 		s.Isolate(away, true)
 		s.Run(2 * time.Second)
-		c := s.Put(x.Machines[0], 5)
+		c := s.PutVersion(x.Machines[0], 5)
 		s.Until(func() bool { return c.Ended }, time.Second)
-		acked = c.Acked
+		acked = c.Acknowledged
 		if !acked {
 			s.HealAll()
-			_, ok := s.Change(x.Machines[1], 5, 8*time.Second)
+			_, ok := s.PutUntilAcknowledged(x.Machines[1], 5, 8*time.Second)
 			if !ok {
 				t.Error("it is not acknowledged either once the other zone is back")
 			}
 		}
 		lose(s.disksIn("z1"))
-		return acked, away.record.Version == 5, log
+		return acked, away.stored.Version == 5, log
 	}
 	acked, kept, log := play(false)
 	if acked || !kept {
@@ -151,34 +152,37 @@
 // for a core that outlives a zone, and names one; counted alone, it names one that doesn't.
 func TestAFirstStartIsSpreadOverZones(t *testing.T) {
 	play := func(countsAlone bool) *story {
-		s := &story{New(Options{Zones: 3, Disks: 5, Survive: 1, SurviveZones: 1, Seed: 9}), t, 0}
-		s.countsAlone = countsAlone
+		s := &story{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t, 0}
+		s.ignoresDomains = countsAlone
 		for _, m := range s.Machines {
 			switch m.Name {
 			case "z2-2", "z2-3", "z2-4", "z2-5", "z3-2", "z3-3", "z3-4", "z3-5": // there are none
 			case "z3-1":
-				s.at(3*time.Second, m.Start)
+				s.schedule(3*time.Second, m.Start)
 			default:
 				m.Start()
 			}
 		}
-		s.then("a core serves", 9*time.Second, func() bool { return len(s.Chain()) >= 3 && s.Spare() >= 1 })
+		s.then("a core serves", 9*time.Second, func() bool {
+			return len(s.Chain()) >= 3 &&
+				s.ToleratedFailures() >= 1
+		})
 		s.Run(2 * time.Second)
 		return s
 	}
 	s := play(false)
-	if !s.Borne() || len(s.Members()) != 3 {
-		t.Errorf("members %v, borne %v", s.Members(), s.Borne())
+	if !s.Tolerant() || len(s.Members()) != 3 {
+		t.Errorf("members %v, borne %v", s.Members(), s.Tolerant())
 	}
-	s.change(s.Named("z1-5"))
+	s.change(s.Machine("z1-5"))
 	lose(s.disksIn("z1"))
-	s.change(s.Named("z3-1"))
+	s.change(s.Machine("z3-1"))
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
 	s = play(true)
 	lose(s.disksIn("z1"))
-	if _, ok := s.Change(s.Named("z3-1"), 3, 4*time.Second); ok {
+	if _, ok := s.PutUntilAcknowledged(s.Machine("z3-1"), 3, 4*time.Second); ok {
 		t.Error("the seeded defect is not found")
 	}
 }
@@ -187,15 +191,16 @@
 // with the reason; and a replacement within the zone is not. When a lost member's only successor is of
 // another zone, then it has the place, and gives it up to the next one by which a zone can be lost again.
 func TestMembersAreKeptSpread(t *testing.T) {
-	s := founded(t, Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, SurviveZones: 1, Seed: 3})
-	spare, at := s.Add("z2"), s.Named("z1-2")
+	s := founded(t, Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
+		SurviveZones: 1, Seed: 3})
+	spare, at := s.Add("z2"), s.Machine("z1-2")
 	spare.Start()
 	s.Run(time.Second)
-	old := s.Named("z3-1")
-	if ok, why := s.by(at, spare.self.Addr, old.self.Addr); ok || !strings.Contains(why, "loss of zone z2") {
+	old := s.Machine("z3-1")
+	if ok, why := s.by(at, spare.node.Addr, old.node.Addr); ok || !strings.Contains(why, "loss of zone z2") {
 		t.Errorf("z3's for another of z2: %v, %q", ok, why)
 	}
-	if ok, why := s.by(at, spare.self.Addr, s.Named("z2-1").self.Addr); !ok {
+	if ok, why := s.by(at, spare.node.Addr, s.Machine("z2-1").node.Addr); !ok {
 		t.Errorf("within z2: %q", why)
 	}
 	s.borne(time.Second)
@@ -203,14 +208,14 @@
 	s.Run(time.Second)
 	lose([]*Machine{old})
 	s.then("one of z2 has the place", 8*time.Second, func() bool {
-		return len(s.Members()) == 3 && !slices.Contains(s.Members(), old.self.Addr) && len(s.Chain()) == 3
+		return len(s.Members()) == 3 && !slices.Contains(s.Members(), old.node.Addr) && len(s.Chain()) == 3
 	})
-	if s.Run(time.Second); s.Borne() {
+	if s.Run(time.Second); s.Tolerant() {
 		t.Errorf("z2 may be lost with two of the members %v", s.Members())
 	}
 	old.Start()
 	s.borne(4 * time.Second)
-	if !slices.Contains(s.Members(), old.self.Addr) || len(s.Members()) != 3 {
+	if !slices.Contains(s.Members(), old.node.Addr) || len(s.Members()) != 3 {
 		t.Errorf("members %v", s.Members())
 	}
 	s.ends("after that")
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -19,15 +19,15 @@
 
 // member reports whether a machine is a member, with a vote, in a view that serves.
 func (s *story) member(m *Machine) bool {
-	return slices.Contains(s.Members(), m.self.Addr) && slices.Contains(s.Chain(), m.self.Addr) &&
-		m.record.CaughtUp && len(m.record.OutgoingMembers) == 0
+	return slices.Contains(s.Members(), m.node.Addr) && slices.Contains(s.Chain(), m.node.Addr) &&
+		m.stored.CaughtUp && len(m.stored.OutgoingMembers) == 0
 }
 
 // borne waits until the next loss can be borne, and returns for how long.
 func (s *story) borne(limit time.Duration) time.Duration {
 	s.t.Helper()
 	began := s.Now
-	s.then("the next loss can be borne", limit, s.Borne)
+	s.then("the next loss can be borne", limit, s.Tolerant)
 	return s.Now - began
 }
 
@@ -37,31 +37,31 @@
 func TestAReplacedMachineBecomesAMember(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		s := given(t, 1)
-		old := s.Named(name)
+		old := s.Machine(name)
 		old.Kill()
-		s.change(s.Named("z2-2"))
-		fresh := s.Add(old.self.Zone)
+		s.change(s.Machine("z2-2"))
+		fresh := s.Add(old.node.Zone)
 		fresh.Start()
 		s.then("it is a member", 4*time.Second, func() bool { return s.member(fresh) })
 		s.borne(300 * time.Millisecond)
-		s.change(s.Named("z1-2"))
-		id := old.record.StoreID
+		s.change(s.Machine("z1-2"))
+		id := old.stored.StoreID
 		old.Start()
 		s.then("the old one has given up", 2*time.Second, func() bool {
-			return !old.record.CaughtUp && old.record.StoreID != id && len(old.record.Members) == 0
+			return !old.stored.CaughtUp && old.stored.StoreID != id && len(old.stored.Members) == 0
 		})
 		s.Run(4 * time.Second)
-		if slices.Contains(s.Members(), old.self.Addr) || len(s.Chain()) != 3 {
+		if slices.Contains(s.Members(), old.node.Addr) || len(s.Chain()) != 3 {
 			t.Errorf("members %v, chain %v", s.Members(), s.Chain())
 		}
-		s.then("all go by the newest", time.Second, func() bool { return s.Settled(s.version) })
-		for _, m := range s.Disked() { // the next loss, at once
+		s.then("all go by the newest", time.Second, func() bool { return s.Converged(s.version) })
+		for _, m := range s.Replicas() { // the next loss, at once
 			if m != old && m != fresh {
 				m.Kill()
 				break
 			}
 		}
-		s.change(s.Named("z3-2"))
+		s.change(s.Machine("z3-2"))
 		if wrong := s.consistent(); wrong != "" {
 			t.Error(wrong)
 		}
@@ -73,7 +73,7 @@
 // newcomers alone are the core.
 func TestTheWholeCoreIsReplacedInTurnThreeTimesOver(t *testing.T) {
 	s := given(t, 1)
-	core := s.Disked()
+	core := s.Replicas()
 	for round := range 3 {
 		for i, old := range core {
 			fresh := s.Replace(old)
@@ -86,10 +86,10 @@
 			core[i] = fresh
 		}
 	}
-	s.then("all go by it", 2*time.Second, func() bool { return s.Settled(s.version) })
+	s.then("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
 	s.restartAll()
 	s.then("the newcomers serve", 4*time.Second,
-		func() bool { return len(s.Chain()) == 3 && s.Settled(s.version) })
+		func() bool { return len(s.Chain()) == 3 && s.Converged(s.version) })
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
@@ -101,16 +101,16 @@
 func replacing(t *testing.T, until time.Duration, same bool) (s *story, fresh *Machine) {
 	t.Helper()
 	s = given(t, 1)
-	if fresh = s.Named("z1-1"); same {
+	if fresh = s.Machine("z1-1"); same {
 		fresh.Kill()
-		fresh.Wipe()
+		fresh.WipeDisk()
 	} else {
 		fresh = s.Replace(fresh)
 	}
-	s.change(s.Named("z2-1"))
+	s.change(s.Machine("z2-1"))
 	fresh.Start()
 	for until == 0 && !s.member(fresh) || s.Now < until {
-		s.change(s.Named("z3-2"))
+		s.change(s.Machine("z3-2"))
 		if s.Run(5 * time.Millisecond); until > 0 && s.Now+12*time.Millisecond > until {
 			s.Run(max(0, until-s.Now))
 		}
@@ -122,9 +122,9 @@
 func (s *story) ends(what string) {
 	s.t.Helper()
 	s.then(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 2 })
-	s.change(s.Named("z3-2"))
-	s.then(what+": all go by the newest", 4*time.Second, func() bool { return s.Settled(s.version) })
-	s.reads(s.Named("z2-2"))
+	s.change(s.Machine("z3-2"))
+	s.then(what+": all go by the newest", 4*time.Second, func() bool { return s.Converged(s.version) })
+	s.reads(s.Machine("z2-2"))
 	if wrong := s.consistent(); wrong != "" {
 		s.t.Errorf("%s: %s", what, wrong)
 	}
@@ -143,15 +143,15 @@
 	for at := -36 * time.Millisecond; at <= 12*time.Millisecond; at += 3 * time.Millisecond {
 		for victim := range 4 {
 			s, fresh := replacing(t, calm.Now+at, same)
-			c := s.PutText(s.Named("z3-2"), s.version+2, fmt.Sprint("racing-", at))
+			c := s.Put(s.Machine("z3-2"), s.version+2, fmt.Sprint("racing-", at))
 			s.Run(time.Duration(victim) * time.Millisecond)
-			for i, m := range s.Disked() {
+			for i, m := range s.Replicas() {
 				if victim == 3 || i == victim {
 					m.Kill()
 				}
 			}
 			s.Run(300 * time.Millisecond)
-			for _, m := range s.Disked() {
+			for _, m := range s.Replicas() {
 				m.Start()
 			}
 			what := fmt.Sprint("victim ", victim, " at ", at)
@@ -171,10 +171,10 @@
 			s, _ := replacing(t, 0, false)
 			s.borne(4 * time.Second)
 			s.Run(after)
-			s.change(s.Named("z2-2"))
-			m := s.Disked()[victim]
+			s.change(s.Machine("z2-2"))
+			m := s.Replicas()[victim]
 			m.Kill()
-			m.Wipe()
+			m.WipeDisk()
 			s.ends(fmt.Sprint("victim ", victim, " after ", after))
 			m.Start()
 			s.then("a wiped disk is a newcomer", 6*time.Second, func() bool { return s.member(m) })
@@ -192,9 +192,10 @@
 	params.MinSuccessfulTests = 30
 	p := gopter.NewProperties(params)
 	p.Property("one register", prop.ForAll(func(seed uint64) string {
-		x := New(Options{Zones: 3, Disks: 1 + int(seed%2), Others: 1, Survive: 1 + int(seed%2), Seed: seed})
+		x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
+			SurviveMachines: 1 + int(seed%2), Seed: seed})
 		if seed%4 < 2 {
-			x.Wire = noise(seed, false)
+			x.Network = noise(seed, false)
 		}
 		return memberships(x)
 	}, gen.UInt64()))
@@ -202,10 +203,10 @@
 }
 
 // memberships draws a history of members, and returns what went wrong.
-func memberships(x *Exchange) string {
+func memberships(x *Cluster) string {
 	rng := rand.New(rand.NewPCG(x.Seed, 4))
 	x.StartAll()
-	if !x.Until(func() bool { return x.Borne() }, 8*time.Second) {
+	if !x.Until(func() bool { return x.Tolerant() }, 8*time.Second) {
 		return "no first start"
 	}
 	number := uint64(1)
@@ -214,17 +215,17 @@
 	for range 10 {
 		for i := range 1 + rng.IntN(3) {
 			number += rng.Uint64N(2)
-			x.PutText(x.Machines[rng.IntN(len(x.Machines))], number, fmt.Sprintf("t%d", i%2))
+			x.Put(x.Machines[rng.IntN(len(x.Machines))], number, fmt.Sprintf("t%d", i%2))
 			x.Run(time.Duration(rng.IntN(30)) * time.Millisecond)
 		}
 		if rng.IntN(3) > 0 {
 			mend(x, lost)
 			lost = nil
-			if !x.Until(func() bool { return x.Now >= seen && x.Borne() }, 12*time.Second) {
+			if !x.Until(func() bool { return x.Now >= seen && x.Tolerant() }, 12*time.Second) {
 				return fmt.Sprint("no end of a repair; chain ", x.Chain(), ", members ", x.Members())
 			}
 		}
-		if x.Now >= seen && x.Borne() {
+		if x.Now >= seen && x.Tolerant() {
 			for m := range x.permitted(rng) {
 				switch rng.IntN(4) {
 				case 0:
@@ -233,7 +234,7 @@
 					}
 				case 1:
 					if m.up {
-						m.office.Drain(x.Now)
+						m.controlNode.Drain(x.Now)
 					}
 					x.Run(time.Duration(rng.IntN(600)) * time.Millisecond)
 					m.Kill()
@@ -257,13 +258,13 @@
 			lost = nil
 		}
 		if rng.IntN(6) == 0 {
-			mend(x, x.Disked())
+			mend(x, x.Replicas())
 			x.restartAll()
 			lost = nil
 		}
 	}
-	mend(x, x.Disked())
-	if !x.Until(func() bool { return x.Borne() }, 12*time.Second) {
+	mend(x, x.Replicas())
+	if !x.Until(func() bool { return x.Tolerant() }, 12*time.Second) {
 		return fmt.Sprint("no end of the last repair; chain ", x.Chain(), ", members ", x.Members())
 	}
 	x.Run(4 * time.Second)
@@ -272,25 +273,25 @@
 	if wrong := x.consistent(); wrong != "" {
 		return wrong
 	}
-	if !c.Acked || !x.Settled(c.Version) {
+	if !c.Acknowledged || !x.Converged(c.Version) {
 		return "not all go by the newest"
 	}
 	return ""
 }
 
 // permitted draws a loss that is to be borne: of machines, or of all those of some zones or regions.
-func (x *Exchange) permitted(rng *rand.Rand) iter.Seq[*Machine] {
-	disks := x.Disked()
+func (c *Cluster) permitted(rng *rand.Rand) iter.Seq[*Machine] {
+	disks := c.Replicas()
 	var lost [][]string // zones
-	if x.SurviveZones > 0 {
-		lost = append(lost, x.draw(rng, x.SurviveZones, 1))
+	if c.SurviveZones > 0 {
+		lost = append(lost, c.draw(rng, c.SurviveZones, 1))
 	}
-	if x.SurviveRegions > 0 {
-		lost = append(lost, x.draw(rng, x.SurviveRegions, x.ZonesARegion))
+	if c.SurviveRegions > 0 {
+		lost = append(lost, c.draw(rng, c.SurviveRegions, c.ZonesPerRegion))
 	}
 	if len(lost) == 0 || rng.IntN(len(lost)+1) == 0 {
 		return func(yield func(*Machine) bool) {
-			for range 1 + rng.IntN(x.Survive) {
+			for range 1 + rng.IntN(c.SurviveMachines) {
 				if !yield(disks[rng.IntN(len(disks))]) {
 					return
 				}
@@ -299,13 +300,13 @@
 	}
 	zones := lost[rng.IntN(len(lost))]
 	return slices.Values(slices.DeleteFunc(disks, func(m *Machine) bool {
-		return !slices.Contains(zones, m.self.Zone)
+		return !slices.Contains(zones, m.node.Zone)
 	}))
 }
 
 // draw draws the zones of some regions, each of so many zones.
-func (x *Exchange) draw(rng *rand.Rand, regions, zones int) (list []string) {
-	for _, r := range rng.Perm(x.Zones / zones)[:regions] {
+func (c *Cluster) draw(rng *rand.Rand, regions, zones int) (list []string) {
+	for _, r := range rng.Perm(c.Zones / zones)[:regions] {
 		for z := range zones {
 			list = append(list, fmt.Sprintf("z%d", r*zones+z+1))
 		}
@@ -314,9 +315,9 @@
 }
 
 // replaceDrawn has another machine take the place of one that is gone, before or after that.
-func (x *Exchange) replaceDrawn(m *Machine, rng *rand.Rand) {
-	fresh := x.Replace(m)
-	x.at(time.Duration(rng.IntN(1200))*time.Millisecond, fresh.Start)
+func (c *Cluster) replaceDrawn(m *Machine, rng *rand.Rand) {
+	fresh := c.Replace(m)
+	c.schedule(time.Duration(rng.IntN(1200))*time.Millisecond, fresh.Start)
 }
 
 // Given a machine of the core that is told to stop while another one waits, then that takes its place
@@ -326,31 +327,31 @@
 	spare := s.Add("z1")
 	spare.Start()
 	s.Run(2 * time.Second)
-	if slices.Contains(s.Members(), spare.self.Addr) {
+	if slices.Contains(s.Members(), spare.node.Addr) {
 		t.Fatalf("a core that is whole has taken in another member: %v", s.Members())
 	}
-	head := s.Named("z1-1")
-	c := s.Put(s.Named("z3-2"), s.version+1)
-	head.office.Drain(s.Now)
-	if !head.office.HandingOver() {
+	head := s.Machine("z1-1")
+	c := s.PutVersion(s.Machine("z3-2"), s.version+1)
+	head.controlNode.Drain(s.Now)
+	if !head.controlNode.HandingOver() {
 		t.Error("its process doesn't wait for the other")
 	}
 	s.then("the other has taken its place", 500*time.Millisecond, func() bool { return s.member(spare) })
 	s.then("it knows", 100*time.Millisecond, func() bool {
-		return !head.record.CaughtUp && !head.office.HandingOver()
+		return !head.stored.CaughtUp && !head.controlNode.HandingOver()
 	})
-	if s.Until(func() bool { return c.Ended }, time.Second); !c.Acked {
+	if s.Until(func() bool { return c.Ended }, time.Second); !c.Acknowledged {
 		t.Error("a change in the midst of it is not acknowledged")
 	}
 	s.version++
 	head.Kill()
 	s.Run(time.Second)
-	s.Named("z2-1").office.Drain(s.Now)
-	if s.Named("z2-1").office.HandingOver() {
+	s.Machine("z2-1").controlNode.Drain(s.Now)
+	if s.Machine("z2-1").controlNode.HandingOver() {
 		t.Error("its process waits for nobody")
 	}
 	s.Run(time.Second)
-	if !slices.Contains(s.Members(), s.Named("z2-1").self.Addr) {
+	if !slices.Contains(s.Members(), s.Machine("z2-1").node.Addr) {
 		t.Errorf("one has left without a successor: %v", s.Members())
 	}
 	s.ends("after that")
@@ -360,7 +361,7 @@
 func (s *story) by(m *Machine, add, remove string) (ok bool, why string) {
 	s.t.Helper()
 	for range 6 {
-		o := s.Reform(m, add, remove)
+		o := s.ChangeMembers(m, add, remove)
 		if s.Until(func() bool { return o.Ended }, time.Second); o.Answer != nil {
 			s.Run(50 * time.Millisecond) // that it is complete is on the disks, too
 			return o.Answer.OK, o.Answer.Reason
@@ -375,22 +376,22 @@
 // would leave no quorum or nobody is there.
 func TestMembersChangeByHand(t *testing.T) {
 	s := given(t, 1)
-	a, b, spare, other := s.Named("z1-1"), s.Named("z2-1"), s.Add("z1"), s.Add("z2")
+	a, b, spare, other := s.Machine("z1-1"), s.Machine("z2-1"), s.Add("z1"), s.Add("z2")
 	spare.Start()
 	other.Start()
 	s.Run(time.Second)
-	at := s.Named("z3-2")
+	at := s.Machine("z3-2")
 	for _, c := range []struct {
 		add, remove *Machine
 		why         string
 		members     int
 	}{
-		{add: s.Named("z1-2"), why: "no machine with a disk", members: 3},
+		{add: s.Machine("z1-2"), why: "no machine with a disk", members: 3},
 		{remove: spare, members: 3}, // it is none: that is so
 		{add: spare, members: 4},
 		{add: spare, members: 4}, // sent again
 		{add: other, remove: a, members: 4},
-		{remove: s.Named("z3-1"), members: 3},
+		{remove: s.Machine("z3-1"), members: 3},
 		{remove: b, members: 2},
 		{remove: spare, why: "could not be tolerated", members: 2},
 	} {
@@ -401,20 +402,20 @@
 			if m == nil {
 				return ""
 			}
-			return m.self.Addr
+			return m.node.Addr
 		}
-		if c.remove == s.Named("z3-1") || c.remove == b {
-			for _, m := range []*Machine{a, s.Named("z3-1")} {
+		if c.remove == s.Machine("z3-1") || c.remove == b {
+			for _, m := range []*Machine{a, s.Machine("z3-1")} {
 				m.Kill()
 			}
 			s.Run(time.Second)
 		}
-		put := s.Put(at, s.version+1)
+		put := s.PutVersion(at, s.version+1)
 		ok, why := s.by(at, addr(c.add), addr(c.remove))
 		if ok != (c.why == "") || !strings.Contains(why, c.why) || len(s.Members()) != c.members {
 			t.Fatalf("add %q, remove %q: %v %q, members %v", addr(c.add), addr(c.remove), ok, why, s.Members())
 		}
-		if s.Until(func() bool { return put.Ended }, time.Second); put.Acked {
+		if s.Until(func() bool { return put.Ended }, time.Second); put.Acknowledged {
 			s.version++
 		}
 	}
@@ -431,18 +432,18 @@
 	t.Helper()
 	s = given(t, 1)
 	s.Spoil = spoil
-	m = s.Named("z3-1")
+	m = s.Machine("z3-1")
 	if s.Isolate(m, cut); cut {
 		s.Run(time.Second)
 	}
-	if ok, why := s.by(s.Named("z1-2"), "", m.self.Addr); !ok {
+	if ok, why := s.by(s.Machine("z1-2"), "", m.node.Addr); !ok {
 		t.Fatal(why)
 	}
 	s.then("it has given up", 8*time.Second, func() bool {
-		if m.office.Replica().IsUninitialized() {
+		if m.controlNode.Replica().IsUninitialized() {
 			return true
 		}
-		if s.seeds = []string{s.Named("z2-2").self.Addr}; cut && m.up {
+		if s.seeds = []string{s.Machine("z2-2").node.Addr}; cut && m.up {
 			m.Kill()
 			m.Start()
 			s.Run(time.Second)
@@ -457,7 +458,7 @@
 	s.restartAll()
 	s.then("the others serve", 4*time.Second, func() bool { return len(s.Chain()) >= 2 })
 	s.Run(4 * time.Second)
-	return s, m, slices.Contains(s.Members(), m.self.Addr)
+	return s, m, slices.Contains(s.Members(), m.node.Addr)
 }
 
 // Given a member that staff have removed, while it ran or was cut off, when it is started again, and all are,
@@ -472,7 +473,7 @@
 		fresh := s.Add("z3")
 		fresh.Start()
 		s.then("another one comes", 4*time.Second, func() bool { return s.member(fresh) })
-		if ok, why := s.by(s.Named("z1-2"), m.self.Addr, ""); !ok || !s.member(m) || m.record.RemovedByOperator {
+		if ok, why := s.by(s.Machine("z1-2"), m.node.Addr, ""); !ok || !s.member(m) || m.stored.RemovedByOperator {
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
 		s.ends("after that")
@@ -490,13 +491,13 @@
 // refused for want of a quorum; and removing the one that is lost is not.
 func TestAChangeByHandLeavesAQuorum(t *testing.T) {
 	s := given(t, 1)
-	s.Named("z3-1").Kill()
+	s.Machine("z3-1").Kill()
 	s.Run(2 * time.Second)
-	at := s.Named("z1-2")
-	if ok, why := s.by(at, "", s.Named("z2-1").self.Addr); ok || !strings.Contains(why, "no quorum") {
+	at := s.Machine("z1-2")
+	if ok, why := s.by(at, "", s.Machine("z2-1").node.Addr); ok || !strings.Contains(why, "no quorum") {
 		t.Errorf("one of the two that are left: %v %q", ok, why)
 	}
-	if ok, why := s.by(at, "", s.Named("z3-1").self.Addr); !ok {
+	if ok, why := s.by(at, "", s.Machine("z3-1").node.Addr); !ok {
 		t.Errorf("the lost one: %q", why)
 	}
 	s.ends("after that")
@@ -508,15 +509,15 @@
 func handedOver(t *testing.T, seed func(s *story, fresh *Machine)) (wrong string) {
 	t.Helper()
 	s := given(t, 1)
-	away, old, left := s.Named("z3-1"), s.Named("z1-1"), s.Named("z2-1")
+	away, old, left := s.Machine("z3-1"), s.Machine("z1-1"), s.Machine("z2-1")
 	away.Kill()
 	s.change(left) // old and left have it
 	s.Run(time.Second)
 	fresh := s.Add("z1")
 	seed(s, fresh)
 	fresh.Start()
-	old.office.Drain(s.Now)
-	s.Until(func() bool { return slices.Contains(s.Members(), fresh.self.Addr) }, 6*time.Second)
+	old.controlNode.Drain(s.Now)
+	s.Until(func() bool { return slices.Contains(s.Members(), fresh.node.Addr) }, 6*time.Second)
 	s.Run(100 * time.Millisecond)
 	for _, m := range s.Machines {
 		m.Kill()
@@ -530,7 +531,7 @@
 	s.Run(4 * time.Second)
 	c := s.Read(fresh)
 	s.Run(time.Second)
-	if wrong := s.consistent(); wrong != "" || c.Acked {
+	if wrong := s.consistent(); wrong != "" || c.Acknowledged {
 		return wrong
 	}
 	return "the newest can't be read"
@@ -541,7 +542,7 @@
 func apart(t *testing.T, seed func(s *story, old, peer *Machine)) (wrong string) {
 	t.Helper()
 	s := given(t, 1)
-	old, peer := s.Named("z1-1"), s.Named("z2-1")
+	old, peer := s.Machine("z1-1"), s.Machine("z2-1")
 	old.Kill()
 	fresh := s.Add("z1")
 	fresh.Start()
@@ -557,8 +558,8 @@
 	peer.Start()
 	s.Run(3 * time.Second)
 	for range 4 {
-		s.PutText(old, s.version+1, "of-the-old")
-		s.PutText(fresh, s.version+1, "of-the-new")
+		s.Put(old, s.version+1, "of-the-old")
+		s.Put(fresh, s.version+1, "of-the-new")
 		s.Run(time.Second)
 	}
 	s.HealAll()
@@ -602,18 +603,18 @@
 			}),
 		"a removed member that votes under its old life": apart(t, func(_ *story, old, peer *Machine) {
 			// Its vote counts beside that of one which has forgotten the change.
-			peer.record.Members, peer.record.MembershipEpoch = old.record.Members, old.record.MembershipEpoch
+			peer.stored.Members, peer.stored.MembershipEpoch = old.stored.Members, old.stored.MembershipEpoch
 		}),
 		"a wiped disk that votes under its old life": func() string {
 			s := given(t, 1)
-			a, b, c := s.Named("z1-1"), s.Named("z2-1"), s.Named("z3-1")
+			a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 			c.Kill()
 			s.change(a) // a and b have it
 			a.Kill()
 			b.Kill()
-			was := b.record
-			b.Wipe()
-			b.record = replica.PersistentState{CaughtUp: true, StoreID: was.StoreID, Members: was.Members}
+			was := b.stored
+			b.WipeDisk()
+			b.stored = replica.PersistentState{CaughtUp: true, StoreID: was.StoreID, Members: was.Members}
 			b.Start()
 			c.Start()
 			s.Run(4 * time.Second)
@@ -666,29 +667,29 @@
 
 // forgetful plays that, and returns what went wrong.
 func forgetful(spoil func(*Machine, *replica.PersistentState)) (wrong string) {
-	x := New(Options{Zones: 3, Disks: 2, Survive: 1, Seed: 3})
-	a, known, b, c := x.Named("z1-1"), x.Named("z1-2"), x.Named("z2-1"), x.Named("z3-1")
-	x.Cut(a, x.Named("z2-2"), true)
-	x.Cut(a, x.Named("z3-2"), true)
+	x := New(Options{Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, Seed: 3})
+	a, known, b, c := x.Machine("z1-1"), x.Machine("z1-2"), x.Machine("z2-1"), x.Machine("z3-1")
+	x.Cut(a, x.Machine("z2-2"), true)
+	x.Cut(a, x.Machine("z3-2"), true)
 	for _, m := range x.Machines {
 		if m != c {
 			m.Start()
 		}
 	}
-	x.Until(func() bool { return len(known.record.Members) > 0 }, 3*time.Second)
+	x.Until(func() bool { return len(known.stored.Members) > 0 }, 3*time.Second)
 	x.Isolate(a, true)
 	x.Isolate(known, true)
 	b.Kill()
-	b.Wipe()
+	b.WipeDisk()
 	if spoil != nil { // as its disk is found
-		spoil(b, &b.record)
-		b.record.Bootstrap.Seeds = x.seeds
+		spoil(b, &b.stored)
+		b.stored.Bootstrap.Seeds = x.seeds
 	}
 	b.Start()
 	c.Start()
 	x.Run(8 * time.Second)
 	x.HealAll()
-	if !x.Until(func() bool { return x.Spare() >= 1 }, 15*time.Second) {
+	if !x.Until(func() bool { return x.ToleratedFailures() >= 1 }, 15*time.Second) {
 		return "no core serves"
 	}
 	return x.consistent()
@@ -696,21 +697,22 @@
 
 // lostSeed draws a first start in which a seed loses its disk, and returns what went wrong.
 func lostSeed(seed uint64) (wrong string) {
-	x := New(Options{Zones: 3, Disks: 1 + int(seed%2), Others: 1, Survive: 1, Seed: seed})
+	x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1, SurviveMachines: 1,
+		Seed: seed})
 	rng := rand.New(rand.NewPCG(seed, 6))
 	var seeds []*Machine
 	for _, m := range x.Machines {
-		if slices.Contains(x.seeds, m.self.Addr) {
+		if slices.Contains(x.seeds, m.node.Addr) {
 			seeds = append(seeds, m)
 		}
-		x.at(time.Duration(rng.IntN(1+rng.IntN(2)*2000))*time.Millisecond, m.Start)
+		x.schedule(time.Duration(rng.IntN(1+rng.IntN(2)*2000))*time.Millisecond, m.Start)
 	}
 	x.Run(time.Duration(600+rng.IntN(500)) * time.Millisecond)
 	again := func(m *Machine, wipe bool) {
 		m.Kill()
-		m.has = true
+		m.startedBefore = true
 		if wipe {
-			m.Wipe()
+			m.WipeDisk()
 		}
 		x.Run(time.Duration(rng.IntN(200)) * time.Millisecond)
 		m.Start()
@@ -734,8 +736,8 @@
 		}
 		x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
-	mend(x, x.Disked())
-	if !x.Until(func() bool { return x.Spare() >= 1 }, 15*time.Second) {
+	mend(x, x.Replicas())
+	if !x.Until(func() bool { return x.ToleratedFailures() >= 1 }, 15*time.Second) {
 		return "no core serves"
 	}
 	return x.consistent()
@@ -743,15 +745,15 @@
 
 // twoSeeds plays a first start in which all seeds but one are killed, and returns what went wrong.
 func twoSeeds(spared int, at time.Duration, wiped bool) (wrong string) {
-	x := New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: uint64(at)})
+	x := New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: uint64(at)})
 	x.StartAll()
 	x.Run(at)
-	for i, m := range x.Disked() {
+	for i, m := range x.Replicas() {
 		if i != spared {
 			m.Kill()
-			m.has = true // the settings by which it starts again are of no first start
+			m.startedBefore = true // the settings by which it starts again are of no first start
 			if wiped {
-				m.Wipe()
+				m.WipeDisk()
 				wiped = false
 			}
 		}
@@ -760,10 +762,10 @@
 	for _, m := range x.Machines {
 		m.Start()
 	}
-	if !x.Until(func() bool { return len(x.Chain()) == 3 && x.Spare() == 1 }, 9*time.Second) {
+	if !x.Until(func() bool { return len(x.Chain()) == 3 && x.ToleratedFailures() == 1 }, 9*time.Second) {
 		return "the core does not serve"
 	}
-	if _, ok := x.Change(x.Machines[1], 3, 4*time.Second); !ok {
+	if _, ok := x.PutUntilAcknowledged(x.Machines[1], 3, 4*time.Second); !ok {
 		return "nothing is acknowledged"
 	}
 	return x.consistent()
@@ -773,7 +775,7 @@
 // that takes its place as for one that is silent; and when all is well again, it is a newcomer.
 func TestAMachineThatIsOfNoUseIsReplaced(t *testing.T) {
 	for name, strike := range map[string]func(s *story, m *Machine, on bool){
-		"disk": func(_ *story, m *Machine, on bool) { m.Fill(on) },
+		"disk": func(_ *story, m *Machine, on bool) { m.FillDisk(on) },
 		"ears": func(s *story, m *Machine, on bool) {
 			for _, other := range s.Machines {
 				s.CutOneWay(other, m, on && other != m)
@@ -784,13 +786,13 @@
 		spare := s.Add("z1")
 		spare.Start()
 		s.Run(time.Second)
-		m := s.Named("z1-1")
+		m := s.Machine("z1-1")
 		strike(s, m, true)
-		s.change(s.Named("z2-2"))
+		s.change(s.Machine("z2-2"))
 		s.then(name+": the other is a member", 4*time.Second, func() bool { return s.member(spare) })
 		s.borne(time.Second)
 		strike(s, m, false)
-		s.then(name+": it has given up", 3*time.Second, func() bool { return !m.record.CaughtUp })
+		s.then(name+": it has given up", 3*time.Second, func() bool { return !m.stored.CaughtUp })
 		s.ends(name)
 	}
 }
@@ -801,14 +803,14 @@
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for _, from := range []string{"", "z1-1", "z2-1", "z3-1"} {
 			s := given(t, 1)
-			deaf := s.Named(name)
+			deaf := s.Machine(name)
 			for _, m := range s.Machines {
 				s.CutOneWay(m, deaf, m != deaf && (from == "" || from == m.Name))
 			}
 			s.Run(2 * time.Second)
 			held, n := time.Duration(0), 0
 			for end := s.Now + 4*time.Second; s.Now < end; n++ {
-				if took := s.change(s.Named("z3-2")); took > 100*time.Millisecond {
+				if took := s.change(s.Machine("z3-2")); took > 100*time.Millisecond {
 					held += took
 				}
 			}
@@ -819,7 +821,7 @@
 			s.then(
 				"it is back",
 				4*time.Second,
-				func() bool { return s.Spare() == 1 && deaf.Version() == s.version },
+				func() bool { return s.ToleratedFailures() == 1 && deaf.Version() == s.version },
 			)
 		}
 	}
@@ -832,25 +834,25 @@
 	play := func(spoil func(*Machine, *replica.PersistentState)) (complete bool, wrong string) {
 		s := given(t, 1)
 		s.Spoil = spoil
-		lost, third := s.Named("z1-1"), s.Named("z3-1")
-		s.Wire = func(_, to string, m *message.Message) []Delivery {
+		lost, third := s.Machine("z1-1"), s.Machine("z3-1")
+		s.Network = func(_, to string, m *message.Message) []Delivery {
 			install, ok := m.Body.(*message.InstallView)
-			if ok && to == third.self.Addr && len(install.OutgoingMembers) > 0 {
+			if ok && to == third.node.Addr && len(install.OutgoingMembers) > 0 {
 				return nil
 			}
 			return []Delivery{{To: to, Message: m}}
 		}
 		lost.Kill()
-		lost.Wipe()
+		lost.WipeDisk()
 		s.Run(time.Second)
 		lost.Start()
-		s.Until(func() bool { return lost.record.CaughtUp }, 4*time.Second)
+		s.Until(func() bool { return lost.stored.CaughtUp }, 4*time.Second)
 		s.restartAll()
 		s.Run(6 * time.Second)
-		complete = s.Spare() > 0 || len(s.Chain()) > 0 && !slices.Contains(s.Chain(), third.self.Addr)
-		s.Wire, s.Spoil = nil, nil
+		complete = s.ToleratedFailures() > 0 || len(s.Chain()) > 0 && !slices.Contains(s.Chain(), third.node.Addr)
+		s.Network, s.Spoil = nil, nil
 		s.restartAll()
-		if s.Until(func() bool { return s.Spare() == 1 }, 6*time.Second); s.Spare() != 1 {
+		if s.Until(func() bool { return s.ToleratedFailures() == 1 }, 6*time.Second); s.ToleratedFailures() != 1 {
 			return complete, "the core does not serve"
 		}
 		return complete, s.consistent()
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -28,7 +28,7 @@
 	for what, c := range map[string]struct{ got, most time.Duration }{
 		"who asks a silent machine asks the next": {client.FailoverTimeout, applyWithin},
 		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, applyWithin},
-		"an older configuration comes into force": {OldInForce, applyWithin},
+		"an older configuration comes into force": {MaxStaleInForce, applyWithin},
 		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietFor},
 		"a call is answered":                      {client.CallTimeout, callerWaits - wayBack},
 	} {
@@ -40,7 +40,7 @@
 
 // watch holds every word of every machine to what a majority has agreed on more than the bound ago.
 type watch struct {
-	x      *Exchange
+	x      *Cluster
 	polls  map[poll]uint64  // the version that the question came with
 	views  map[uint64]began // by epoch
 	newest uint64           // of these
@@ -70,10 +70,10 @@
 	kind message.Type
 }
 
-func watched(x *Exchange) *watch {
+func watched(x *Cluster) *watch {
 	w := &watch{x: x, polls: map[poll]uint64{}, views: map[uint64]began{}, last: map[word]time.Duration{},
 		lists: map[process]message.EndpointList{}}
-	x.Told = w.told
+	x.Observe = w.told
 	return w
 }
 
@@ -105,7 +105,7 @@
 		}
 		return
 	case *message.Watch:
-		w.polls[poll{from.self.Addr, m.Incarnation, m.RequestID}] = body.Version
+		w.polls[poll{from.node.Addr, m.Incarnation, m.RequestID}] = body.Version
 		return
 	case *message.WatchResponse:
 		w.news(from, to, m, body)
@@ -167,8 +167,8 @@
 		}
 	}
 	for _, c := range w.x.Calls {
-		if !stale && c.Acked && !c.Read && c.Version > version && w.x.Now > c.At+replica.MaxStaleness {
-			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.At)
+		if !stale && c.Acknowledged && !c.Read && c.Version > version && w.x.Now > c.EndedAt+replica.MaxStaleness {
+			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.EndedAt)
 		}
 	}
 	if response.Endpoints != nil {
@@ -178,7 +178,7 @@
 
 // read holds a list to its token: it was read when that epoch's view was in service, and tokens only rise.
 func (w *watch) read(from *Machine, l *message.EndpointList) {
-	of := process{from, from.life}
+	of := process{from, from.starts}
 	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
 		w.breaks(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
 	}
@@ -216,14 +216,14 @@
 	}, true, 0},
 	{"cut off from the core", func(s *story, m *Machine) { s.Isolate(m, true) }, true, 0},
 	{"hears nobody of the core", func(s *story, m *Machine) {
-		for _, other := range s.Disked() {
+		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(other, m, true)
 			}
 		}
 	}, true, 0},
 	{"heard by nobody of the core", func(s *story, m *Machine) {
-		for _, other := range s.Disked() {
+		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(m, other, true)
 			}
@@ -231,7 +231,7 @@
 	}, true, 0},
 	{"cut off from all but the core", func(s *story, m *Machine) {
 		for _, other := range s.Machines {
-			if !other.disk {
+			if !other.hasDisk {
 				s.Cut(m, other, true)
 			}
 		}
@@ -247,14 +247,14 @@
 		}
 	}, true, 3 * time.Second},
 	{"frozen", func(_ *story, m *Machine) { m.Freeze() }, true, 0},
-	{"a slow disk", func(_ *story, m *Machine) { m.SetSync(1500 * time.Millisecond) }, false, 0},
-	{"a disk that hangs", func(_ *story, m *Machine) { m.Hang(true) }, false, 0},
-	{"a full disk", func(_ *story, m *Machine) { m.Fill(true) }, false, 0},
+	{"a slow disk", func(_ *story, m *Machine) { m.SetSyncTime(1500 * time.Millisecond) }, false, 0},
+	{"a disk that hangs", func(_ *story, m *Machine) { m.HangDisk(true) }, false, 0},
+	{"a full disk", func(_ *story, m *Machine) { m.FillDisk(true) }, false, 0},
 }
 
 // others are all machines but one.
-func (x *Exchange) others(m *Machine) []*Machine {
-	return slices.DeleteFunc(slices.Clone(x.Machines), func(o *Machine) bool { return o == m })
+func (c *Cluster) others(m *Machine) []*Machine {
+	return slices.DeleteFunc(slices.Clone(c.Machines), func(o *Machine) bool { return o == m })
 }
 
 // counts are the kinds of words that claim to be the newest, or to be held by a majority.
@@ -275,9 +275,9 @@
 	for i := 0; s.Now < began+20*time.Second; i++ {
 		w.change()
 		s.version += 3
-		s.PutText(m, s.version, "in-trouble")
+		s.Put(m, s.version, "in-trouble")
 		s.Read(m)
-		s.PutText(m, s.version-3, "another")
+		s.Put(m, s.version-3, "another")
 		took, ok := s.changeAt(others, i, s.version)
 		if !ok {
 			s.version += 3
@@ -293,19 +293,19 @@
 func (s *story) changeAt(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
 	began := s.Now
 	for i := first; s.Now < began+8*time.Second; i++ {
-		c := s.PutText(list[i%len(list)], version, "in-order")
+		c := s.Put(list[i%len(list)], version, "in-order")
 		s.Until(func() bool { return c.Ended }, time.Second)
-		if c.Acked || c.Conflict {
-			return s.Now - began, c.Acked
+		if c.Acknowledged || c.Conflict {
+			return s.Now - began, c.Acknowledged
 		}
 	}
 	return 8 * time.Second, false
 }
 
 func (s *story) heal(m *Machine) {
-	m.SetSync(5 * time.Millisecond)
-	m.Hang(false)
-	mend(s.Exchange, []*Machine{m})
+	m.SetSyncTime(5 * time.Millisecond)
+	m.HangDisk(false)
+	mend(s.Cluster, []*Machine{m})
 }
 
 // Given any machine of the core in any trouble for twenty seconds, when operators go on and servers come and
@@ -318,8 +318,8 @@
 			t.Run(tr.name+" "+name, func(t *testing.T) {
 				s := given(t, 2)
 				s.ReadTime = 700 * time.Millisecond
-				w := watched(s.Exchange)
-				m, first, began := s.Named(name), len(s.Calls), s.Now
+				w := watched(s.Cluster)
+				m, first, began := s.Machine(name), len(s.Calls), s.Now
 				if took := twentySeconds(s, w, m, tr.hit); took > mostForAChange {
 					t.Errorf("a change took %v at the others", took)
 				}
@@ -333,10 +333,10 @@
 					}
 				}
 				for _, c := range s.Calls[first:] {
-					if took := c.At - c.Began; c.Ended && took > callerWaits-wayBack {
+					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerWaits-wayBack {
 						t.Errorf("%+v has its answer after %v", *c, took)
 					}
-					if !c.Ended && !m.frozen && c.Began < s.Now-callerWaits {
+					if !c.Ended && !m.frozen && c.StartedAt < s.Now-callerWaits {
 						t.Errorf("%+v has no answer", *c)
 					}
 				}
@@ -344,12 +344,12 @@
 				s.Run(6 * time.Second)
 				c := s.Read(m)
 				s.Run(time.Second)
-				if !c.Acked || !s.Settled(c.Version) {
+				if !c.Acknowledged || !s.Converged(c.Version) {
 					t.Errorf("read %+v; not all go by it", *c)
 				}
 				for _, other := range s.Machines {
-					if serial(other.Servers()) != serial(s.Servers) {
-						t.Errorf("%s goes by list %d of %d", other.Name, serial(other.Servers()), serial(s.Servers))
+					if serial(other.Endpoints()) != serial(s.Servers) {
+						t.Errorf("%s goes by list %d of %d", other.Name, serial(other.Endpoints()), serial(s.Servers))
 					}
 				}
 				if len(s.Chain()) != 3 {
@@ -371,10 +371,10 @@
 func TestSeededDefectsOfTheQuorumAreFound(t *testing.T) {
 	for _, d := range []struct {
 		what, trouble, machine string
-		seed                   func(x *Exchange)
+		seed                   func(x *Cluster)
 	}{
 		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
-			func(x *Exchange) {
+			func(x *Cluster) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
 					if h, ok := m.Body.(*message.Heartbeat); ok {
 						h.EchoDelayMillis = uint64(time.Hour.Milliseconds())
@@ -382,9 +382,9 @@
 				}
 			}},
 		{"a list that was read under an epoch is told under the next", "frozen", "z1-1",
-			func(x *Exchange) { x.lateToken = true }},
+			func(x *Cluster) { x.lateToken = true }},
 		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
-			func(x *Exchange) {
+			func(x *Cluster) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
 					if h, ok := m.Body.(*message.Heartbeat); ok {
 						h.Unhealthy = false
@@ -392,16 +392,16 @@
 				}
 			}},
 		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
-			func(x *Exchange) { x.alone = true }},
+			func(x *Cluster) { x.answersAlone = true }},
 	} {
 		s := given(t, 2)
 		s.ReadTime = 2 * time.Second
-		w := watched(s.Exchange)
-		d.seed(s.Exchange)
+		w := watched(s.Cluster)
+		d.seed(s.Cluster)
 		w.change()
 		s.Run(2 * time.Second) // reading
 		i := slices.IndexFunc(troubles, func(tr trouble) bool { return tr.name == d.trouble })
-		took := twentySeconds(s, w, s.Named(d.machine), troubles[i].hit)
+		took := twentySeconds(s, w, s.Machine(d.machine), troubles[i].hit)
 		if took <= mostForAChange && len(w.wrong) == 0 && s.consistent() == "" {
 			t.Errorf("not found: %s", d.what)
 		}
@@ -412,8 +412,8 @@
 // when the platform is down, then nobody goes back to that: it is told the newest, and passes it on.
 func TestAReaderThatComesBackTellsNoOldList(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Exchange)
-	reader := s.Named("z3-1")
+	w := watched(s.Cluster)
+	reader := s.Machine("z3-1")
 	w.change()
 	s.Run(2 * time.Second)
 	s.Isolate(reader, true)
@@ -421,23 +421,23 @@
 	w.change()
 	s.Run(2 * time.Second)
 	s.PlatformDown = true
-	newcomer := s.Named("z2-1")
+	newcomer := s.Machine("z2-1")
 	newcomer.Kill()
 	s.HealAll()
 	s.Run(2 * time.Second)
 	newcomer.Start()
 	s.then("all go by the newest", 8*time.Second, func() bool {
 		return len(s.Chain()) == 3 && !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
-			return serial(m.Servers()) != serial(s.Servers)
+			return serial(m.Endpoints()) != serial(s.Servers)
 		})
 	})
 	for _, name := range []string{"z2-2", "z3-2"} { // which ask the newcomer, and the reader
-		s.Named(name).Kill()
-		s.Named(name).Start()
+		s.Machine(name).Kill()
+		s.Machine(name).Start()
 	}
 	s.then("those that start now, too", 5*time.Second, func() bool {
 		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
-			return serial(m.Servers()) != serial(s.Servers)
+			return serial(m.Endpoints()) != serial(s.Servers)
 		})
 	})
 	if len(w.wrong) > 0 {
@@ -450,7 +450,7 @@
 // comes.
 func TestAMachineThatIsNotToldWhatIsDone(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Exchange)
+	w := watched(s.Cluster)
 	s.Tamper = func(to *Machine, m *message.Message) {
 		if to.Name != "z2-1" {
 			return
@@ -463,7 +463,7 @@
 		}
 	}
 	for range 30 {
-		s.change(s.Named("z1-2"))
+		s.change(s.Machine("z1-2"))
 		s.Run(200 * time.Millisecond)
 	}
 	s.Run(2 * time.Second)
@@ -476,20 +476,20 @@
 // acknowledged meanwhile, then it doesn't go by that answer when it wakes.
 func TestNewsThatWasHeldUpIsNotTaken(t *testing.T) {
 	s := given(t, 1)
-	m := s.Named("z1-2")
-	s.Told = func(_ *Machine, to string, told *message.Message) {
+	m := s.Machine("z1-2")
+	s.Observe = func(_ *Machine, to string, told *message.Message) {
 		response, ok := told.Body.(*message.WatchResponse)
-		if ok && to == m.self.Addr && response.Config != nil {
+		if ok && to == m.node.Addr && response.Config != nil {
 			m.Freeze()
 		}
 	}
-	s.change(s.Named("z2-2"))
+	s.change(s.Machine("z2-2"))
 	s.Run(time.Second)
 	if !m.frozen {
 		t.Fatal("it was told nothing")
 	}
-	s.Told = nil
-	s.change(s.Named("z2-2"))
+	s.Observe = nil
+	s.change(s.Machine("z2-2"))
 	s.Run(20 * time.Second)
 	m.Thaw()
 	s.then("it goes by the newest, and by nothing older before", 2*time.Second,
@@ -500,11 +500,11 @@
 // those who start, and ask that machine, go by the next one.
 func TestAListThatComesLateIsNotTaken(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Exchange)
-	s.Wire = func(_, to string, m *message.Message) []Delivery {
+	w := watched(s.Cluster)
+	s.Network = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
 		update, ok := m.Body.(*message.EndpointUpdate)
-		if ok && to == s.Named("z2-1").self.Addr && serial(update.Endpoints.Endpoints) == 1 {
+		if ok && to == s.Machine("z2-1").node.Addr && serial(update.Endpoints.Endpoints) == 1 {
 			late = 3 * time.Second
 		}
 		return []Delivery{{to, late, m}}
@@ -514,10 +514,10 @@
 	w.change()
 	s.Run(2600 * time.Millisecond)
 	s.PlatformDown = true
-	m := s.Named("z2-2")
+	m := s.Machine("z2-2")
 	m.Kill()
 	m.Start()
-	s.then("it has the newest", time.Second, func() bool { return serial(m.Servers()) == 2 })
+	s.then("it has the newest", time.Second, func() bool { return serial(m.Endpoints()) == 2 })
 	if len(w.wrong) > 0 {
 		t.Error(w.wrong[0])
 	}
@@ -538,15 +538,16 @@
 // words draws a history, and returns what went wrong.
 func words(t *testing.T, seed uint64) string {
 	survive := 1 + int(seed%2)
-	s := &story{New(Options{Zones: 3, Disks: survive, Others: 1, Survive: survive, Seed: seed}), t, 0}
+	s := &story{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
+		Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	w := watched(s.Exchange)
+	w := watched(s.Cluster)
 	s.StartAll()
-	disks := s.Disked()
+	disks := s.Replicas()
 	if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, 8*time.Second) {
 		return "no first start"
 	}
-	others := slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.disk })
+	others := slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.hasDisk })
 	for range 8 {
 		hit := []*Machine{others[rng.IntN(len(others))]}
 		for range rng.IntN(survive + 1) {
@@ -565,7 +566,7 @@
 		for range 1 + rng.IntN(6) {
 			w.change()
 			s.version += rng.Uint64N(3)
-			s.PutText(s.Machines[rng.IntN(len(s.Machines))], max(1, s.version), fmt.Sprint("t", rng.IntN(2)))
+			s.Put(s.Machines[rng.IntN(len(s.Machines))], max(1, s.version), fmt.Sprint("t", rng.IntN(2)))
 			s.Read(s.Machines[rng.IntN(len(s.Machines))])
 			s.Run(time.Duration(rng.IntN(1200)) * time.Millisecond)
 		}
@@ -581,7 +582,7 @@
 	switch {
 	case len(w.wrong) > 0:
 		return w.wrong[0]
-	case !c.Acked || !s.Settled(c.Version):
+	case !c.Acknowledged || !s.Converged(c.Version):
 		return "not all go by the newest"
 	}
 	return s.consistent()
