--- a/internal/controlplane/simulation/simulation.go
+++ b/internal/controlplane/simulation/simulation.go
@@ -21,27 +21,27 @@
 	"dunespoke/internal/ratelimit"
 )
 
-// OldInForce is how long after an acknowledgement an older configuration may come into force at most: what a
-// machine tells is as old as it may be, and is taken for as long as its answer is awaited.
-const OldInForce = replica.MaxStaleness + client.ResponseTimeout
+// MaxStaleInForce is how long after an acknowledgement an older configuration may come into force at most:
+// what a machine tells is as old as it may be, and is taken for as long as its answer is awaited.
+const MaxStaleInForce = replica.MaxStaleness + client.ResponseTimeout
 
 // Options say what an exchange is made of.
 type Options struct {
-	Zones   int
-	Disks   int // machines with a disk in each zone
-	Others  int // and without
-	Survive int // machines with a disk that may be lost at once
+	Zones           int
+	ReplicasPerZone int // machines with a disk in each zone
+	GatewaysPerZone int // and without
+	SurviveMachines int // machines with a disk that may be lost at once
 	// SurviveZones and SurviveRegions are as Survive; a region is so many zones in a row, one where that is 0.
-	SurviveZones, SurviveRegions, ZonesARegion int
+	SurviveZones, SurviveRegions, ZonesPerRegion int
 
-	Seed    uint64
-	Latency time.Duration // one way, at most; at least a third of it
-	Sync    time.Duration // of a disk
-	Trace   func(line string)
-	// Wire says what becomes of a message on its way between two machines; nil: it comes once.
-	Wire  func(from, to string, m *message.Message) []Delivery
-	Probe Probe                       // may be nil
-	Text  func(version uint64) []byte // of the configurations that are sent; nil: short ones
+	Seed     uint64
+	Latency  time.Duration // one way, at most; at least a third of it
+	SyncTime time.Duration // of a disk
+	Trace    func(line string)
+	// Network says what becomes of a message on its way between two machines; nil: it comes once.
+	Network  func(from, to string, m *message.Message) []Delivery
+	Probe    Probe                       // may be nil
+	ConfigOf func(version uint64) []byte // of the configurations that are sent; nil: short ones
 }
 
 // Probe measures what machines do.
@@ -55,37 +55,36 @@
 
 // Machine is one machine of the exchange.
 type Machine struct {
-	Name string
-	self message.Node
-	disk bool
-	gone bool // for good
-
-	x      *Exchange
-	office *node.Node
-	life   int
-	own    uint64 // the life's number among those of all machines
-	up     bool
-	frozen bool
-	held   []func() // what came while it was frozen
-	record replica.PersistentState
-	has    bool // it has been started before
-	saved  time.Duration
-	sync   time.Duration
-	full   bool
-	hangs  bool
-	stuck  []func() // saves, while the disk hangs
-	tick   int
-
-	version uint64
-	config  string
-	servers []message.Endpoint
-	members int
-	epoch   uint64 // of the view that it goes by
-	reads   bool
-}
-
-// Exchange is all machines, and what is between them.
-type Exchange struct {
+	Name    string
+	node    message.Node
+	hasDisk bool
+	removed bool // for good
+
+	cluster       *Cluster
+	controlNode   *node.Node
+	starts        int
+	incarnation   uint64 // the life's number among those of all machines
+	up            bool
+	frozen        bool
+	delayed       []func() // what came while it was frozen
+	stored        replica.PersistentState
+	startedBefore bool // it has been started before
+	diskBusyUntil time.Duration
+	syncTime      time.Duration
+	diskFull      bool
+	diskHangs     bool
+	hangingSaves  []func() // saves, while the disk hangs
+	tickID        int
+
+	version   uint64
+	config    string
+	endpoints []message.Endpoint
+	nodes     int
+	epoch     uint64 // of the view that it goes by
+}
+
+// Cluster is all machines, and what is between them.
+type Cluster struct {
 	Options
 	Now      time.Duration
 	Machines []*Machine
@@ -96,31 +95,31 @@
 	// ReadTime is how long the platform takes for its list; PlatformDown: for ever.
 	ReadTime     time.Duration
 	PlatformDown bool
-	// Told is called with each message that a machine sends, before it may get lost; it may be nil.
-	Told func(from *Machine, to string, m *message.Message)
+	// Observe is called with each message that a machine sends, before it may get lost; it may be nil.
+	Observe func(from *Machine, to string, m *message.Message)
 	// Tamper changes what a machine is about to take, and Spoil what a disk is about to hold: a test that plays
 	// a defect shows what finds it. Both may be nil.
 	Tamper func(to *Machine, m *message.Message)
 	Spoil  func(m *Machine, r *replica.PersistentState)
 
-	rng    *rand.Rand
-	events eventQueue
-	seq    int
-	cuts   map[[2]string]bool
-	slow   map[[2]string]time.Duration
-	seeds  []string
-	acked  uint64
-	broken []string
-	texts  map[uint64]string // by version: one content each
-	cores  registries
-	added  int    // machines that came after the first start
-	lives  uint64 // of all processes so far
+	rng           *rand.Rand
+	events        eventQueue
+	seq           int
+	partitions    map[[2]string]bool
+	slowLinks     map[[2]string]time.Duration
+	seeds         []string
+	acknowledged  uint64
+	violations    []string
+	configs       map[uint64]string // by version: one content each
+	memberships   membershipHistory
+	addedMachines int    // machines that came after the first start
+	incarnations  uint64 // of all processes so far
 
 	// Defects that a test plays: a list is told under the epoch at its end, and a machine answers calls out of
 	// what it goes by itself.
-	lateToken, alone bool
+	lateToken, answersAlone bool
 	// And one whose processes count machines alone, and know nothing of zones and regions.
-	countsAlone bool
+	ignoresDomains bool
 }
 
 // Delivery is a message that comes, so long after the delay of the link. It is not to be changed any more.
@@ -156,84 +155,85 @@
 }
 
 // New makes an exchange whose machines are all off.
-func New(o Options) *Exchange {
-	x := &Exchange{
-		Options: o,
-		Now:     time.Hour,
-		rng:     rand.New(rand.NewPCG(o.Seed, 1)),
-		cuts:    map[[2]string]bool{},
-		slow:    map[[2]string]time.Duration{},
-		texts:   map[uint64]string{},
-		cores:   newRegistries(),
-	}
-	if x.Latency == 0 {
-		x.Latency = 2 * time.Millisecond
-	}
-	if x.Sync == 0 {
-		x.Sync = 5 * time.Millisecond
+func New(o Options) *Cluster {
+	c := &Cluster{
+		Options:     o,
+		Now:         time.Hour,
+		rng:         rand.New(rand.NewPCG(o.Seed, 1)),
+		partitions:  map[[2]string]bool{},
+		slowLinks:   map[[2]string]time.Duration{},
+		configs:     map[uint64]string{},
+		memberships: newMembershipHistory(),
+	}
+	if c.Latency == 0 {
+		c.Latency = 2 * time.Millisecond
+	}
+	if c.SyncTime == 0 {
+		c.SyncTime = 5 * time.Millisecond
 	}
 	for z := range o.Zones {
-		for i := range o.Disks + o.Others {
-			m := &Machine{Name: fmt.Sprintf("z%d-%d", z+1, i+1), disk: i < o.Disks, x: x, sync: x.Sync,
-				self: message.Node{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
-			x.Machines = append(x.Machines, m)
-			if i == 0 && len(x.seeds) < 3 {
-				x.seeds = append(x.seeds, m.self.Addr)
+		for i := range o.ReplicasPerZone + o.GatewaysPerZone {
+			m := &Machine{Name: fmt.Sprintf("z%d-%d", z+1, i+1), hasDisk: i < o.ReplicasPerZone, cluster: c,
+				syncTime: c.SyncTime,
+				node:     message.Node{Addr: fmt.Sprintf("10.%d.0.%d:7", z+1, i+1), Zone: fmt.Sprintf("z%d", z+1)}}
+			c.Machines = append(c.Machines, m)
+			if i == 0 && len(c.seeds) < 3 {
+				c.seeds = append(c.seeds, m.node.Addr)
 			}
 		}
 	}
-	slices.Sort(x.seeds)
-	return x
+	slices.Sort(c.seeds)
+	return c
 }
 
 // tolerance is what every process is told of what may be lost at once.
-func (x *Exchange) tolerance() replica.FaultTolerance {
-	if x.countsAlone {
-		return replica.FaultTolerance{Machines: x.Survive}
+func (c *Cluster) tolerance() replica.FaultTolerance {
+	if c.ignoresDomains {
+		return replica.FaultTolerance{Machines: c.SurviveMachines}
 	}
-	t := replica.FaultTolerance{Machines: x.Survive, Zones: x.SurviveZones, Regions: x.SurviveRegions,
+	t := replica.FaultTolerance{Machines: c.SurviveMachines, Zones: c.SurviveZones, Regions: c.SurviveRegions,
 		RegionOfZone: map[string]string{}}
-	for z := range x.Zones {
-		t.RegionOfZone[fmt.Sprintf("z%d", z+1)] = fmt.Sprintf("r%d", z/max(1, x.ZonesARegion)+1)
+	for z := range c.Zones {
+		t.RegionOfZone[fmt.Sprintf("z%d", z+1)] = fmt.Sprintf("r%d", z/max(1, c.ZonesPerRegion)+1)
 	}
 	return t
 }
 
-func (x *Exchange) at(after time.Duration, do func()) {
-	x.seq++
-	heap.Push(&x.events, event{x.Now + after, x.seq, do})
+func (c *Cluster) schedule(after time.Duration, do func()) {
+	c.seq++
+	heap.Push(&c.events, event{c.Now + after, c.seq, do})
 }
 
 // Run plays for a time.
-func (x *Exchange) Run(d time.Duration) {
-	x.Until(func() bool { return false }, d)
+func (c *Cluster) Run(d time.Duration) {
+	c.Until(func() bool { return false }, d)
 }
 
 // Until plays until a condition holds, and reports false if it does not within the limit.
-func (x *Exchange) Until(done func() bool, limit time.Duration) bool {
-	end := x.Now + limit
-	for len(x.events) > 0 && x.events[0].at <= end {
+func (c *Cluster) Until(done func() bool, limit time.Duration) bool {
+	end := c.Now + limit
+	for len(c.events) > 0 && c.events[0].at <= end {
 		if done() {
 			return true
 		}
-		e := heap.Pop(&x.events).(event)
-		x.Now = e.at
+		e := heap.Pop(&c.events).(event)
+		c.Now = e.at
 		e.do()
 	}
-	x.Now = end
+	c.Now = end
 	return done()
 }
 
-// Broken returns the promises that were broken so far.
-func (x *Exchange) Broken() []string { return x.broken }
+// Violations returns the promises that were broken so far.
+func (c *Cluster) Violations() []string { return c.violations }
 
-func (x *Exchange) breaks(format string, args ...any) {
-	x.broken = append(x.broken, fmt.Sprintf("%v: ", x.Now)+fmt.Sprintf(format, args...))
+func (c *Cluster) violate(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.Now)+fmt.Sprintf(format, args...))
 }
 
-// Named returns a machine.
-func (x *Exchange) Named(name string) *Machine {
-	for _, m := range x.Machines {
+// Machine returns a machine.
+func (c *Cluster) Machine(name string) *Machine {
+	for _, m := range c.Machines {
 		if m.Name == name {
 			return m
 		}
@@ -242,87 +242,88 @@
 }
 
 // At returns the machine of an address.
-func (x *Exchange) At(addr string) *Machine {
-	for _, m := range x.Machines {
-		if m.self.Addr == addr {
+func (c *Cluster) At(addr string) *Machine {
+	for _, m := range c.Machines {
+		if m.node.Addr == addr {
 			return m
 		}
 	}
 	return nil
 }
 
-// Disked returns the machines with a disk.
-func (x *Exchange) Disked() []*Machine {
-	return slices.DeleteFunc(slices.Clone(x.Machines), func(m *Machine) bool { return !m.disk })
+// Replicas returns the machines with a disk.
+func (c *Cluster) Replicas() []*Machine {
+	return slices.DeleteFunc(slices.Clone(c.Machines), func(m *Machine) bool { return !m.hasDisk })
 }
 
 // StartAll starts every machine, all but at once.
-func (x *Exchange) StartAll() {
-	for _, m := range x.Machines {
-		x.at(time.Duration(x.rng.IntN(200))*time.Millisecond, m.Start)
+func (c *Cluster) StartAll() {
+	for _, m := range c.Machines {
+		c.schedule(time.Duration(c.rng.IntN(200))*time.Millisecond, m.Start)
 	}
 }
 
 // Cut cuts what two machines say to each other; Heal ends that.
-func (x *Exchange) Cut(a, b *Machine, cut bool) {
-	x.cuts[[2]string{a.self.Addr, b.self.Addr}] = cut
-	x.cuts[[2]string{b.self.Addr, a.self.Addr}] = cut
+func (c *Cluster) Cut(a, b *Machine, cut bool) {
+	c.partitions[[2]string{a.node.Addr, b.node.Addr}] = cut
+	c.partitions[[2]string{b.node.Addr, a.node.Addr}] = cut
 }
 
 // CutOneWay cuts what one machine says to another.
-func (x *Exchange) CutOneWay(from, to *Machine, cut bool) {
-	x.cuts[[2]string{from.self.Addr, to.self.Addr}] = cut
+func (c *Cluster) CutOneWay(from, to *Machine, cut bool) {
+	c.partitions[[2]string{from.node.Addr, to.node.Addr}] = cut
 }
 
 // Isolate cuts a machine off from the others with a disk.
-func (x *Exchange) Isolate(m *Machine, cut bool) {
-	for _, other := range x.Disked() {
+func (c *Cluster) Isolate(m *Machine, cut bool) {
+	for _, other := range c.Replicas() {
 		if other != m {
-			x.Cut(m, other, cut)
+			c.Cut(m, other, cut)
 		}
 	}
 }
 
 // SlowOneWay has what one machine says to another take longer by so much: it waits in some buffer.
-func (x *Exchange) SlowOneWay(from, to *Machine, d time.Duration) {
-	x.slow[[2]string{from.self.Addr, to.self.Addr}] = d
+func (c *Cluster) SlowOneWay(from, to *Machine, d time.Duration) {
+	c.slowLinks[[2]string{from.node.Addr, to.node.Addr}] = d
 }
 
 // HealAll ends all cuts and slow links.
-func (x *Exchange) HealAll() {
-	clear(x.cuts)
-	clear(x.slow)
+func (c *Cluster) HealAll() {
+	clear(c.partitions)
+	clear(c.slowLinks)
 }
 
 // Start starts a machine's process.
 func (m *Machine) Start() {
-	if m.up || m.gone {
+	if m.up || m.removed {
 		return
 	}
 	m.up, m.frozen = true, false
-	m.life++
-	m.version, m.config, m.servers, m.members, m.epoch = 0, "", nil, 0, 0
-	m.saved = 0
-	m.x.lives++
-	m.own = 1<<61 + m.x.lives // as long as the program's numbers are
-	o := node.Options{Self: m.self, Seeds: m.x.seeds, Tolerance: m.x.tolerance(), FirstStart: !m.has,
-		Incarnation: m.own, Actions: &actions{m, m.life},
+	m.starts++
+	m.version, m.config, m.endpoints, m.nodes, m.epoch = 0, "", nil, 0, 0
+	m.diskBusyUntil = 0
+	m.cluster.incarnations++
+	m.incarnation = 1<<61 + m.cluster.incarnations // as long as the program's numbers are
+	o := node.Options{Self: m.node, Seeds: m.cluster.seeds, Tolerance: m.cluster.tolerance(),
+		FirstStart:  !m.startedBefore,
+		Incarnation: m.incarnation, Actions: &actions{m, m.starts},
 		Limits: func(string) ratelimit.Limits { return ratelimit.Limits{} }}
-	m.has = true
-	if m.disk {
-		r := m.record
+	m.startedBefore = true
+	if m.hasDisk {
+		r := m.stored
 		o.Saved = &r
 	}
-	m.office = node.New(m.x.Now, o)
-	m.wake(0)
-	m.lists(m.life)
+	m.controlNode = node.New(m.cluster.Now, o)
+	m.scheduleTick(0)
+	m.scheduleDiscovery(m.starts)
 }
 
 // Kill ends a machine's process. What is on its disk stays.
-func (m *Machine) Kill() { m.up, m.office, m.held = false, nil, nil }
+func (m *Machine) Kill() { m.up, m.controlNode, m.delayed = false, nil, nil }
 
-// Wipe takes what is on the disk of a machine that is down.
-func (m *Machine) Wipe() { m.record = replica.PersistentState{} }
+// WipeDisk takes what is on the disk of a machine that is down.
+func (m *Machine) WipeDisk() { m.stored = replica.PersistentState{} }
 
 // Freeze has a machine stand still; Thaw lets it go on, with what came meanwhile.
 func (m *Machine) Freeze() { m.frozen = true }
@@ -330,179 +331,181 @@
 // Thaw lets a frozen machine go on.
 func (m *Machine) Thaw() {
 	m.frozen = false
-	held := m.held
-	m.held = nil
+	held := m.delayed
+	m.delayed = nil
 	for _, f := range held {
 		f()
 	}
-	m.wake(0)
+	m.scheduleTick(0)
 }
 
-// SetSync sets how long a disk takes; Fill has it refuse writes.
-func (m *Machine) SetSync(d time.Duration) { m.sync = d }
+// SetSyncTime sets how long a disk takes; Fill has it refuse writes.
+func (m *Machine) SetSyncTime(d time.Duration) { m.syncTime = d }
 
-// Fill has a disk refuse writes, or take them again.
-func (m *Machine) Fill(full bool) { m.full = full }
+// FillDisk has a disk refuse writes, or take them again.
+func (m *Machine) FillDisk(full bool) { m.diskFull = full }
 
-// Hang has a disk do nothing of what it is asked to, or go on with it.
-func (m *Machine) Hang(hangs bool) {
-	m.hangs = hangs
-	for len(m.stuck) > 0 && !hangs {
-		m.stuck[0]()
-		m.stuck = m.stuck[1:]
+// HangDisk has a disk do nothing of what it is asked to, or go on with it.
+func (m *Machine) HangDisk(hangs bool) {
+	m.diskHangs = hangs
+	for len(m.hangingSaves) > 0 && !hangs {
+		m.hangingSaves[0]()
+		m.hangingSaves = m.hangingSaves[1:]
 	}
 }
 
-// Frame returns the machine's frame; nil without a disk, or while it is down.
-func (m *Machine) Frame() *replica.Replica {
+// Replica returns the machine's frame; nil without a disk, or while it is down.
+func (m *Machine) Replica() *replica.Replica {
 	if !m.up {
 		return nil
 	}
-	return m.office.Replica()
+	return m.controlNode.Replica()
 }
 
 // Up reports whether a machine's process runs.
 func (m *Machine) Up() bool { return m.up }
 
 // Addr is the machine's address.
-func (m *Machine) Addr() string { return m.self.Addr }
+func (m *Machine) Addr() string { return m.node.Addr }
 
 // Version is that of the configuration in force.
 func (m *Machine) Version() uint64 { return m.version }
 
-// Servers is the list of servers that the machine goes by.
-func (m *Machine) Servers() []message.Endpoint { return m.servers }
+// Endpoints is the list of servers that the machine goes by.
+func (m *Machine) Endpoints() []message.Endpoint { return m.endpoints }
 
-// Members is how many machines hold leases, as far as this one knows.
-func (m *Machine) Members() int { return m.members }
+// Nodes is how many machines hold leases, as far as this one knows.
+func (m *Machine) Nodes() int { return m.nodes }
 
 // act does something on the machine in a life of it, once it runs.
 func (m *Machine) act(life int, f func()) {
 	switch {
-	case !m.up || m.life != life:
+	case !m.up || m.starts != life:
 	case m.frozen:
-		m.held = append(m.held, func() { m.act(life, f) })
+		m.delayed = append(m.delayed, func() { m.act(life, f) })
 	default:
-		m.x.run(m.self.Addr, f)
-		if m.up && m.life == life {
-			m.wake(0)
+		m.cluster.run(m.node.Addr, f)
+		if m.up && m.starts == life {
+			m.scheduleTick(0)
 		}
 	}
 }
 
 // run has the machine at an address do something, under the eyes of the probe.
-func (x *Exchange) run(addr string, do func()) {
-	if x.Probe == nil {
+func (c *Cluster) run(addr string, do func()) {
+	if c.Probe == nil {
 		do()
 		return
 	}
-	x.Probe.Run(addr, do)
+	c.Probe.Run(addr, do)
 }
 
-// wake has the machine look after what is due, at once and then when it wants.
-func (m *Machine) wake(after time.Duration) {
-	m.tick++
-	tick, life := m.tick, m.life
-	m.x.at(after, func() {
-		if !m.up || m.life != life || m.tick != tick || m.frozen {
+// scheduleTick has the machine look after what is due, at once and then when it wants.
+func (m *Machine) scheduleTick(after time.Duration) {
+	m.tickID++
+	tick, life := m.tickID, m.starts
+	m.cluster.schedule(after, func() {
+		if !m.up || m.starts != life || m.tickID != tick || m.frozen {
 			return
 		}
 		var next time.Duration
-		m.x.run(m.self.Addr, func() { next = m.office.Tick(m.x.Now) })
-		if m.tick == tick {
-			m.wake(max(next-m.x.Now, time.Millisecond))
+		m.cluster.run(m.node.Addr, func() { next = m.controlNode.Tick(m.cluster.Now) })
+		if m.tickID == tick {
+			m.scheduleTick(max(next-m.cluster.Now, time.Millisecond))
 		}
 	})
 }
 
-// lists reads the platform's list whenever that is the machine's duty.
-func (m *Machine) lists(life int) {
-	m.x.at(500*time.Millisecond, func() {
-		if !m.up || m.life != life {
+// scheduleDiscovery reads the platform's list whenever that is the machine's duty.
+func (m *Machine) scheduleDiscovery(life int) {
+	m.cluster.schedule(500*time.Millisecond, func() {
+		if !m.up || m.starts != life {
 			return
 		}
 		m.act(life, func() {
-			if epoch, ok := m.office.HoldsRole(m.x.Now, replica.EndpointReader); ok && !m.x.PlatformDown {
-				list := slices.Clone(m.x.Servers)
-				m.x.at(m.x.ReadTime, func() {
+			if epoch, ok := m.controlNode.HoldsRole(m.cluster.Now, replica.EndpointReader); ok &&
+				!m.cluster.PlatformDown {
+				list := slices.Clone(m.cluster.Servers)
+				m.cluster.schedule(m.cluster.ReadTime, func() {
 					m.act(life, func() {
-						if m.x.lateToken {
-							epoch, _ = m.office.HoldsRole(m.x.Now, replica.EndpointReader)
+						if m.cluster.lateToken {
+							epoch, _ = m.controlNode.HoldsRole(m.cluster.Now, replica.EndpointReader)
 						}
-						m.office.SetEndpoints(m.x.Now, epoch, list)
+						m.controlNode.SetEndpoints(m.cluster.Now, epoch, list)
 					})
 				})
 			}
 		})
-		m.lists(life)
+		m.scheduleDiscovery(life)
 	})
 }
 
 // Call is a call of the operator.
 type Call struct {
-	Read     bool   // it asks for the newest; otherwise it sends a configuration
-	Version  uint64 // that was sent, or read
-	Text     string
-	Acked    bool // or read
-	Conflict bool // it was refused: another text stands under the number
-	Ended    bool
-	Began    time.Duration
-	At       time.Duration // when it ended
-}
-
-func (x *Exchange) begin(m *Machine, c *Call) *Call {
-	c.Began = x.Now
-	x.Calls = append(x.Calls, c)
+	Read         bool   // it asks for the newest; otherwise it sends a configuration
+	Version      uint64 // that was sent, or read
+	Text         string
+	Acknowledged bool // or read
+	Conflict     bool // it was refused: another text stands under the number
+	Ended        bool
+	StartedAt    time.Duration
+	EndedAt      time.Duration // when it ended
+}
+
+func (c *Cluster) begin(m *Machine, call *Call) *Call {
+	call.StartedAt = c.Now
+	c.Calls = append(c.Calls, call)
 	if !m.up {
-		c.Ended, c.At = true, x.Now
+		call.Ended, call.EndedAt = true, c.Now
 	}
-	return c
+	return call
 }
 
-// Put sends a configuration to a machine, which answers or not. Its text is the same for each number.
-func (x *Exchange) Put(m *Machine, version uint64) *Call {
-	if x.Text != nil {
-		return x.PutText(m, version, string(x.Text(version)))
+// PutVersion sends a configuration to a machine, which answers or not. Its text is the same for each number.
+func (c *Cluster) PutVersion(m *Machine, version uint64) *Call {
+	if c.ConfigOf != nil {
+		return c.Put(m, version, string(c.ConfigOf(version)))
 	}
-	return x.PutText(m, version, fmt.Sprintf("r%d", version))
+	return c.Put(m, version, fmt.Sprintf("r%d", version))
 }
 
-// PutText sends a configuration with a text of its own.
-func (x *Exchange) PutText(m *Machine, version uint64, text string) *Call {
-	c := x.begin(m, &Call{Version: version, Text: text})
-	if c.Ended {
-		return c
+// Put sends a configuration with a text of its own.
+func (c *Cluster) Put(m *Machine, version uint64, text string) *Call {
+	call := c.begin(m, &Call{Version: version, Text: text})
+	if call.Ended {
+		return call
 	}
-	m.act(m.life, func() {
-		if x.alone && version <= m.version {
-			c.Ended, c.At, c.Acked = true, x.Now, true
+	m.act(m.starts, func() {
+		if c.answersAlone && version <= m.version {
+			call.Ended, call.EndedAt, call.Acknowledged = true, c.Now, true
 			return
 		}
-		m.office.Put(x.Now, version, []byte(text), func(_ uint64, err error) {
+		m.controlNode.Put(c.Now, version, []byte(text), func(_ uint64, err error) {
 			var conflict *client.ConflictError
-			c.Ended, c.At = true, x.Now
-			c.Acked, c.Conflict = err == nil, errors.As(err, &conflict)
-			if c.Acked {
-				x.acked = max(x.acked, version)
+			call.Ended, call.EndedAt = true, c.Now
+			call.Acknowledged, call.Conflict = err == nil, errors.As(err, &conflict)
+			if call.Acknowledged {
+				c.acknowledged = max(c.acknowledged, version)
 			}
 		})
 	})
-	return c
-}
-
-// Change sends a configuration to one machine after another until it is acknowledged, as operators do, and
-// returns how long that took; ok is false if it was not within the limit.
-func (x *Exchange) Change(first *Machine, version uint64, limit time.Duration) (took time.Duration, ok bool) {
-	began := x.Now
-	for at := slices.Index(x.Machines, first); x.Now < began+limit; at++ {
-		m := x.Machines[at%len(x.Machines)]
-		c := x.Put(m, version)
-		x.Until(func() bool { return c.Ended || !m.up }, time.Second)
-		if c.Acked {
-			return x.Now - began, true
+	return call
+}
+
+// PutUntilAcknowledged sends a configuration to one machine after another until it is acknowledged, as
+// operators do, and returns how long that took; ok is false if it was not within the limit.
+func (c *Cluster) PutUntilAcknowledged(first *Machine, version uint64,
+	limit time.Duration) (took time.Duration, ok bool) {
+	began := c.Now
+	for at := slices.Index(c.Machines, first); c.Now < began+limit; at++ {
+		m := c.Machines[at%len(c.Machines)]
+		call := c.PutVersion(m, version)
+		c.Until(func() bool { return call.Ended || !m.up }, time.Second)
+		if call.Acknowledged {
+			return c.Now - began, true
 		}
 		if !m.up { // the connection is refused: the next one at once, but not for nothing
-			x.Run(10 * time.Millisecond)
+			c.Run(10 * time.Millisecond)
 		}
 	}
 	return limit, false
@@ -510,41 +513,42 @@
 
 // Read asks a machine for the newest configuration. One that is older than what was acknowledged before the
 // question is a broken promise.
-func (x *Exchange) Read(m *Machine) *Call {
-	c := x.begin(m, &Call{Read: true})
-	if c.Ended {
-		return c
-	}
-	before := x.acked
-	m.act(m.life, func() {
-		if x.alone {
-			c.Ended, c.At, c.Acked, c.Version, c.Text = true, x.Now, true, m.version, m.config
+func (c *Cluster) Read(m *Machine) *Call {
+	call := c.begin(m, &Call{Read: true})
+	if call.Ended {
+		return call
+	}
+	before := c.acknowledged
+	m.act(m.starts, func() {
+		if c.answersAlone {
+			call.Ended, call.EndedAt, call.Acknowledged, call.Version, call.Text = true, c.Now, true, m.version,
+				m.config
 			return
 		}
-		m.office.Read(x.Now, func(version uint64, config []byte, err error) {
-			c.Ended, c.Acked, c.At = true, err == nil && config != nil, x.Now
-			c.Version, c.Text = version, string(config)
-			if !c.Acked {
+		m.controlNode.Read(c.Now, func(version uint64, config []byte, err error) {
+			call.Ended, call.Acknowledged, call.EndedAt = true, err == nil && config != nil, c.Now
+			call.Version, call.Text = version, string(config)
+			if !call.Acknowledged {
 				return
 			}
-			if c.Version < before {
-				x.breaks("%s reads r%d after r%d was acknowledged", m.Name, c.Version, before)
+			if call.Version < before {
+				c.violate("%s reads r%d after r%d was acknowledged", m.Name, call.Version, before)
 			}
 		})
 	})
-	return c
+	return call
 }
 
-// Settled reports whether every machine that runs goes by a version.
-func (x *Exchange) Settled(version uint64) bool {
-	return !slices.ContainsFunc(x.Machines, func(m *Machine) bool { return m.up && m.version != version })
+// Converged reports whether every machine that runs goes by a version.
+func (c *Cluster) Converged(version uint64) bool {
+	return !slices.ContainsFunc(c.Machines, func(m *Machine) bool { return m.up && m.version != version })
 }
 
 // Chain returns the machines of the view that serves, as those in service see it; nil: none is.
-func (x *Exchange) Chain() []string {
-	for _, m := range x.Disked() {
-		if m.up && !m.frozen && m.office.Replica().ServingWithQuorum() {
-			_, chain := m.office.Replica().View()
+func (c *Cluster) Chain() []string {
+	for _, m := range c.Replicas() {
+		if m.up && !m.frozen && m.controlNode.Replica().ServingWithQuorum() {
+			_, chain := m.controlNode.Replica().View()
 			return chain
 		}
 	}
@@ -553,18 +557,18 @@
 
 // actions is what an office sees of the rehearsal.
 type actions struct {
-	m    *Machine
-	life int
+	m      *Machine
+	starts int
 }
 
 func (a *actions) Send(to string, m *message.Message) {
-	x := a.m.x
-	from := a.m.self.Addr
-	if x.Told != nil {
-		x.Told(a.m, to, m)
+	x := a.m.cluster
+	from := a.m.node.Addr
+	if x.Observe != nil {
+		x.Observe(a.m, to, m)
 	}
 	if to == from && x.Tamper == nil { // as in the program: not copied
-		x.at(0, func() { a.m.act(a.life, func() { a.m.office.Step(x.Now, from, m) }) })
+		x.schedule(0, func() { a.m.act(a.starts, func() { a.m.controlNode.Step(x.Now, from, m) }) })
 		return
 	}
 	b := message.MarshalAppend(nil, m)
@@ -572,19 +576,19 @@
 	if x.Probe != nil {
 		x.Probe.Sent(from, to, m, len(b))
 	}
-	if x.cuts[[2]string{from, to}] {
+	if x.partitions[[2]string{from, to}] {
 		return
 	}
 	copied := new(message.Message)
 	var err error
 	x.run(to, func() { err = message.Unmarshal(b, copied) })
 	if err != nil {
-		x.breaks("%s sent what can't be read: %v", a.m.Name, err)
+		x.violate("%s sent what can't be read: %v", a.m.Name, err)
 		return
 	}
 	all := []Delivery{{To: to, Message: copied}}
-	if x.Wire != nil && to != from {
-		all = x.Wire(from, to, copied)
+	if x.Network != nil && to != from {
+		all = x.Network(from, to, copied)
 	}
 	for _, d := range all {
 		x.deliver(from, d)
@@ -601,42 +605,42 @@
 }
 
 // deliver has a message come to whoever has the address by then.
-func (x *Exchange) deliver(from string, d Delivery) {
-	delay := x.Latency/3 + time.Duration(x.rng.Int64N(int64(x.Latency)*2/3)) +
-		x.slow[[2]string{from, d.To}]
-	x.at(d.After+delay, func() {
-		for _, m := range x.Machines {
-			if m.self.Addr != d.To || !m.up || x.cuts[[2]string{from, d.To}] {
+func (c *Cluster) deliver(from string, d Delivery) {
+	delay := c.Latency/3 + time.Duration(c.rng.Int64N(int64(c.Latency)*2/3)) +
+		c.slowLinks[[2]string{from, d.To}]
+	c.schedule(d.After+delay, func() {
+		for _, m := range c.Machines {
+			if m.node.Addr != d.To || !m.up || c.partitions[[2]string{from, d.To}] {
 				continue
 			}
 			came := clone(d.Message)
-			if x.Tamper != nil {
-				x.Tamper(m, came)
+			if c.Tamper != nil {
+				c.Tamper(m, came)
 			}
-			m.act(m.life, func() { m.office.Step(x.Now, from, came) })
+			m.act(m.starts, func() { m.controlNode.Step(c.Now, from, came) })
 		}
 	})
 }
 
 func (a *actions) Save(token uint64, r replica.PersistentState) {
 	m := a.m
-	m.saved = max(m.saved, m.x.Now) + m.sync
+	m.diskBusyUntil = max(m.diskBusyUntil, m.cluster.Now) + m.syncTime
 	done := func() {
-		if !m.up || m.life != a.life {
+		if !m.up || m.starts != a.starts {
 			return
 		}
-		ok := !m.full
+		ok := !m.diskFull
 		if ok {
-			if m.record = r; m.x.Spoil != nil {
-				m.x.Spoil(m, &m.record)
+			if m.stored = r; m.cluster.Spoil != nil {
+				m.cluster.Spoil(m, &m.stored)
 			}
-			m.x.sequence(m, &m.record)
+			m.cluster.checkMemberships(m, &m.stored)
 		}
-		m.act(a.life, func() { m.office.HandleSaved(m.x.Now, token, ok) })
+		m.act(a.starts, func() { m.controlNode.HandleSaved(m.cluster.Now, token, ok) })
 	}
-	m.x.at(m.saved-m.x.Now, func() {
-		if m.hangs {
-			m.stuck = append(m.stuck, done)
+	m.cluster.schedule(m.diskBusyUntil-m.cluster.Now, func() {
+		if m.diskHangs {
+			m.hangingSaves = append(m.hangingSaves, done)
 			return
 		}
 		done()
@@ -644,7 +648,7 @@
 }
 
 func (a *actions) Log(e events.Event, pairs ...any) {
-	if x := a.m.x; x.Trace != nil {
+	if x := a.m.cluster; x.Trace != nil {
 		x.Trace(fmt.Sprintln(x.Now-time.Hour, a.m.Name, e.Text, pairs))
 	}
 }
@@ -652,23 +656,24 @@
 func (a *actions) ApplyConfig(version uint64, config []byte) {
 	m := a.m
 	if version <= m.version {
-		m.x.breaks("%s went from r%d back to r%d", m.Name, m.version, version)
+		m.cluster.violate("%s went from r%d back to r%d", m.Name, m.version, version)
 	}
-	if text, known := m.x.texts[version]; known && text != string(config) {
-		m.x.breaks("%s: r%d has two contents", m.Name, version)
+	if text, known := m.cluster.configs[version]; known && text != string(config) {
+		m.cluster.violate("%s: r%d has two contents", m.Name, version)
 	}
-	m.x.texts[version] = string(config)
+	m.cluster.configs[version] = string(config)
 	m.version, m.config = version, string(config)
-	for _, c := range m.x.Calls {
-		if c.Acked && !c.Read && c.Version > version && c.At < m.x.Now-OldInForce {
-			m.x.breaks("%s takes r%d, r%d was acknowledged %v ago", m.Name, version, c.Version, m.x.Now-c.At)
+	for _, c := range m.cluster.Calls {
+		if c.Acknowledged && !c.Read && c.Version > version && c.EndedAt < m.cluster.Now-MaxStaleInForce {
+			m.cluster.violate("%s takes r%d, r%d was acknowledged %v ago", m.Name, version, c.Version,
+				m.cluster.Now-c.EndedAt)
 			break
 		}
 	}
 }
 
-func (a *actions) SetEndpoints(list []message.Endpoint) { a.m.servers = list }
+func (a *actions) SetEndpoints(list []message.Endpoint) { a.m.endpoints = list }
 
-func (a *actions) SetNodes(list []message.Node) { a.m.members = len(list) }
+func (a *actions) SetNodes(list []message.Node) { a.m.nodes = len(list) }
 
 func (a *actions) SetView(epoch uint64, _ []string) { a.m.epoch = epoch }
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -17,7 +17,7 @@
 
 // story is a test told as given, when, then, over an exchange in memory.
 type story struct {
-	*Exchange
+	*Cluster
 	t       *testing.T
 	version uint64
 }
@@ -25,11 +25,12 @@
 // given starts an exchange of three zones, with a disk in each, and waits until it serves.
 func given(t *testing.T, others int) *story {
 	t.Helper()
-	s := &story{New(Options{Zones: 3, Disks: 1, Others: others, Survive: 1, Seed: 7}), t, 0}
+	s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: others, SurviveMachines: 1,
+		Seed: 7}), t, 0}
 	s.StartAll()
 	s.then("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
 	s.change(s.Machines[0])
-	s.then("all go by it", 2*time.Second, func() bool { return s.Settled(s.version) })
+	s.then("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
 	return s
 }
 
@@ -39,7 +40,7 @@
 	if !s.Until(done, limit) {
 		s.t.Fatalf("after %v, not so: %s", limit, what)
 	}
-	if b := s.Broken(); len(b) > 0 {
+	if b := s.Violations(); len(b) > 0 {
 		s.t.Fatalf("promises broken: %v", b)
 	}
 }
@@ -48,7 +49,7 @@
 func (s *story) change(first *Machine) time.Duration {
 	s.t.Helper()
 	s.version += 3
-	took, ok := s.Change(first, s.version, 8*time.Second)
+	took, ok := s.PutUntilAcknowledged(first, s.version, 8*time.Second)
 	if !ok {
 		s.t.Fatalf("r%d: not acknowledged", s.version)
 	}
@@ -61,7 +62,7 @@
 	for range 8 {
 		c := s.Read(m)
 		s.Until(func() bool { return c.Ended }, time.Second)
-		if c.Acked {
+		if c.Acknowledged {
 			return c.Version
 		}
 	}
@@ -72,9 +73,9 @@
 func TestFirstStart(t *testing.T) {
 	s := given(t, 4)
 	s.then("everyone is a member", 5*time.Second, func() bool {
-		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return m.Members() != 15 })
+		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return m.Nodes() != 15 })
 	})
-	if got := s.reads(s.Named("z3-4")); got != s.version {
+	if got := s.reads(s.Machine("z3-4")); got != s.version {
 		t.Errorf("read r%d, want r%d", got, s.version)
 	}
 }
@@ -84,15 +85,16 @@
 func TestAFirstStartOutlivesAnySeed(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for at := 100 * time.Millisecond; at < 1100*time.Millisecond; at += 40 * time.Millisecond {
-			s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: uint64(at)}), t, 0}
+			s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
+				Seed: uint64(at)}), t, 0}
 			s.StartAll()
 			s.Run(at)
-			s.Named(name).Kill()
+			s.Machine(name).Kill()
 			if at%(80*time.Millisecond) == 0 {
-				s.Named(name).Wipe()
+				s.Machine(name).WipeDisk()
 			}
 			s.Run(600 * time.Millisecond)
-			s.Named(name).Start()
+			s.Machine(name).Start()
 			s.then(fmt.Sprint("all three serve, ", name, " killed at ", at), 9*time.Second,
 				func() bool { return len(s.Chain()) == 3 })
 			s.change(s.Machines[1])
@@ -113,14 +115,15 @@
 
 // firstStart draws a first start with faults, and returns what went wrong.
 func firstStart(seed uint64) string {
-	x := New(Options{Zones: 3, Disks: 1 + int(seed%2), Others: 1, Survive: 1, Seed: seed})
+	x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1, SurviveMachines: 1,
+		Seed: seed})
 	rng := rand.New(rand.NewPCG(seed, 5))
-	disks := x.Disked()
-	seeds := slices.DeleteFunc(x.Disked(), func(m *Machine) bool {
-		return !slices.Contains(x.seeds, m.self.Addr)
+	disks := x.Replicas()
+	seeds := slices.DeleteFunc(x.Replicas(), func(m *Machine) bool {
+		return !slices.Contains(x.seeds, m.node.Addr)
 	})
 	for _, m := range x.Machines { // some come late, and founders differ in whom they have heard of
-		x.at(time.Duration(rng.IntN(1+rng.IntN(2)*3000))*time.Millisecond, m.Start)
+		x.schedule(time.Duration(rng.IntN(1+rng.IntN(2)*3000))*time.Millisecond, m.Start)
 	}
 	for range 2 + rng.IntN(8) {
 		a, b := seeds[rng.IntN(len(seeds))], seeds[rng.IntN(len(seeds))]
@@ -144,7 +147,7 @@
 	if !x.Until(func() bool { return len(x.Chain()) >= 2 }, 15*time.Second) {
 		return "no core serves"
 	}
-	if b := x.Broken(); len(b) > 0 {
+	if b := x.Violations(); len(b) > 0 {
 		return b[0]
 	}
 	return ""
@@ -154,77 +157,77 @@
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		t.Run(name, func(t *testing.T) {
 			s := given(t, 2)
-			s.Named(name).Kill()
-			if took := s.change(s.Named("z2-3")); took > 3*time.Second {
+			s.Machine(name).Kill()
+			if took := s.change(s.Machine("z2-3")); took > 3*time.Second {
 				t.Errorf("took %v", took)
 			}
-			s.Named(name).Start()
+			s.Machine(name).Start()
 			s.then("it is back in the chain", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
-			s.then("with the newest", time.Second, func() bool { return s.Named(name).Version() == s.version })
+			s.then("with the newest", time.Second, func() bool { return s.Machine(name).Version() == s.version })
 		})
 	}
 }
 
 func TestAMachineThatAcknowledgedAndLostItsDiskIsMended(t *testing.T) {
 	s := given(t, 1)
-	s.change(s.Named("z1-1"))
-	m := s.Named("z1-1")
+	s.change(s.Machine("z1-1"))
+	m := s.Machine("z1-1")
 	m.Kill()
-	m.Wipe()
+	m.WipeDisk()
 	s.Run(300 * time.Millisecond)
 	m.Start()
 	s.then("it is whole, and serves", 4*time.Second, func() bool {
-		return m.Frame().PersistentState().CaughtUp && m.Frame().PersistentState().Version == s.version &&
-			m.Frame().ServingWithQuorum()
+		return m.Replica().PersistentState().CaughtUp && m.Replica().PersistentState().Version == s.version &&
+			m.Replica().ServingWithQuorum()
 	})
 	s.change(m)
 }
 
 func TestAllLosePowerAndOneItsDisk(t *testing.T) {
 	s := given(t, 1)
-	s.change(s.Named("z2-1"))
+	s.change(s.Machine("z2-1"))
 	for _, m := range s.Machines {
 		m.Kill()
 	}
-	s.Named("z2-1").Wipe()
+	s.Machine("z2-1").WipeDisk()
 	s.Run(time.Second)
 	for _, m := range s.Machines {
 		m.Start()
 	}
-	s.then("all are back", 5*time.Second, func() bool { return s.Settled(s.version) && len(s.Chain()) == 3 })
-	if got := s.reads(s.Named("z2-1")); got != s.version {
+	s.then("all are back", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
+	if got := s.reads(s.Machine("z2-1")); got != s.version {
 		t.Errorf("read r%d, want r%d", got, s.version)
 	}
 }
 
 func TestAnOldHeadThatWakesChangesNothing(t *testing.T) {
 	s := given(t, 1)
-	head := s.Named("z1-1")
-	c := s.Put(head, s.version+100) // on its way when the machine stops
+	head := s.Machine("z1-1")
+	c := s.PutVersion(head, s.version+100) // on its way when the machine stops
 	head.Freeze()
-	s.change(s.Named("z2-1"))
+	s.change(s.Machine("z2-1"))
 	s.then("the others go on without it", 4*time.Second,
-		func() bool { return s.Named("z3-1").Version() == s.version })
+		func() bool { return s.Machine("z3-1").Version() == s.version })
 	head.Thaw()
 	s.Run(5 * time.Second)
-	if want := s.Named("z2-2").Version(); s.reads(head) < want {
+	if want := s.Machine("z2-2").Version(); s.reads(head) < want {
 		t.Errorf("the head that woke is behind")
 	}
-	if c.Acked && s.Named("z2-2").Version() != s.version+100 {
+	if c.Acknowledged && s.Machine("z2-2").Version() != s.version+100 {
 		t.Errorf("acknowledged and not in force")
 	}
-	s.then("all agree", 2*time.Second, func() bool { return s.Settled(s.Named("z2-2").Version()) })
+	s.then("all agree", 2*time.Second, func() bool { return s.Converged(s.Machine("z2-2").Version()) })
 }
 
 func TestACutOffMachineTellsNothingOld(t *testing.T) {
 	s := given(t, 2)
-	alone := s.Named("z3-1")
+	alone := s.Machine("z3-1")
 	s.Isolate(alone, true)
 	s.Run(100 * time.Millisecond)
-	s.change(s.Named("z1-1"))
+	s.change(s.Machine("z1-1"))
 	acked := s.Now
 	s.then("those who asked it ask others", 2*time.Second,
-		func() bool { return s.Named("z3-2").Version() == s.version })
+		func() bool { return s.Machine("z3-2").Version() == s.version })
 	if took := s.Now - acked; took > 1800*time.Millisecond {
 		t.Errorf("the zone of the machine that was cut off heard after %v", took)
 	}
@@ -235,13 +238,13 @@
 
 func TestAFullOrHangingDiskIsDoneWithout(t *testing.T) {
 	s := given(t, 1)
-	s.Named("z2-1").Fill(true)
-	s.change(s.Named("z1-1"))
+	s.Machine("z2-1").FillDisk(true)
+	s.change(s.Machine("z1-1"))
 	s.then("the chain is two", 3*time.Second, func() bool { return len(s.Chain()) == 2 })
-	s.Named("z2-1").Fill(false)
+	s.Machine("z2-1").FillDisk(false)
 	s.then("and three again", 6*time.Second, func() bool { return len(s.Chain()) == 3 })
-	s.Named("z1-1").SetSync(3 * time.Second)
-	if took := s.change(s.Named("z2-2")); took > 3500*time.Millisecond {
+	s.Machine("z1-1").SetSyncTime(3 * time.Second)
+	if took := s.change(s.Machine("z2-2")); took > 3500*time.Millisecond {
 		t.Errorf("a head whose disk hangs held up a change for %v", took)
 	}
 }
@@ -250,15 +253,15 @@
 	s := given(t, 2)
 	all := func(n int) func() bool {
 		return func() bool {
-			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return len(m.Servers()) != n })
+			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return len(m.Endpoints()) != n })
 		}
 	}
 	s.Servers = []message.Endpoint{{ID: "a"}, {ID: "b"}}
 	s.then("all know two", 2*time.Second, all(2))
 	s.Servers = append(s.Servers, message.Endpoint{ID: "c"})
 	s.then("all know three", 2*time.Second, all(3))
-	reader := s.Named("z3-1")
-	if epoch, ok := reader.office.HoldsRole(s.Now, replica.EndpointReader); !ok {
+	reader := s.Machine("z3-1")
+	if epoch, ok := reader.controlNode.HoldsRole(s.Now, replica.EndpointReader); !ok {
 		t.Fatalf("the tail does not read the list under %d", epoch)
 	}
 	reader.Kill()
@@ -270,34 +273,34 @@
 
 func TestRaceOfTwoOperators(t *testing.T) {
 	s := given(t, 1)
-	a, b := s.Put(s.Named("z1-2"), 50), s.Put(s.Named("z3-2"), 47)
-	s.then("both are acknowledged", time.Second, func() bool { return a.Acked && b.Acked })
-	s.then("the higher is in force", time.Second, func() bool { return s.Settled(50) })
-	c := s.Put(s.Named("z2-2"), 12)
-	s.then("an older one is acknowledged, too", time.Second, func() bool { return c.Acked })
+	a, b := s.PutVersion(s.Machine("z1-2"), 50), s.PutVersion(s.Machine("z3-2"), 47)
+	s.then("both are acknowledged", time.Second, func() bool { return a.Acknowledged && b.Acknowledged })
+	s.then("the higher is in force", time.Second, func() bool { return s.Converged(50) })
+	c := s.PutVersion(s.Machine("z2-2"), 12)
+	s.then("an older one is acknowledged, too", time.Second, func() bool { return c.Acknowledged })
 	s.Run(time.Second)
-	s.then("and changes nothing", time.Second, func() bool { return s.Settled(50) })
+	s.then("and changes nothing", time.Second, func() bool { return s.Converged(50) })
 }
 
 func TestNoAcknowledgementWithoutAMajority(t *testing.T) {
 	s := given(t, 1)
-	s.Named("z1-1").Kill()
-	s.Named("z2-1").Kill()
-	c := s.Put(s.Named("z3-1"), s.version+1)
+	s.Machine("z1-1").Kill()
+	s.Machine("z2-1").Kill()
+	c := s.PutVersion(s.Machine("z3-1"), s.version+1)
 	s.Run(4 * time.Second)
-	if c.Acked || !c.Ended {
+	if c.Acknowledged || !c.Ended {
 		t.Errorf("acknowledged by one of three: %+v", c)
 	}
 }
 
 func TestAMachineThatLostItsDiskHasNoVote(t *testing.T) {
 	s := given(t, 1)
-	a, b, c := s.Named("z1-1"), s.Named("z2-1"), s.Named("z3-1")
+	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 	c.Kill()
 	s.change(a) // a and b have it
 	a.Kill()
 	b.Kill()
-	b.Wipe()
+	b.WipeDisk()
 	b.Start()
 	c.Start()
 	s.Run(5 * time.Second)
@@ -305,14 +308,14 @@
 		t.Fatalf("%v serve without the newest, which is on the third alone", chain)
 	}
 	a.Start()
-	s.then("all have it", 5*time.Second, func() bool { return s.Settled(s.version) && len(s.Chain()) == 3 })
+	s.then("all have it", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
 }
 
 // Given a core that has lost the disks of two of three, when staff found it anew from the third, then all go
 // by what that had.
 func TestACoreFoundedAnewFromOneStoreServes(t *testing.T) {
 	s := given(t, 1)
-	left := s.Named("z2-1").record
+	left := s.Machine("z2-1").stored
 	for _, m := range s.Machines {
 		m.Kill()
 	}
@@ -322,16 +325,16 @@
 	for i := range left.Members { // as vault.Found does: the document is the same for all
 		left.Members[i].StoreID = left.Epoch
 	}
-	s.cores = newRegistries() // its registries are of another sequence
-	for _, m := range s.Disked() {
-		m.record = left
-		s.cores.held[identity{m.self.Addr, left.Epoch}] = left.Epoch
+	s.memberships = newMembershipHistory() // its registries are of another sequence
+	for _, m := range s.Replicas() {
+		m.stored = left
+		s.memberships.storedEpochs[identity{m.node.Addr, left.Epoch}] = left.Epoch
 	}
 	for _, m := range s.Machines {
 		m.Start()
 	}
-	s.then("all go by it", 5*time.Second, func() bool { return s.Settled(s.version) && len(s.Chain()) == 3 })
-	s.change(s.Named("z3-2"))
+	s.then("all go by it", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
+	s.change(s.Machine("z3-2"))
 }
 
 // Given any history of losses that are to be borne, when it is over, then what was acknowledged is there, all
@@ -342,10 +345,10 @@
 	params.MinSuccessfulTests = 12
 	p := gopter.NewProperties(params)
 	p.Property("nothing acknowledged is lost", prop.ForAll(func(seed uint64) string {
-		return history(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: seed})
+		return history(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed})
 	}, gen.UInt64()))
 	p.Property("with more machines", prop.ForAll(func(seed uint64) string {
-		return history(Options{Zones: 3, Disks: 2, Others: 1, Survive: 2, Seed: seed})
+		return history(Options{Zones: 3, ReplicasPerZone: 2, GatewaysPerZone: 1, SurviveMachines: 2, Seed: seed})
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
@@ -355,19 +358,19 @@
 	x := New(o)
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	x.StartAll()
-	if !x.Until(func() bool { return len(x.Chain()) == o.Zones*o.Disks }, 8*time.Second) {
+	if !x.Until(func() bool { return len(x.Chain()) == o.Zones*o.ReplicasPerZone }, 8*time.Second) {
 		return "no first start"
 	}
-	disks := x.Disked()
+	disks := x.Replicas()
 	version := uint64(1)
 	var lost []*Machine // that count as lost now
 	for range 12 {
 		for range 1 + rng.IntN(3) {
 			version += 1 + rng.Uint64N(5)
-			x.Put(x.Machines[rng.IntN(len(x.Machines))], version)
+			x.PutVersion(x.Machines[rng.IntN(len(x.Machines))], version)
 			x.Run(time.Duration(rng.IntN(40)) * time.Millisecond)
 		}
-		if len(lost) < o.Survive {
+		if len(lost) < o.SurviveMachines {
 			m := disks[rng.IntN(len(disks))]
 			if !slices.Contains(lost, m) {
 				lost = append(lost, m)
@@ -396,7 +399,7 @@
 	}
 	mend(x, disks)
 	x.Run(6 * time.Second)
-	if b := x.Broken(); len(b) > 0 {
+	if b := x.Violations(); len(b) > 0 {
 		return b[0]
 	}
 	if len(x.Chain()) != len(disks) {
@@ -405,41 +408,41 @@
 	c := x.Read(x.Machines[len(x.Machines)-1])
 	x.Run(2 * time.Second)
 	switch {
-	case !c.Acked:
+	case !c.Acknowledged:
 		return "the newest configuration can't be read"
-	case c.Version < x.acked:
-		return fmt.Sprintf("r%d was acknowledged, r%d is left", x.acked, c.Version)
-	case !x.Settled(c.Version):
+	case c.Version < x.acknowledged:
+		return fmt.Sprintf("r%d was acknowledged, r%d is left", x.acknowledged, c.Version)
+	case !x.Converged(c.Version):
 		return "not all go by the newest"
 	}
 	return ""
 }
 
 // strike has a machine fail in one of many ways.
-func strike(x *Exchange, m *Machine, rng *rand.Rand) {
+func strike(x *Cluster, m *Machine, rng *rand.Rand) {
 	switch rng.IntN(6) {
 	case 0:
 		m.Kill()
 	case 1:
 		m.Kill()
-		m.Wipe()
+		m.WipeDisk()
 	case 2:
 		m.Freeze()
 	case 3:
 		x.Isolate(m, true)
 	case 4:
-		m.Fill(true)
+		m.FillDisk(true)
 	case 5:
-		others := x.Disked()
+		others := x.Replicas()
 		x.CutOneWay(m, others[rng.IntN(len(others))], true)
 	}
 }
 
 // mend ends all faults.
-func mend(x *Exchange, lost []*Machine) {
+func mend(x *Cluster, lost []*Machine) {
 	x.HealAll()
 	for _, m := range lost {
-		m.Fill(false)
+		m.FillDisk(false)
 		if m.frozen {
 			m.Thaw()
 		}
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -24,10 +24,10 @@
 
 func (s *story) narrow(rate float64, to *Machine) *narrow {
 	n := &narrow{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
-	s.Wire = n.wire
+	s.Network = n.wire
 	s.Tamper = func(to *Machine, m *message.Message) {
 		response, ok := m.Body.(*message.WatchResponse)
-		if ok && n.whole && m.RequestID != n.asked[to.self.Addr] {
+		if ok && n.whole && m.RequestID != n.asked[to.node.Addr] {
 			response.Chunks = nil
 		}
 	}
@@ -41,7 +41,7 @@
 			watch.ChunkBudget, watch.Chunks, watch.BaseVersion = 1<<30, nil, 0
 		}
 	}
-	if m.Type() != message.TypeWatchResponse || n.to != nil && n.to.self.Addr != to {
+	if m.Type() != message.TypeWatchResponse || n.to != nil && n.to.node.Addr != to {
 		return []Delivery{{To: to, Message: m}}
 	}
 	link := from
@@ -57,7 +57,7 @@
 // sized has an exchange hold so many servers and items of a configuration.
 func (s *story) sized(servers, items int) {
 	s.t.Helper()
-	s.Text = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
+	s.ConfigOf = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
 	for i := range servers {
 		s.Servers = append(s.Servers, message.Endpoint{ID: fmt.Sprintf("server-%06d", i), Service: "service-01",
 			Addr: fmt.Sprintf("10.16.%d.%d:8080", i>>8, i&255), Zone: "z1", Capacity: 8})
@@ -68,7 +68,7 @@
 
 func (s *story) allKnow() bool {
 	for _, m := range s.Machines {
-		if m.up && (m.version != s.version || len(m.servers) != len(s.Servers) || m.members != len(s.Machines)) {
+		if m.up && (m.version != s.version || len(m.endpoints) != len(s.Servers) || m.nodes != len(s.Machines)) {
 			return false
 		}
 	}
@@ -89,7 +89,8 @@
 		for _, whole := range []bool{false, true} {
 			s := given(t, c.others)
 			s.sized(c.servers, c.items)
-			started := slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.disk })[:c.started]
+			started := slices.DeleteFunc(slices.Clone(s.Machines),
+				func(m *Machine) bool { return m.hasDisk })[:c.started]
 			n := s.narrow(c.rate, nil)
 			if n.whole = whole; c.started == 1 {
 				n.to = started[0]
@@ -122,9 +123,9 @@
 	}{{false, 30_000, 2000, 7}, {true, 20_000, 4000, 1}} {
 		s := given(t, 1)
 		s.sized(1, c.items)
-		m := s.Named("z1-2")
+		m := s.Machine("z1-2")
 		s.narrow(c.rate, m)
-		w := watched(s.Exchange)
+		w := watched(s.Cluster)
 		m.Kill()
 		m.Start()
 		had := 0
@@ -133,7 +134,7 @@
 			if m.Version() != 0 {
 				had++
 			}
-			s.change(s.Named("z2-2"))
+			s.change(s.Machine("z2-2"))
 		}
 		if c.old {
 			s.Tamper = func(_ *Machine, came *message.Message) {
@@ -144,7 +145,7 @@
 					}
 				}
 			}
-			if s.Run(5 * time.Second); len(s.Broken()) == 0 {
+			if s.Run(5 * time.Second); len(s.Violations()) == 0 {
 				t.Errorf("the seeded defect is not found; r%d is in force", m.Version())
 			}
 			continue
@@ -165,9 +166,9 @@
 	for _, fresh := range []bool{false, true} {
 		s := given(t, 1)
 		s.sized(1, 1200)
-		m := s.Named("z1-2")
+		m := s.Machine("z1-2")
 		n := s.narrow(1e9, m)
-		s.change(s.Named("z2-2"))
+		s.change(s.Machine("z2-2"))
 		s.then("it has the change", time.Second, func() bool { return m.Version() == s.version })
 		if n.bytes > 1000 {
 			t.Errorf("a change took %d bytes", n.bytes)
@@ -176,17 +177,17 @@
 		if fresh {
 			s.Tamper = func(to *Machine, came *message.Message) {
 				if to == m && came.Type() == message.TypeWatchResponse {
-					came.RequestID = n.asked[m.self.Addr]
+					came.RequestID = n.asked[m.node.Addr]
 				}
 			}
 		}
 		m.Kill()
 		m.Start()
 		s.Run(900 * time.Millisecond)
-		s.change(s.Named("z2-2"))
+		s.change(s.Machine("z2-2"))
 		s.Run(8 * time.Second)
 		if fresh {
-			if len(s.Broken()) == 0 {
+			if len(s.Violations()) == 0 {
 				t.Error("the seeded defect is not found")
 			}
 			continue
@@ -197,7 +198,7 @@
 		before := n.bytes
 		n.late = 0
 		s.then("it has the newest", time.Second, func() bool { return m.Version() == s.version })
-		whole := len(message.MarshalAppend(nil, message.NewDelta(s.Text(s.version), 0, nil)))
+		whole := len(message.MarshalAppend(nil, message.NewDelta(s.ConfigOf(s.version), 0, nil)))
 		if got := n.bytes - before; got > whole/4 {
 			t.Errorf("%d bytes were sent again, the whole has %d", got, whole)
 		}
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -41,7 +41,7 @@
 			return c.Version == held && c.Text == text, taken
 		case c.Conflict:
 			return known && text != c.Text, taken
-		case c.Acked && known && text != c.Text:
+		case c.Acknowledged && known && text != c.Text:
 			return false, taken
 		case c.Version > held: // one without a clear answer may have taken effect at any time, or never
 			taken += fmt.Sprintf("%d=%s ", c.Version, c.Text)
@@ -53,44 +53,44 @@
 // history is what operators asked and heard. A change without a clear answer stays open for ever. Of several
 // such with one text under one number the first stands for all: it may take effect wherever a later one may,
 // and a second time changes nothing.
-func (x *Exchange) history() (list []porcupine.Operation) {
+func (c *Cluster) history() (list []porcupine.Operation) {
 	type order struct {
 		version uint64
 		text    string
 	}
 	open := map[order]bool{}
-	for _, c := range x.Calls {
-		end := int64(c.At)
-		if !c.Acked && !c.Conflict {
-			o := order{c.Version, c.Text}
-			if end = math.MaxInt64; c.Read || open[o] {
+	for _, call := range c.Calls {
+		end := int64(call.EndedAt)
+		if !call.Acknowledged && !call.Conflict {
+			o := order{call.Version, call.Text}
+			if end = math.MaxInt64; call.Read || open[o] {
 				continue
 			}
 			open[o] = true
 		}
-		list = append(list, porcupine.Operation{Input: c, Call: int64(c.Began), Return: end})
+		list = append(list, porcupine.Operation{Input: call, Call: int64(call.StartedAt), Return: end})
 	}
 	return list
 }
 
 // consistent returns what is wrong with the history; empty: it is one of the register.
-func (x *Exchange) consistent() string {
-	if b := x.Broken(); len(b) > 0 {
+func (c *Cluster) consistent() string {
+	if b := c.Violations(); len(b) > 0 {
 		return b[0]
 	}
-	if r := porcupine.CheckOperationsTimeout(register, x.history(), 20*time.Second); r != porcupine.Ok {
+	if r := porcupine.CheckOperationsTimeout(register, c.history(), 20*time.Second); r != porcupine.Ok {
 		return fmt.Sprintf("the history is %s as one of the register", cmp.Or(string(r), "unknown"))
 	}
 	return ""
 }
 
 // restartAll kills all processes and starts them again.
-func (x *Exchange) restartAll() {
-	for _, m := range x.Machines {
+func (c *Cluster) restartAll() {
+	for _, m := range c.Machines {
 		m.Kill()
 	}
-	x.Run(300 * time.Millisecond)
-	for _, m := range x.Machines {
+	c.Run(300 * time.Millisecond)
+	for _, m := range c.Machines {
 		m.Start()
 	}
 }
@@ -102,17 +102,17 @@
 	t.Helper()
 	s := given(t, 2)
 	s.Spoil = spoil
-	head := s.Named("z1-1")
+	head := s.Machine("z1-1")
 	s.Isolate(head, true)
-	s.PutText(head, 9, "left-behind")
+	s.Put(head, 9, "left-behind")
 	s.Run(time.Second)
-	c := s.PutText(s.Named("z2-1"), 9, "acknowledged")
-	for try := 0; !c.Acked && try < 8; try++ {
+	c := s.Put(s.Machine("z2-1"), 9, "acknowledged")
+	for try := 0; !c.Acknowledged && try < 8; try++ {
 		s.Run(time.Second)
-		c = s.PutText(s.Named("z3-1"), 9, "acknowledged")
+		c = s.Put(s.Machine("z3-1"), 9, "acknowledged")
 		s.Until(func() bool { return c.Ended }, time.Second)
 	}
-	if !c.Acked {
+	if !c.Acknowledged {
 		t.Fatal("not acknowledged by the others")
 	}
 	s.Tamper = tamper
@@ -122,10 +122,10 @@
 	s.HealAll()
 	s.restartAll()
 	s.Run(5 * time.Second)
-	for _, m := range []*Machine{head, s.Named("z3-3")} {
+	for _, m := range []*Machine{head, s.Machine("z3-3")} {
 		s.Read(m)
-		s.PutText(m, 9, "left-behind")
-		s.PutText(m, 9, "acknowledged")
+		s.Put(m, 9, "left-behind")
+		s.Put(m, 9, "acknowledged")
 		s.Run(time.Second)
 	}
 	return s
@@ -140,12 +140,12 @@
 		t.Error(wrong)
 	}
 	for _, m := range s.Machines {
-		if m.config != "acknowledged" || m.disk && string(m.record.Config) != m.config {
-			t.Errorf("%s goes by %q and has %q on disk", m.Name, m.config, m.record.Config)
+		if m.config != "acknowledged" || m.hasDisk && string(m.stored.Config) != m.config {
+			t.Errorf("%s goes by %q and has %q on disk", m.Name, m.config, m.stored.Config)
 		}
 	}
 	for _, c := range s.Calls[len(s.Calls)-3:] {
-		if !c.Read && (c.Acked != (c.Text == "acknowledged") || c.Conflict == c.Acked) {
+		if !c.Read && (c.Acknowledged != (c.Text == "acknowledged") || c.Conflict == c.Acknowledged) {
 			t.Errorf("sent again: %+v", c)
 		}
 	}
@@ -182,13 +182,13 @@
 	s := given(t, 1)
 	s.Spoil = spoil
 	for v := uint64(10); v < 14; v++ {
-		s.PutText(s.Machines[v%6], v, "first")
+		s.Put(s.Machines[v%6], v, "first")
 		s.Run(200 * time.Millisecond)
 	}
 	s.restartAll()
 	s.Run(5 * time.Second)
 	for i, text := range []string{"first", "second", "first"} {
-		s.PutText(s.Machines[i], 11, text)
+		s.Put(s.Machines[i], 11, text)
 		s.Run(time.Second)
 	}
 	return s
@@ -202,10 +202,10 @@
 		t.Error(wrong)
 	}
 	again := s.Calls[len(s.Calls)-3:]
-	if !again[0].Acked || !again[1].Conflict || !again[2].Acked {
+	if !again[0].Acknowledged || !again[1].Conflict || !again[2].Acknowledged {
 		t.Errorf("%+v, %+v, %+v", again[0], again[1], again[2])
 	}
-	if !s.Settled(13) {
+	if !s.Converged(13) {
 		t.Error("r13 is not in force everywhere")
 	}
 }
@@ -219,7 +219,8 @@
 	params.MinSuccessfulTests = 40
 	p := gopter.NewProperties(params)
 	p.Property("one register", prop.ForAll(func(seed uint64) string {
-		return races(Options{Zones: 3, Disks: 1 + int(seed%2), Others: 1, Survive: 1 + int(seed%2), Seed: seed})
+		return races(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
+			SurviveMachines: 1 + int(seed%2), Seed: seed})
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
@@ -229,7 +230,7 @@
 	x := New(o)
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	x.StartAll()
-	disks := x.Disked()
+	disks := x.Replicas()
 	if !x.Until(func() bool { return len(x.Chain()) == len(disks) }, 8*time.Second) {
 		return "no first start"
 	}
@@ -242,10 +243,10 @@
 			}
 			version, text := max(1, number-rng.Uint64N(2)), fmt.Sprintf("t%d", i%2)
 			m := x.Machines[rng.IntN(len(x.Machines))]
-			x.PutText(m, version, text)
+			x.Put(m, version, text)
 			x.Run(time.Duration(rng.IntN(30)) * time.Millisecond)
 		}
-		if len(lost) < o.Survive {
+		if len(lost) < o.SurviveMachines {
 			if m := disks[rng.IntN(len(disks))]; !slices.Contains(lost, m) {
 				lost = append(lost, m)
 				strike(x, m, rng)
@@ -272,14 +273,14 @@
 	if wrong := x.consistent(); wrong != "" {
 		return wrong
 	}
-	if !c.Acked || !x.Settled(c.Version) {
+	if !c.Acknowledged || !x.Converged(c.Version) {
 		return "not all go by the newest"
 	}
 	for _, m := range disks {
-		if !bytes.Equal(m.record.Config, []byte(c.Text)) {
-			return fmt.Sprintf("%s has %q on its disk, %q is in force", m.Name, m.record.Config, c.Text)
+		if !bytes.Equal(m.stored.Config, []byte(c.Text)) {
+			return fmt.Sprintf("%s has %q on its disk, %q is in force", m.Name, m.stored.Config, c.Text)
 		}
-		if !slices.Equal(m.record.AcceptedVersions, disks[0].record.AcceptedVersions) {
+		if !slices.Equal(m.stored.AcceptedVersions, disks[0].stored.AcceptedVersions) {
 			return fmt.Sprintf("%s remembers other numbers than %s", m.Name, disks[0].Name)
 		}
 	}
@@ -291,16 +292,16 @@
 	for seed := range uint64(6) {
 		var first [2]int
 		for play := range 3 {
-			x := New(Options{Zones: 3, Disks: 2, Others: 2, Survive: 2, Seed: seed})
+			x := New(Options{Zones: 3, ReplicasPerZone: 2, GatewaysPerZone: 2, SurviveMachines: 2, Seed: seed})
 			rng := rand.New(rand.NewPCG(seed, 4))
 			x.StartAll()
 			x.Run(3 * time.Second)
 			for range 6 {
-				x.PutText(x.Machines[rng.IntN(len(x.Machines))], 1+rng.Uint64N(9), fmt.Sprint(rng.IntN(2)))
-				strike(x, x.Disked()[rng.IntN(6)], rng)
+				x.Put(x.Machines[rng.IntN(len(x.Machines))], 1+rng.Uint64N(9), fmt.Sprint(rng.IntN(2)))
+				strike(x, x.Replicas()[rng.IntN(6)], rng)
 				x.Run(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			}
-			mend(x, x.Disked())
+			mend(x, x.Replicas())
 			x.Run(4 * time.Second)
 			got := [2]int{x.Messages, x.Bytes}
 			if play == 0 {
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -30,13 +30,13 @@
 
 // tape has all go over the tape from now on.
 func (s *story) tape(name string, kinds ...message.Type) *tape {
-	t := &tape{story: s, m: s.Named(name), kinds: kinds}
-	s.Wire = t.wire
+	t := &tape{story: s, m: s.Machine(name), kinds: kinds}
+	s.Network = t.wire
 	return t
 }
 
 func (t *tape) wire(from, to string, m *message.Message) []Delivery {
-	own := t.m.self.Addr
+	own := t.m.node.Addr
 	switch {
 	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Type()):
 		if from == own {
@@ -63,8 +63,8 @@
 // first starts the machine with an empty disk, and as in the first life of the system.
 func (t *tape) first() {
 	t.m.Kill()
-	t.m.Wipe()
-	t.m.has = false
+	t.m.WipeDisk()
+	t.m.startedBefore = false
 	t.m.Start()
 }
 
@@ -84,14 +84,14 @@
 			if l != nil {
 				l(t, m)
 			}
-			t.deliver(k.from, Delivery{To: t.m.self.Addr, Message: m})
+			t.deliver(k.from, Delivery{To: t.m.node.Addr, Message: m})
 		}
 	}
 	return did()
 }
 
 // life has an answer say the life that gets it: as if lives were not told apart.
-func life(t *tape, m *message.Message) { m.Incarnation = t.m.own }
+func life(t *tape, m *message.Message) { m.Incarnation = t.m.incarnation }
 
 // and the epoch or the ballot of what that asked last.
 func lifeAndEpoch(t *tape, m *message.Message) {
@@ -136,47 +136,47 @@
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
-		return t.play(func() bool { return len(t.m.office.Members()) > 0 }, l)
+		return t.play(func() bool { return len(t.m.controlNode.Members()) > 0 }, l)
 	}},
 	{"Done", []message.Type{message.TypeCommitted}, life, func(t *tape, l lie) bool {
 		t.change(t.m)
 		t.cut = true
 		t.anew()
-		c := t.Put(t.m, t.version+3)
-		return t.play(func() bool { return c.Acked }, l)
+		c := t.PutVersion(t.m, t.version+3)
+		return t.play(func() bool { return c.Acknowledged }, l)
 	}},
 	{"Conflict", []message.Type{message.TypeConflict}, life, func(t *tape, l lie) bool {
-		c := t.PutText(t.m, t.version, "another")
+		c := t.Put(t.m, t.version, "another")
 		t.then("that is a conflict", time.Second, func() bool { return c.Conflict })
 		t.cut = true
 		t.anew()
-		c = t.Put(t.m, t.version+3)
+		c = t.PutVersion(t.m, t.version+3)
 		return t.play(func() bool { return c.Conflict }, l)
 	}},
 	{"Copy", []message.Type{message.TypeReadResult}, life, func(t *tape, l lie) bool {
 		c := t.Read(t.m)
-		t.then("it is read", time.Second, func() bool { return c.Acked })
+		t.then("it is read", time.Second, func() bool { return c.Acknowledged })
 		t.cut = true
 		t.anew()
 		c = t.Read(t.m)
-		return t.play(func() bool { return c.Acked }, l)
+		return t.play(func() bool { return c.Acknowledged }, l)
 	}},
 	{"Reformed", []message.Type{message.TypeChangeMembersResult}, life, func(t *tape, l lie) bool {
-		t.Reform(t.m, "", "")
+		t.ChangeMembers(t.m, "", "")
 		t.Run(time.Second)
 		t.cut = true
 		t.anew()
-		o := t.Reform(t.m, "", "")
+		o := t.ChangeMembers(t.m, "", "")
 		return t.play(func() bool { return o.Answer != nil }, l)
 	}},
 	{"Refuse", []message.Type{message.TypeReject}, life, func(t *tape, l lie) bool {
 		t.hold = []message.Type{message.TypeWatchResponse} // it doesn't know the head
-		t.Put(t.m, t.version+3)
+		t.PutVersion(t.m, t.version+3)
 		t.Run(time.Second)
 		t.free = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.cut = true
 		t.anew()
-		t.Put(t.m, t.version+3)
+		t.PutVersion(t.m, t.version+3)
 		return t.play(func() bool { return t.m.epoch != 0 }, l)
 	}},
 	// A tail that is cut off would count what it was told before as a quorum, and read what is old.
@@ -186,9 +186,9 @@
 		t.anew()
 		t.serves("z3-1")
 		t.cut = true
-		t.change(t.Named("z1-1"))
+		t.change(t.Machine("z1-1"))
 		c := t.Read(t.m)
-		return t.play(func() bool { return c.Acked }, l)
+		return t.play(func() bool { return c.Acknowledged }, l)
 	}},
 	// A machine alone would put a view into service.
 	{
@@ -198,7 +198,7 @@
 		func(t *tape,
 			l lie) bool {
 			t.serves("z1-1")
-			b, c := t.Named("z2-1"), t.Named("z3-1") // they serve nothing: it is the one to propose a view
+			b, c := t.Machine("z2-1"), t.Machine("z3-1") // they serve nothing: it is the one to propose a view
 			t.Cut(b, c, true)
 			for _, m := range []*Machine{b, c} {
 				m.Kill()
@@ -207,7 +207,7 @@
 			t.free = []message.Type{message.TypeHeartbeat}
 			t.cut = true
 			t.anew()
-			return t.play(func() bool { return t.m.Frame().State() == replica.StateServing }, l)
+			return t.play(func() bool { return t.m.Replica().State() == replica.StateServing }, l)
 		},
 	},
 }
@@ -216,7 +216,7 @@
 func (t *tape) serves(name string) {
 	t.t.Helper()
 	t.then(name+" serves", 6*time.Second, func() bool {
-		return t.Named(name).Frame().ServingWithQuorum() && len(t.Chain()) == 3
+		return t.Machine(name).Replica().ServingWithQuorum() && len(t.Chain()) == 3
 	})
 }
 
@@ -269,17 +269,18 @@
 // they would have it hand out another core under a ballot that may be decided.
 func TestVotesForAnEarlierLifeNameNoCore(t *testing.T) {
 	play := func(l lie) (drafts, named bool) {
-		s := &story{New(Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: 7}), t, 0}
+		s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 7}), t,
+			0}
 		tape := s.tape("z1-1", message.TypeBootstrapPromise, message.TypeBootstrapAccepted)
 		tape.hold = []message.Type{message.TypeBootstrapAccepted}
-		tape.m.SetSync(2 * time.Second)
+		tape.m.SetSyncTime(2 * time.Second)
 		s.StartAll()
 		s.then("two seeds have the draft", 3*time.Second, func() bool { return len(tape.kept) == 4 })
 		tape.free = []message.Type{message.TypeAnnounce}
 		tape.cut = true
-		tape.m.SetSync(tape.Sync) // it says that it is there once its disk's id is on it
-		tape.first()              // its disk had nothing yet
-		named = tape.play(func() bool { return len(tape.m.office.Members()) > 0 }, l)
+		tape.m.SetSyncTime(tape.SyncTime) // it says that it is there once its disk's id is on it
+		tape.first()                      // its disk had nothing yet
+		named = tape.play(func() bool { return len(tape.m.controlNode.Members()) > 0 }, l)
 		return slices.ContainsFunc(
 			tape.sent,
 			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept },
@@ -308,10 +309,10 @@
 // and what was acknowledged.
 func viewAgain(t *testing.T, higher uint64) (kept, acked uint64) {
 	s := given(t, 1)
-	m := s.Named("z2-1")
+	m := s.Machine("z2-1")
 	var views []letter
-	s.Wire = func(from, to string, x *message.Message) []Delivery {
-		if x.Type() == message.TypeInstallView && to == m.self.Addr {
+	s.Network = func(from, to string, x *message.Message) []Delivery {
+		if x.Type() == message.TypeInstallView && to == m.node.Addr {
 			views = append(views, letter{from, x})
 		}
 		return []Delivery{{To: to, Message: x}}
@@ -319,21 +320,21 @@
 	m.Kill()
 	m.Start()
 	s.then("it is in a view again", 6*time.Second, func() bool {
-		return m.Frame().ServingWithQuorum() && len(s.Chain()) == 3
+		return m.Replica().ServingWithQuorum() && len(s.Chain()) == 3
 	})
-	before := message.NewDelta(m.record.Config, 0, nil)
-	taken := message.NewDelta(message.EncodeAcceptedVersions(m.record.AcceptedVersions), 0, nil)
-	s.change(s.Named("z1-2"))
+	before := message.NewDelta(m.stored.Config, 0, nil)
+	taken := message.NewDelta(message.EncodeAcceptedVersions(m.stored.AcceptedVersions), 0, nil)
+	s.change(s.Machine("z1-2"))
 	m.Kill()
 	m.Start()
 	for _, v := range views {
 		install := v.m.Body.(*message.InstallView)
 		install.Epoch += higher
 		install.Config, install.AcceptedDelta = before, taken // as it is sent to one that had not told what it has
-		s.deliver(v.from, Delivery{To: m.self.Addr, Message: v.m})
+		s.deliver(v.from, Delivery{To: m.node.Addr, Message: v.m})
 	}
 	s.Run(100 * time.Millisecond)
-	return m.record.Version, s.version
+	return m.stored.Version, s.version
 }
 
 // noise has messages overtaken, come twice, some of them seconds late, and answers come to others, too. Blind
@@ -374,11 +375,12 @@
 
 // noisy draws a history and races with noise, and returns what went wrong.
 func noisy(seed uint64, blind bool) string {
-	o := Options{Zones: 3, Disks: 1, Others: 1, Survive: 1, Seed: seed, Wire: noise(seed, blind)}
+	o := Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed,
+		Network: noise(seed, blind)}
 	if wrong := history(o); wrong != "" {
 		return wrong
 	}
-	o.Wire = noise(seed, blind)
+	o.Network = noise(seed, blind)
 	return races(o)
 }
 
@@ -406,14 +408,14 @@
 func TestAnOldViewIsNotPutIntoServiceAgain(t *testing.T) {
 	back := func(blind bool) bool {
 		s := given(t, 1)
-		m := s.Named("z3-1")
+		m := s.Machine("z3-1")
 		var told []letter
 		alone := false
-		s.Wire = func(from, to string, x *message.Message) []Delivery {
-			if to == m.self.Addr && x.Type() == message.TypeActivateView {
+		s.Network = func(from, to string, x *message.Message) []Delivery {
+			if to == m.node.Addr && x.Type() == message.TypeActivateView {
 				told = append(told, letter{from, x})
 			}
-			if h, ok := x.Body.(*message.Heartbeat); ok && blind && alone && to == m.self.Addr {
+			if h, ok := x.Body.(*message.Heartbeat); ok && blind && alone && to == m.node.Addr {
 				h.Epoch = 0
 			}
 			return []Delivery{{To: to, Message: x}}
@@ -423,7 +425,7 @@
 		s.then(
 			"it serves",
 			6*time.Second,
-			func() bool { return m.Frame().ServingWithQuorum() && len(s.Chain()) == 3 },
+			func() bool { return m.Replica().ServingWithQuorum() && len(s.Chain()) == 3 },
 		)
 		s.Run(2 * time.Second)
 		alone = true
@@ -432,12 +434,12 @@
 		s.HealAll()
 		s.Run(170 * time.Millisecond) // it has heard them, and would not have asked for another view yet
 		for _, l := range told {
-			s.deliver(l.from, Delivery{To: m.self.Addr, Message: l.m})
+			s.deliver(l.from, Delivery{To: m.node.Addr, Message: l.m})
 		}
 		s.Run(5 * time.Millisecond)
-		epoch, _ := m.Frame().View()
-		serving, _ := s.Named("z1-1").Frame().View()
-		return m.Frame().State() == replica.StateServing && epoch < serving
+		epoch, _ := m.Replica().View()
+		serving, _ := s.Machine("z1-1").Replica().View()
+		return m.Replica().State() == replica.StateServing && epoch < serving
 	}
 	if back(false) {
 		t.Error("it is in service in a view that is over")
@@ -452,13 +454,13 @@
 func TestALateQuestionForNewsDoesNotDisplaceTheNext(t *testing.T) {
 	others := func(blind bool) (n int) {
 		s := given(t, 1)
-		m := s.Named("z1-2")
+		m := s.Machine("z1-2")
 		s.Run(4 * time.Second)
-		home := m.office.ConnectedHost()
-		s.Wire = func(from, to string, x *message.Message) []Delivery {
+		home := m.controlNode.ConnectedHost()
+		s.Network = func(from, to string, x *message.Message) []Delivery {
 			all := []Delivery{{To: to, Message: x}}
-			if x.Type() == message.TypeWatch && from == m.self.Addr {
-				if s.At(to).self.Addr != *home+":7" {
+			if x.Type() == message.TypeWatch && from == m.node.Addr {
+				if s.At(to).node.Addr != *home+":7" {
 					n++
 				}
 				late := *x
--- a/internal/controlplane/storage/changes_test.go
+++ b/internal/controlplane/storage/changes_test.go
@@ -140,7 +140,7 @@
 // dearest saves hundreds of records of which each has one number more than the one before, and returns the
 // most bytes that one of them wrote in its batch.
 func dearest(t *testing.T) (most int) {
-	w := newDisk().ways()
+	w := newDisk().environment()
 	commit := w.commit
 	w.commit = func(db *pebble.DB, b *pebble.Batch) error {
 		most = max(most, b.Len())
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -45,10 +45,10 @@
 	return d
 }
 
-// ways are those of the program, over this disk, and with tables that fill up soon.
-func (d *disk) ways() environment {
+// environment are those of the program, over this disk, and with tables that fill up soon.
+func (d *disk) environment() environment {
 	w := diskEnvironment
-	w.fs, w.memTableSize, w.retryDelay = faultFS{d.MemFS, d.around}, 24<<10, runtime.Gosched
+	w.fs, w.memTableSize, w.retryDelay = interceptedFS{d.MemFS, d.around}, 24<<10, runtime.Gosched
 	began, calls := time.Now(), time.Duration(0)
 	w.now = func() time.Time { // an hour goes by between any two looks at the clock
 		calls++
@@ -150,15 +150,15 @@
 	return -1
 }
 
-func (v *Storage) save(r replica.PersistentState) bool {
+func (s *Storage) save(r replica.PersistentState) bool {
 	told := make(chan bool)
-	v.Save(r, func(ok bool) { told <- ok })
+	s.Save(r, func(ok bool) { told <- ok })
 	return <-told
 }
 
 // holds opens what a disk holds, and says what is wrong with it, if the record of a number was told as saved.
 func holds(d *disk, w environment, told int) string {
-	w.fs = faultFS{d.MemFS, d.around}
+	w.fs = interceptedFS{d.MemFS, d.around}
 	v, r, err := open("data", w)
 	if err != nil {
 		return fmt.Sprint("it does not open: ", err)
@@ -183,7 +183,7 @@
 	d := newDisk()
 	rng := rand.New(rand.NewPCG(7, 1))
 	var told atomic.Int64
-	w := d.ways()
+	w := d.environment()
 	change(&w)
 	d.before = func(n int, _ operation) error {
 		for _, percent := range []int{0, 50} {
@@ -274,7 +274,7 @@
 func (c refusals) play(at int, change func(*environment)) (failed int, begun bool, found string) {
 	const saves = 14
 	d := newDisk()
-	w := d.ways()
+	w := d.environment()
 	change(&w)
 	var began atomic.Bool
 	around := func(f func(int) error) func(int, operation) error {
@@ -318,7 +318,7 @@
 	d.before, d.after = nil, nil
 	left := d.lose(0, nil)
 	d.mu.Unlock()
-	found = holds(left, d.ways(), told)
+	found = holds(left, d.environment(), told)
 	v.Close(time.Minute)
 	return failed, began.Load(), found
 }
@@ -355,25 +355,25 @@
 // Seeded defects of what stands between pebble and a full disk, each of which ends the process, so that
 // another is started for each. The first is none: with the fence that process ends well.
 func TestARefusalFinds(t *testing.T) {
-	unfenced := func(l func(*store) pebble.Logger) func(*store, *pebble.Options) {
-		return func(s *store, o *pebble.Options) { o.FS, o.Logger = s.fs, l(s) }
+	unfenced := func(l func(*pebbleStore) pebble.Logger) func(*pebbleStore, *pebble.Options) {
+		return func(s *pebbleStore, o *pebble.Options) { o.FS, o.Logger = s.fs, l(s) }
 	}
-	ownLogger := unfenced(func(*store) pebble.Logger { return pebble.DefaultLogger })
+	ownLogger := unfenced(func(*pebbleStore) pebble.Logger { return pebble.DefaultLogger })
 	d := newDisk()
-	v, _, err := open("data", d.ways())
+	v, _, err := open("data", d.environment())
 	if err != nil || !v.save(record(1)) || v.Close(time.Minute) != nil {
 		t.Fatal("no store: ", err)
 	}
 	defects := []struct {
 		name   string
-		guard  func(*store, *pebble.Options)
+		guard  func(*pebbleStore, *pebble.Options)
 		from   int // the first change at which the disk is full
 		memory uint64
 		code   int
 		says   string
 	}{
-		{"none", guardPebble, 1, d.ways().memTableSize, 0, "PASS"},
-		{"pebble meets a full disk as it opens", ownLogger, 1, d.ways().memTableSize, 1,
+		{"none", guardPebble, 1, d.environment().memTableSize, 0, "PASS"},
+		{"pebble meets a full disk as it opens", ownLogger, 1, d.environment().memTableSize, 1,
 			"MANIFEST flush failed: no space left"},
 		{
 			"pebble meets a full disk at a save",
@@ -383,8 +383,8 @@
 			1, // no table comes first
 			"pebble: fatal commit error: no space left",
 		},
-		{"Fatalf alone is held back", unfenced(func(s *store) pebble.Logger { return quietLogger{s} }), d.n,
-			d.ways().memTableSize, 2, "fatal error: sync: unlock of unlocked mutex"},
+		{"Fatalf alone is held back", unfenced(func(s *pebbleStore) pebble.Logger { return quietLogger{s} }), d.n,
+			d.environment().memTableSize, 2, "fatal error: sync: unlock of unlocked mutex"},
 	}
 	for _, c := range defects {
 		if os.Getenv(seeded) != c.name {
@@ -417,7 +417,7 @@
 func TestAStartOnADiskThatTakesNothing(t *testing.T) {
 	for _, saves := range []int{0, 1, 14} {
 		old := newDisk()
-		v, _, err := open("data", old.ways())
+		v, _, err := open("data", old.environment())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -434,7 +434,7 @@
 				}
 				return syscall.ENOSPC
 			}
-			v, r, err := open("data", d.ways())
+			v, r, err := open("data", d.environment())
 			if err != nil || v.Damaged() != nil || number(r) != saves {
 				t.Fatalf(
 					"%d saves, full from change %d on: record %d, %v, %v",
@@ -460,7 +460,7 @@
 				}
 			}
 			d.mu.Lock()
-			f := holds(d.lose(0, nil), d.ways(), saves+2)
+			f := holds(d.lose(0, nil), d.environment(), saves+2)
 			d.mu.Unlock()
 			if f != "" {
 				t.Fatalf("%d saves, full from change %d on: %s", saves, at, f)
@@ -493,7 +493,7 @@
 		opened := make(chan *Storage, 1)
 		told := make(chan int, saves)
 		go func() {
-			v, _, err := open("data", d.ways())
+			v, _, err := open("data", d.environment())
 			if err != nil {
 				t.Error(err)
 			}
@@ -535,7 +535,7 @@
 		}
 		d.mu.Lock()
 		d.before = nil
-		f, changes := holds(d.lose(0, nil), d.ways(), saves), d.n
+		f, changes := holds(d.lose(0, nil), d.environment(), saves), d.n
 		d.mu.Unlock()
 		if f != "" {
 			t.Fatalf("hung at change %d: %s", at, f)
@@ -552,7 +552,7 @@
 // damages opens a store of which one thing was altered, and says what is wrong: it must be told, and nothing
 // of it served; and the machine can keep what it is given next.
 func damages(d *disk, w environment) string {
-	w.fs = faultFS{d.MemFS, d.around}
+	w.fs = interceptedFS{d.MemFS, d.around}
 	v, r, err := open("data", w)
 	if err != nil {
 		return fmt.Sprint("it does not open: ", err)
@@ -577,7 +577,7 @@
 // altered calls f with stores of which one key each has another value, or none.
 func altered(t *testing.T, f func(key string, d *disk)) {
 	d := newDisk()
-	v, _, err := open("data", d.ways())
+	v, _, err := open("data", d.environment())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -597,7 +597,8 @@
 	for key, value := range keys {
 		for _, drop := range []bool{false, true} {
 			left := d.lose(100, rand.New(rand.NewPCG(1, 1)))
-			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: left.MemFS, Logger: quietLogger{&store{}}})
+			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: left.MemFS,
+				Logger: quietLogger{&pebbleStore{}}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -619,7 +620,7 @@
 // as damaged, laid aside, and nothing of it is served.
 func TestADamagedStoreIsNotServed(t *testing.T) {
 	altered(t, func(key string, d *disk) {
-		if f := damages(d, d.ways()); f != "" {
+		if f := damages(d, d.environment()); f != "" {
 			t.Errorf("%q: %s", key, f)
 		}
 		if _, err := d.Stat("data/" + damagedName); err != nil {
@@ -633,7 +634,7 @@
 func TestADamagedStoreFinds(t *testing.T) {
 	found := map[string]string{}
 	altered(t, func(key string, d *disk) {
-		w := d.ways()
+		w := d.environment()
 		w.verify = func(message.Digest, []byte) bool { return true }
 		if f := damages(d, w); f != "" {
 			kind, _, _ := strings.Cut(key, "/")
@@ -652,7 +653,7 @@
 // as damaged, or what it serves was saved once, all of it.
 func TestAFileThatIsNotAsItWasWritten(t *testing.T) {
 	d := newDisk()
-	v, _, err := open("data", d.ways())
+	v, _, err := open("data", d.environment())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -685,7 +686,7 @@
 				f.Write(now)
 				f.Sync()
 				f.Close()
-				if f := damages(left, left.ways()); f != "" {
+				if f := damages(left, left.environment()); f != "" {
 					t.Errorf("%s %s at %d of %d: %s", name, what, at, len(text), f)
 				}
 				tried++
--- a/internal/controlplane/storage/faultfs.go
+++ b/internal/controlplane/storage/faultfs.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// faultFS is a disk of which whatever is done to it goes through a function: before, around or instead.
-type faultFS struct {
+// interceptedFS is a disk of which whatever is done to it goes through a function: before, around or instead.
+type interceptedFS struct {
 	vfs.FS
 	intercept interceptor
 }
@@ -30,7 +30,7 @@
 )
 
 // wrapOpen passes on the opening of a file.
-func (w faultFS) wrapOpen(o operation, open func() (vfs.File, error)) (vfs.File, error) {
+func (w interceptedFS) wrapOpen(o operation, open func() (vfs.File, error)) (vfs.File, error) {
 	var f vfs.File
 	err := w.intercept(o, func() (err error) {
 		f, err = open()
@@ -39,61 +39,62 @@
 	if err != nil {
 		return nil, err
 	}
-	return &faultFile{f, w.intercept}, nil
+	return &interceptedFile{f, w.intercept}, nil
 }
 
-func (w faultFS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
+func (w interceptedFS) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
 	return w.wrapOpen(operationWrite, func() (vfs.File, error) { return w.FS.Create(name, c) })
 }
 
-func (w faultFS) Open(name string, o ...vfs.OpenOption) (vfs.File, error) {
+func (w interceptedFS) Open(name string, o ...vfs.OpenOption) (vfs.File, error) {
 	return w.wrapOpen(operationRead, func() (vfs.File, error) { return w.FS.Open(name, o...) })
 }
 
-func (w faultFS) OpenDir(name string) (vfs.File, error) {
+func (w interceptedFS) OpenDir(name string) (vfs.File, error) {
 	return w.wrapOpen(operationRead, func() (vfs.File, error) { return w.FS.OpenDir(name) })
 }
 
-func (w faultFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
+func (w interceptedFS) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File,
+	error) {
 	return w.wrapOpen(operationWrite, func() (vfs.File, error) { return w.FS.OpenReadWrite(name, c, o...) })
 }
 
-func (w faultFS) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (vfs.File, error) {
+func (w interceptedFS) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (vfs.File, error) {
 	return w.wrapOpen(operationWrite, func() (vfs.File, error) { return w.FS.ReuseForWrite(from, to, c) })
 }
 
-func (w faultFS) Link(from, to string) error {
+func (w interceptedFS) Link(from, to string) error {
 	return w.intercept(operationWrite, func() error { return w.FS.Link(from, to) })
 }
 
-func (w faultFS) Remove(name string) error {
+func (w interceptedFS) Remove(name string) error {
 	return w.intercept(operationWrite, func() error { return w.FS.Remove(name) })
 }
 
-func (w faultFS) RemoveAll(name string) error {
+func (w interceptedFS) RemoveAll(name string) error {
 	return w.intercept(operationWrite, func() error { return w.FS.RemoveAll(name) })
 }
 
-func (w faultFS) Rename(from, to string) error {
+func (w interceptedFS) Rename(from, to string) error {
 	return w.intercept(operationWrite, func() error { return w.FS.Rename(from, to) })
 }
 
-func (w faultFS) MkdirAll(name string, mode os.FileMode) error {
+func (w interceptedFS) MkdirAll(name string, mode os.FileMode) error {
 	return w.intercept(operationWrite, func() error { return w.FS.MkdirAll(name, mode) })
 }
 
 // Lock is pebble's. It is the vault that holds the folder's lock, through all the stores that it opens there.
-func (w faultFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (w interceptedFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (w faultFS) Unwrap() vfs.FS { return w.FS }
+func (w interceptedFS) Unwrap() vfs.FS { return w.FS }
 
-// faultFile is a file of a watched disk.
-type faultFile struct {
+// interceptedFile is a file of a watched disk.
+type interceptedFile struct {
 	vfs.File
 	intercept interceptor
 }
 
-func (f *faultFile) count(o operation, do func() (int, error)) (n int, err error) {
+func (f *interceptedFile) count(o operation, do func() (int, error)) (n int, err error) {
 	err = f.intercept(o, func() error {
 		n, err = do()
 		return err
@@ -101,15 +102,15 @@
 	return n, err
 }
 
-func (f *faultFile) Read(p []byte) (int, error) {
+func (f *interceptedFile) Read(p []byte) (int, error) {
 	return f.count(operationRead, func() (int, error) { return f.File.Read(p) })
 }
 
-func (f *faultFile) ReadAt(p []byte, at int64) (int, error) {
+func (f *interceptedFile) ReadAt(p []byte, at int64) (int, error) {
 	return f.count(operationRead, func() (int, error) { return f.File.ReadAt(p, at) })
 }
 
-func (f *faultFile) Write(p []byte) (int, error) {
+func (f *interceptedFile) Write(p []byte) (int, error) {
 	done := 0
 	return f.count(operationWrite, func() (int, error) { // again: with what is left
 		n, err := f.File.Write(p[done:])
@@ -118,19 +119,19 @@
 	})
 }
 
-func (f *faultFile) WriteAt(p []byte, at int64) (int, error) {
+func (f *interceptedFile) WriteAt(p []byte, at int64) (int, error) {
 	return f.count(operationWrite, func() (int, error) { return f.File.WriteAt(p, at) })
 }
 
-func (f *faultFile) Preallocate(at, size int64) error {
+func (f *interceptedFile) Preallocate(at, size int64) error {
 	return f.intercept(operationRead, func() error { return f.File.Preallocate(at, size) })
 }
 
-func (f *faultFile) Sync() error { return f.intercept(operationSync, f.File.Sync) }
+func (f *interceptedFile) Sync() error { return f.intercept(operationSync, f.File.Sync) }
 
-func (f *faultFile) SyncData() error { return f.intercept(operationSync, f.File.SyncData) }
+func (f *interceptedFile) SyncData() error { return f.intercept(operationSync, f.File.SyncData) }
 
-func (f *faultFile) SyncTo(size int64) (full bool, err error) {
+func (f *interceptedFile) SyncTo(size int64) (full bool, err error) {
 	err = f.intercept(operationRead, func() error {
 		full, err = f.File.SyncTo(size)
 		return err
@@ -138,7 +139,7 @@
 	return full, err
 }
 
-func (f *faultFile) Stat() (i vfs.FileInfo, err error) {
+func (f *interceptedFile) Stat() (i vfs.FileInfo, err error) {
 	err = f.intercept(operationRead, func() error {
 		i, err = f.File.Stat()
 		return err
@@ -146,18 +147,18 @@
 	return i, err
 }
 
-func (f *faultFile) Prefetch(at, size int64) error {
+func (f *interceptedFile) Prefetch(at, size int64) error {
 	return f.intercept(operationRead, func() error { return f.File.Prefetch(at, size) })
 }
 
 // Fd keeps pebble from going past the watch.
-func (f *faultFile) Fd() uintptr { return vfs.InvalidFd }
+func (f *interceptedFile) Fd() uintptr { return vfs.InvalidFd }
 
-// faultGuard is what a store's disk is watched by. Pebble ends the process at the first error of the disk, at
+// diskGuard is what a store's disk is watched by. Pebble ends the process at the first error of the disk, at
 // some places so that it can't be held back: it is told none. A change that the disk refuses is tried again
 // until the disk takes it, and each refusal is told to whom waits. After a failed sync nothing that was
 // written before can be counted on, so that trying again would prove nothing: the store is given up.
-type faultGuard struct {
+type diskGuard struct {
 	mu           sync.RWMutex
 	down         bool
 	writeRefused chan struct{} // room for one
@@ -165,7 +166,7 @@
 	waitRetry    func() // before a change is tried again
 }
 
-func (f *faultGuard) intercept(o operation, do func() error) error {
+func (f *diskGuard) intercept(o operation, do func() error) error {
 	for {
 		err, down := f.attempt(do)
 		switch {
@@ -185,7 +186,7 @@
 	}
 }
 
-func (f *faultGuard) attempt(do func() error) (err error, down bool) {
+func (f *diskGuard) attempt(do func() error) (err error, down bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if f.down {
@@ -196,7 +197,7 @@
 
 // shut keeps all that still runs of the store off the disk, so that another can be opened over the same
 // files. It waits for what is under way there: a disk that hangs is waited for.
-func (f *faultGuard) shut() {
+func (f *diskGuard) shut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = true
--- a/internal/controlplane/storage/snapshot.go
+++ b/internal/controlplane/storage/snapshot.go
@@ -45,13 +45,13 @@
 		return nil, trace.CompareFailed("the store can't be opened; does its machine run? %v", err)
 	}
 	defer lock.Close()
-	store, err := openStore(path, diskEnvironment, true)
+	opened, err := openPebble(path, diskEnvironment, true)
 	if err != nil {
 		return nil, trace.CompareFailed("the store can't be read: %v", err)
 	}
-	defer store.close()
-	r := store.takeInitial()
-	s := &Snapshot{
+	defer opened.close()
+	r := opened.takeInitial()
+	snapshot := &Snapshot{
 		Format:   snapshotFormat,
 		CaughtUp: r.CaughtUp,
 		Version:  r.Version,
@@ -61,9 +61,9 @@
 		Config:   string(r.Config),
 	}
 	for _, m := range r.Members {
-		s.Members = append(s.Members, m.Addr)
+		snapshot.Members = append(snapshot.Members, m.Addr)
 	}
-	return s, nil
+	return snapshot, nil
 }
 
 func configDigest(config []byte) string {
@@ -114,7 +114,7 @@
 	}
 	core = slices.Clone(core)
 	slices.SortFunc(core, func(a, b message.Node) int { return strings.Compare(a.Addr, b.Addr) })
-	v, _, err := Open(dir)
+	restored, _, err := Open(dir)
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -122,7 +122,7 @@
 	for i := range core { // the same on all of them, and of no store before
 		core[i].StoreID = epoch
 	}
-	err = v.write(
+	err = restored.write(
 		replica.PersistentState{
 			CaughtUp:        true,
 			Members:         core,
@@ -132,5 +132,5 @@
 			Value:           replica.Value{Version: s.Version, Config: []byte(s.Config)},
 		},
 	)
-	return trace.NewAggregate(err, v.Close(closeTimeout))
+	return trace.NewAggregate(err, restored.Close(closeTimeout))
 }
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -42,7 +42,7 @@
 	env          environment
 	dir          string
 	lock         io.Closer
-	store        *store // nil: given up
+	store        *pebbleStore // nil: given up
 	backoff      time.Duration
 	backoffUntil time.Time // it is left alone
 	damaged      error
@@ -63,85 +63,85 @@
 func Open(dir string) (*Storage, replica.PersistentState, error) { return open(dir, diskEnvironment) }
 
 func open(dir string, w environment) (*Storage, replica.PersistentState, error) {
-	v := &Storage{env: w, dir: dir, backoff: initialBackoff, requests: make(chan saveRequest, 256),
+	s := &Storage{env: w, dir: dir, backoff: initialBackoff, requests: make(chan saveRequest, 256),
 		closing: make(chan struct{}), done: make(chan struct{})}
-	r, err := v.openFirst()
+	r, err := s.openFirst()
 	if err != nil {
-		v.unlockDir()
+		s.unlockDir()
 		return nil, replica.PersistentState{}, trace.ConvertSystemError(err)
 	}
-	go v.run()
-	return v, r, nil
+	go s.run()
+	return s, r, nil
 }
 
 // openFirst opens the store for the first time.
-func (v *Storage) openFirst() (replica.PersistentState, error) {
-	if err := v.lockDir(); isRefusal(err) {
-		return v.readOnlyState(nil)
+func (s *Storage) openFirst() (replica.PersistentState, error) {
+	if err := s.lockDir(); isRefusal(err) {
+		return s.readOnlyState(nil)
 	} else if err != nil {
 		return replica.PersistentState{}, err
 	}
-	s, err := openStore(v.path(), v.env, false)
+	opened, err := openPebble(s.path(), s.env, false)
 	switch {
 	case err == nil:
-		v.store = s
-		return s.takeInitial(), nil
+		s.store = opened
+		return opened.takeInitial(), nil
 	case isDamage(err):
-		v.damaged = err
-		s.giveUp()
-		err = v.replaceDamaged()
+		s.damaged = err
+		opened.giveUp()
+		err = s.replaceDamaged()
 		if err != nil && !errors.Is(err, errWriteRefused) {
-			v.giveUp() // it is tried again with the first save
+			s.giveUp() // it is tried again with the first save
 		}
 		return replica.PersistentState{}, nil
 	case errors.Is(err, errWriteRefused):
-		v.store = s
-		return v.readOnlyState(s)
+		s.store = opened
+		return s.readOnlyState(opened)
 	case errors.Is(err, errStoreFailed):
-		v.store = s
-		v.giveUp()
-		return v.readOnlyState(nil)
+		s.store = opened
+		s.giveUp()
+		return s.readOnlyState(nil)
 	}
 	return replica.PersistentState{}, err
 }
 
 // readOnlyState reads the record of a store that can't be opened for writing now, while one that is being
 // opened stands still.
-func (v *Storage) readOnlyState(opening *store) (replica.PersistentState, error) {
+func (s *Storage) readOnlyState(opening *pebbleStore) (replica.PersistentState, error) {
 	if opening != nil {
 		opening.fence.mu.Lock()
 		defer opening.fence.mu.Unlock()
 	}
-	if _, err := v.env.fs.Stat(v.path()); errors.Is(err, fs.ErrNotExist) {
+	if _, err := s.env.fs.Stat(s.path()); errors.Is(err, fs.ErrNotExist) {
 		return replica.PersistentState{}, nil
 	}
-	s, err := openStore(v.path(), v.env, true)
+	opened, err := openPebble(s.path(), s.env, true)
 	switch {
 	case err == nil:
-		return s.takeInitial(), s.close()
+		return opened.takeInitial(), opened.close()
 	case errors.Is(err, pebble.ErrDBDoesNotExist): // it was never opened to the end
 		return replica.PersistentState{}, nil
 	case isDamage(err):
-		v.damaged = err
+		s.damaged = err
 		return replica.PersistentState{}, nil
 	}
 	return replica.PersistentState{}, err
 }
 
-func (v *Storage) path() string { return filepath.Join(v.dir, storeName) }
+func (s *Storage) path() string { return filepath.Join(s.dir, storeName) }
 
 // Damaged tells why the store that Open found could not be read whole, so that the machine has to be mended
 // as after the loss of its disk; nil if it could.
-func (v *Storage) Damaged() error { return v.damaged }
+func (s *Storage) Damaged() error { return s.damaged }
 
 // lockDir takes the folder's lock.
-func (v *Storage) lockDir() error {
-	if v.lock != nil {
+func (s *Storage) lockDir() error {
+	if s.lock != nil {
 		return nil
 	}
-	err := v.env.fs.MkdirAll(v.path(), 0o755)
+	err := s.env.fs.MkdirAll(s.path(), 0o755)
 	if err == nil {
-		v.lock, err = v.env.fs.Lock(filepath.Join(v.path(), lockName))
+		s.lock, err = s.env.fs.Lock(filepath.Join(s.path(), lockName))
 	}
 	return err
 }
@@ -152,33 +152,33 @@
 		errors.Is(err, syscall.EROFS)
 }
 
-func (v *Storage) unlockDir() {
-	if v.lock != nil {
-		v.lock.Close()
-		v.lock = nil
+func (s *Storage) unlockDir() {
+	if s.lock != nil {
+		s.lock.Close()
+		s.lock = nil
 	}
 }
 
 // replaceDamaged lays a damaged store aside, and opens an empty one in its place.
-func (v *Storage) replaceDamaged() error {
-	disk, aside := v.env.fs, filepath.Join(v.dir, damagedName)
-	v.unlockDir()
+func (s *Storage) replaceDamaged() error {
+	disk, aside := s.env.fs, filepath.Join(s.dir, damagedName)
+	s.unlockDir()
 	if err := disk.RemoveAll(aside); err != nil {
 		return err
 	}
-	if err := disk.Rename(v.path(), aside); err != nil && disk.RemoveAll(v.path()) != nil {
+	if err := disk.Rename(s.path(), aside); err != nil && disk.RemoveAll(s.path()) != nil {
 		return err
 	}
-	v.corrupted = false
-	return v.reopen()
+	s.corrupted = false
+	return s.reopen()
 }
 
-func (v *Storage) reopen() error {
-	if err := v.lockDir(); err != nil {
+func (s *Storage) reopen() error {
+	if err := s.lockDir(); err != nil {
 		return err
 	}
 	var err error
-	v.store, err = openStore(v.path(), v.env, false)
+	s.store, err = openPebble(s.path(), s.env, false)
 	return err
 }
 
@@ -186,37 +186,37 @@
 // unknown which of the two records is on the disk. It does not block, unless hundreds of saves wait. Those
 // that come once the vault is being closed are told as failed, at once: a machine that was told to stop is
 // asked for its promise up to its end.
-func (v *Storage) Save(r replica.PersistentState, then func(ok bool)) {
+func (s *Storage) Save(r replica.PersistentState, then func(ok bool)) {
 	select {
-	case <-v.closing:
+	case <-s.closing:
 		then(false)
 		return
 	default:
 	}
 	select {
-	case v.requests <- saveRequest{r, then}:
-	case <-v.closing:
+	case s.requests <- saveRequest{r, then}:
+	case <-s.closing:
 		then(false)
 	}
 }
 
-func (v *Storage) run() {
-	defer close(v.done)
+func (s *Storage) run() {
+	defer close(s.done)
 	for {
 		var broken chan struct{}
-		if v.store != nil {
-			broken = v.store.failed
+		if s.store != nil {
+			broken = s.store.failed
 		}
 		select {
 		case <-broken:
-			v.giveUp()
-		case j := <-v.requests:
-			j.onSaved(v.write(j.state) == nil)
-		case <-v.closing:
+			s.giveUp()
+		case j := <-s.requests:
+			j.onSaved(s.write(j.state) == nil)
+		case <-s.closing:
 			for {
 				select {
-				case j := <-v.requests: // handed in before
-					j.onSaved(v.write(j.state) == nil)
+				case j := <-s.requests: // handed in before
+					j.onSaved(s.write(j.state) == nil)
 				default:
 					return
 				}
@@ -226,68 +226,68 @@
 }
 
 // giveUp leaves a store to itself, if there is one, for a while.
-func (v *Storage) giveUp() {
-	if v.store != nil {
-		v.store.giveUp()
-		v.corrupted = v.store.corrupted.Load()
-		v.store = nil
+func (s *Storage) giveUp() {
+	if s.store != nil {
+		s.store.giveUp()
+		s.corrupted = s.store.corrupted.Load()
+		s.store = nil
 	}
-	v.backoffUntil = v.env.now().Add(v.backoff)
-	v.backoff = min(2*v.backoff, maxBackoff)
+	s.backoffUntil = s.env.now().Add(s.backoff)
+	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
 // write writes a record, in order behind what the disk has refused so far.
-func (v *Storage) write(r replica.PersistentState) error {
-	err := v.ready()
+func (s *Storage) write(r replica.PersistentState) error {
+	err := s.ready()
 	if err == nil {
-		err = v.store.write(r)
+		err = s.store.write(r)
 	}
 	if err != nil && !errors.Is(err, errWriteRefused) && !errors.Is(err, errBackingOff) {
-		v.giveUp()
+		s.giveUp()
 	}
 	return err
 }
 
 // ready waits for the store to be free. One that was given up is opened again; one that is damaged by now is
 // made anew: the record to be saved has all that is to be in it.
-func (v *Storage) ready() error {
+func (s *Storage) ready() error {
 	var err error
 	switch {
-	case v.store != nil:
-		err = v.store.wait()
-	case v.env.now().Before(v.backoffUntil):
+	case s.store != nil:
+		err = s.store.wait()
+	case s.env.now().Before(s.backoffUntil):
 		return errBackingOff
-	case v.corrupted:
+	case s.corrupted:
 		err = ErrDamaged
 	default:
-		err = v.reopen()
+		err = s.reopen()
 	}
 	if isDamage(err) {
-		if v.store != nil {
-			v.store.giveUp()
+		if s.store != nil {
+			s.store.giveUp()
 		}
-		err = v.replaceDamaged()
+		err = s.replaceDamaged()
 	}
 	if err == nil {
-		v.store.takeInitial() // the one to be saved is newer
+		s.store.takeInitial() // the one to be saved is newer
 	}
 	return err
 }
 
 // Close ends the saves under way and closes the store. A disk that hangs is not waited for longer than the
 // limit.
-func (v *Storage) Close(limit time.Duration) error {
-	close(v.closing)
+func (s *Storage) Close(limit time.Duration) error {
+	close(s.closing)
 	closed := make(chan error, 1)
 	go func() {
-		<-v.done
+		<-s.done
 		var err error
-		if v.store != nil {
-			if err = v.store.wait(); err == nil {
-				err = v.store.close()
+		if s.store != nil {
+			if err = s.store.wait(); err == nil {
+				err = s.store.close()
 			}
 		}
-		v.unlockDir()
+		s.unlockDir()
 		closed <- err
 	}()
 	select {
--- a/internal/controlplane/storage/store.go
+++ b/internal/controlplane/storage/store.go
@@ -118,7 +118,8 @@
 	memTableSize uint64
 	commit       func(db *pebble.DB, b *pebble.Batch) error // writes all of a batch or nothing, and syncs it
 	verify       func(sum message.Digest, text []byte) bool // holds what was read to its digest
-	guard        func(s *store, o *pebble.Options)          // keeps errors of the disk from ending the process
+	// keeps errors of the disk from ending the process
+	guard func(s *pebbleStore, o *pebble.Options)
 }
 
 // diskEnvironment are the ways of the program.
@@ -133,15 +134,15 @@
 }
 
 // guardPebble tells pebble none of the disk's errors, and holds its word for the process's end back.
-func guardPebble(s *store, o *pebble.Options) {
-	o.FS, o.Logger = faultFS{s.fs, s.fence.intercept}, quietLogger{s}
+func guardPebble(p *pebbleStore, o *pebble.Options) {
+	o.FS, o.Logger = interceptedFS{p.fs, p.fence.intercept}, quietLogger{p}
 }
 
-// store is a pebble store, from its opening to the first error of the disk that can't be made up for.
-type store struct {
+// pebbleStore is a pebble store, from its opening to the first error of the disk that can't be made up for.
+type pebbleStore struct {
 	environment
 	db        *pebble.DB
-	fence     faultGuard
+	fence     diskGuard
 	once      sync.Once
 	failed    chan struct{} // closed once the store can't go on
 	corrupted atomic.Bool   // what is on the disk is not what was written
@@ -154,42 +155,42 @@
 	legacyKeys    [][]byte // keys of earlier forms, until the first save
 }
 
-// openStore opens the store at a path, and reads the record in it. With errRefused the store comes too, and
+// openPebble opens the store at a path, and reads the record in it. With errRefused the store comes too, and
 // is being opened yet: see wait.
-func openStore(path string, w environment, readOnly bool) (*store, error) {
-	s := &store{environment: w, failed: make(chan struct{})}
-	s.fence = faultGuard{writeRefused: make(chan struct{}, 1), onFailure: s.fail, waitRetry: w.retryDelay}
-	return s, s.do(func() (err error) {
-		if s.db, err = pebble.Open(path, s.options(readOnly)); err != nil {
+func openPebble(path string, w environment, readOnly bool) (*pebbleStore, error) {
+	p := &pebbleStore{environment: w, failed: make(chan struct{})}
+	p.fence = diskGuard{writeRefused: make(chan struct{}, 1), onFailure: p.fail, waitRetry: w.retryDelay}
+	return p, p.do(func() (err error) {
+		if p.db, err = pebble.Open(path, p.options(readOnly)); err != nil {
 			return err
 		}
-		if s.initial, err = s.read(); err != nil {
-			s.db.Close()
+		if p.initial, err = p.read(); err != nil {
+			p.db.Close()
 		}
 		return err
 	})
 }
 
-func (s *store) options(readOnly bool) *pebble.Options {
+func (p *pebbleStore) options(readOnly bool) *pebble.Options {
 	o := &pebble.Options{
 		ReadOnly:     readOnly,
-		MemTableSize: s.memTableSize,
+		MemTableSize: p.memTableSize,
 		CacheSize:    512 << 10,
 		MaxOpenFiles: 32,
 		EventListener: &pebble.EventListener{
-			BackgroundError: func(error) { s.fail() },
+			BackgroundError: func(error) { p.fail() },
 			DataCorruption: func(pebble.DataCorruptionInfo) {
-				s.corrupted.Store(true)
-				s.fail()
+				p.corrupted.Store(true)
+				p.fail()
 			},
 		},
 	}
-	s.guard(s, o)
+	p.guard(p, o)
 	return o
 }
 
 // quietLogger keeps pebble's own lines out of the log, and the process alive.
-type quietLogger struct{ store *store }
+type quietLogger struct{ store *pebbleStore }
 
 func (quietLogger) Infof(string, ...any)  {}
 func (quietLogger) Errorf(string, ...any) {}
@@ -201,43 +202,43 @@
 }
 
 // fail notes that the store can't go on.
-func (s *store) fail() { s.once.Do(func() { close(s.failed) }) }
+func (p *pebbleStore) fail() { p.once.Do(func() { close(p.failed) }) }
 
 // do calls pebble, which may panic, and waits. Nothing may be under way.
-func (s *store) do(f func() error) error {
+func (p *pebbleStore) do(f func() error) error {
 	task := make(chan error, 1)
-	s.running = task
+	p.running = task
 	go func() {
 		err := errStoreFailed
 		defer func() {
-			if p := recover(); p != nil {
-				err = trace.Wrap(errStoreFailed, "%v", p)
+			if panicked := recover(); panicked != nil {
+				err = trace.Wrap(errStoreFailed, "%v", panicked)
 			}
 			task <- err
 		}()
 		err = f()
 	}()
-	return s.wait()
+	return p.wait()
 }
 
 // wait waits for what is under way, if anything is. It returns errRefused if the disk refuses a change
 // meanwhile; the task goes on, and ends once the disk is well.
-func (s *store) wait() error {
-	if s.running == nil {
+func (p *pebbleStore) wait() error {
+	if p.running == nil {
 		return nil
 	}
 	select {
-	case <-s.fence.writeRefused: // of before
+	case <-p.fence.writeRefused: // of before
 	default:
 	}
 	select {
-	case err := <-s.running:
-		s.running = nil
+	case err := <-p.running:
+		p.running = nil
 		return err
-	case <-s.fence.writeRefused:
+	case <-p.fence.writeRefused:
 		return errWriteRefused
-	case <-s.failed:
-		if s.corrupted.Load() {
+	case <-p.failed:
+		if p.corrupted.Load() {
 			return trace.Wrap(ErrDamaged, "a table")
 		}
 		return errStoreFailed
@@ -245,16 +246,16 @@
 }
 
 // takeInitial returns what was found at the opening, once.
-func (s *store) takeInitial() replica.PersistentState {
-	r := s.initial
-	s.initial = replica.PersistentState{}
+func (p *pebbleStore) takeInitial() replica.PersistentState {
+	r := p.initial
+	p.initial = replica.PersistentState{}
 	return r
 }
 
 // giveUp keeps the store off the disk, and lets go of what it held.
-func (s *store) giveUp() {
-	s.fence.shut()
-	s.stored.Store(nil)
+func (p *pebbleStore) giveUp() {
+	p.fence.shut()
+	p.stored.Store(nil)
 }
 
 // isDamage reports whether an error tells that what is on the disk is not what was written there, as opposed
@@ -264,8 +265,8 @@
 		errors.Is(err, fs.ErrNotExist) || strings.Contains(err.Error(), "object size mismatch"))
 }
 
-func (s *store) get(key []byte) ([]byte, error) {
-	b, closer, err := s.db.Get(key)
+func (p *pebbleStore) get(key []byte) ([]byte, error) {
+	b, closer, err := p.db.Get(key)
 	if err != nil {
 		return nil, err
 	}
@@ -274,52 +275,52 @@
 }
 
 // getVerified reads what is under a key, and holds it to its digest.
-func (s *store) getVerified(key []byte, sum []byte) ([]byte, error) {
-	b, err := s.get(key)
+func (p *pebbleStore) getVerified(key []byte, sum []byte) ([]byte, error) {
+	b, err := p.get(key)
 	switch {
 	case errors.Is(err, pebble.ErrNotFound):
 		return nil, trace.Wrap(ErrDamaged, "%x is missing", key)
 	case err != nil:
 		return nil, err
-	case len(sum) != len(message.Digest{}) || !s.verify(message.Digest(sum), b):
+	case len(sum) != len(message.Digest{}) || !p.verify(message.Digest(sum), b):
 		return nil, trace.Wrap(ErrDamaged, "%x has another digest", key)
 	}
 	return b, nil
 }
 
 // read reads the record; the zero one from an empty store.
-func (s *store) read() (replica.PersistentState, error) {
-	b, err := s.get(keyState)
+func (p *pebbleStore) read() (replica.PersistentState, error) {
+	b, err := p.get(keyState)
 	if errors.Is(err, pebble.ErrNotFound) {
-		return s.readLegacy()
+		return p.readLegacy()
 	}
 	if err != nil {
 		return replica.PersistentState{}, err
 	}
 	const size = len(message.Digest{})
 	var h storedState
-	if len(b) < size || !s.verify(message.Digest(b[:size]), b[size:]) || message.Unmarshal(b[size:], &h) != nil {
+	if len(b) < size || !p.verify(message.Digest(b[:size]), b[size:]) || message.Unmarshal(b[size:], &h) != nil {
 		return replica.PersistentState{}, trace.Wrap(ErrDamaged, "the head has another digest")
 	}
 	var c replica.Value
-	if c.Config, s.configIndex, err = s.readChunked(&configValue, h.ConfigIndex); err != nil {
+	if c.Config, p.configIndex, err = p.readChunked(&configValue, h.ConfigIndex); err != nil {
 		return replica.PersistentState{}, err
 	}
-	if c.AcceptedVersions, err = s.readAcceptedVersions(&h); err != nil {
+	if c.AcceptedVersions, err = p.readAcceptedVersions(&h); err != nil {
 		return replica.PersistentState{}, err
 	}
 	c.AcceptedEpoch, c.Version = h.AcceptedEpoch, h.Version
-	s.stored.Store(&c)
+	p.stored.Store(&c)
 	return h.persistentState(c), nil
 }
 
 // readChunked reads a text and the list of its parts.
-func (s *store) readChunked(t *chunkedValue, sum []byte) (whole, list []byte, err error) {
-	if list, err = s.getVerified(t.indexKey, sum); err != nil {
+func (p *pebbleStore) readChunked(t *chunkedValue, sum []byte) (whole, list []byte, err error) {
+	if list, err = p.getVerified(t.indexKey, sum); err != nil {
 		return nil, nil, err
 	}
 	for sum := range slices.Chunk(list, len(message.Digest{})) {
-		part, err := s.getVerified(t.chunkKey(sum), sum)
+		part, err := p.getVerified(t.chunkKey(sum), sum)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -330,21 +331,21 @@
 
 // readAcceptedVersions reads the numbers taken. Those of the earlier form are written anew with the first
 // save.
-func (s *store) readAcceptedVersions(h *storedState) (past []message.AcceptedVersion, err error) {
+func (p *pebbleStore) readAcceptedVersions(h *storedState) (past []message.AcceptedVersion, err error) {
 	if len(h.AcceptedVersionsIndex) == 0 {
-		var p legacyAcceptedVersions
-		b, err := s.getVerified(keyLegacyAcceptedVersions, h.LegacyAcceptedVersions)
-		if err == nil && message.Unmarshal(b, &p) != nil {
+		var legacy legacyAcceptedVersions
+		b, err := p.getVerified(keyLegacyAcceptedVersions, h.LegacyAcceptedVersions)
+		if err == nil && message.Unmarshal(b, &legacy) != nil {
 			err = trace.Wrap(ErrDamaged, "the numbers taken")
 		}
-		s.legacyKeys = append(s.legacyKeys, keyLegacyAcceptedVersions)
-		return p.Past, err
+		p.legacyKeys = append(p.legacyKeys, keyLegacyAcceptedVersions)
+		return legacy.Past, err
 	}
-	b, chunks, err := s.readChunked(&acceptedVersionsValue, h.AcceptedVersionsIndex)
+	b, chunks, err := p.readChunked(&acceptedVersionsValue, h.AcceptedVersionsIndex)
 	if err != nil {
 		return nil, err
 	}
-	s.acceptedIndex = chunks
+	p.acceptedIndex = chunks
 	if past, err = message.DecodeAcceptedVersions(b); err != nil {
 		err = trace.Wrap(ErrDamaged, "the numbers taken")
 	}
@@ -353,11 +354,11 @@
 
 // readLegacy reads a record of the earlier form; the zero one from an empty store. The first save writes all
 // of it anew.
-func (s *store) readLegacy() (replica.PersistentState, error) {
+func (p *pebbleStore) readLegacy() (replica.PersistentState, error) {
 	var h storedState
 	var c legacyConfig
 	for key, into := range map[*[]byte]any{&keyLegacyState: &h, &keyLegacyConfig: &c} {
-		b, err := s.get(*key)
+		b, err := p.get(*key)
 		switch {
 		case errors.Is(err, pebble.ErrNotFound):
 			continue
@@ -366,36 +367,36 @@
 		case message.Unmarshal(b, into) != nil:
 			return replica.PersistentState{}, trace.Wrap(ErrDamaged, "%s can't be read", *key)
 		}
-		s.legacyKeys = append(s.legacyKeys, *key)
+		p.legacyKeys = append(p.legacyKeys, *key)
 	}
 	return h.persistentState(replica.Value{Version: c.Version, Config: c.Config}), nil
 }
 
 // write writes a record and syncs it: what differs from the one that is there, in one batch. After an error
 // it is unknown whether the record is there; unless that is errRefused, the store is to be given up.
-func (s *store) write(r replica.PersistentState) error {
-	return s.do(func() error { return s.commitState(r) })
+func (p *pebbleStore) write(r replica.PersistentState) error {
+	return p.do(func() error { return p.commitState(r) })
 }
 
-func (s *store) commitState(r replica.PersistentState) error {
-	b := s.db.NewBatch()
+func (p *pebbleStore) commitState(r replica.PersistentState) error {
+	b := p.db.NewBatch()
 	defer b.Close()
 	var failed error
 	set := func(key, value []byte) { failed = errors.Join(failed, b.Set(key, value, nil)) }
-	ranges, chunks, there := s.configIndex, s.acceptedIndex, s.stored.Load()
+	ranges, chunks, there := p.configIndex, p.acceptedIndex, p.stored.Load()
 	if there == nil || !bytes.Equal(r.Config, there.Config) {
-		ranges = writeChunked(b, &configValue, r.Config, s.configIndex, set)
+		ranges = writeChunked(b, &configValue, r.Config, p.configIndex, set)
 	}
-	if there == nil || len(s.legacyKeys) > 0 || !slices.Equal(r.AcceptedVersions, there.AcceptedVersions) {
+	if there == nil || len(p.legacyKeys) > 0 || !slices.Equal(r.AcceptedVersions, there.AcceptedVersions) {
 		chunks = writeChunked(
 			b,
 			&acceptedVersionsValue,
 			message.EncodeAcceptedVersions(r.AcceptedVersions),
-			s.acceptedIndex,
+			p.acceptedIndex,
 			set,
 		)
 	}
-	for _, key := range s.legacyKeys {
+	for _, key := range p.legacyKeys {
 		b.Delete(key, nil)
 	}
 	rangesSum, chunksSum := message.DigestOf(ranges), message.DigestOf(chunks)
@@ -428,11 +429,11 @@
 	if failed != nil {
 		return trace.Wrap(failed)
 	}
-	if err := s.commit(s.db, b); err != nil {
+	if err := p.commit(p.db, b); err != nil {
 		return trace.Wrap(err)
 	}
-	s.stored.Store(&r.Value)
-	s.configIndex, s.acceptedIndex, s.legacyKeys = ranges, chunks, nil
+	p.stored.Store(&r.Value)
+	p.configIndex, p.acceptedIndex, p.legacyKeys = ranges, chunks, nil
 	return nil
 }
 
@@ -463,4 +464,4 @@
 }
 
 // close closes the store.
-func (s *store) close() error { return s.do(s.db.Close) }
+func (p *pebbleStore) close() error { return p.do(p.db.Close) }
--- a/internal/controlplane/transport/reader.go
+++ b/internal/controlplane/transport/reader.go
@@ -94,7 +94,8 @@
 }
 
 // handleHandshake takes who is at the other end of a connection, and answers who is at this one.
-func (t *Transport) handleHandshake(conn net.Conn, dialled string, h *message.Handshake, incarnation uint64) error {
+func (t *Transport) handleHandshake(conn net.Conn, dialled string, h *message.Handshake,
+	incarnation uint64) error {
 	switch {
 	case h.Sender == "":
 		return errNoHandshake
--- a/internal/controlplane/transport/transport.go
+++ b/internal/controlplane/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport carries messages between the system's processes, over TCP: a connection for each pair that has
-// something to say, used in both directions. What can't be sent is lost, and those who speak over it retry. Nothing is
-// sent twice, and of a message that was cut off nothing is delivered.
+// Package transport carries messages between the system's processes, over TCP: a connection for each pair
+// that has something to say, used in both directions. What can't be sent is lost, and those who speak over it
+// retry. Nothing is sent twice, and of a message that was cut off nothing is delivered.
 //
-// Both ends begin with a handshake: their address, and their incarnation. A connection to an address that another
-// process answers ends there, before any message on it is taken.
+// Both ends begin with a handshake: their address, and their incarnation. A connection to an address that
+// another process answers ends there, before any message on it is taken.
 package transport
 
 import (
@@ -147,8 +147,8 @@
 	return p
 }
 
-// attach has a connection used to write to a peer. One that leads to another incarnation of it is closed: the process
-// that was there is gone.
+// attach has a connection used to write to a peer. One that leads to another incarnation of it is closed: the
+// process that was there is gone.
 func (t *Transport) attach(from string, incarnation uint64, conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,8 +229,8 @@
 	p.writing = false
 }
 
-// dialPeer opens a connection to a peer; nil: it can't be reached, and what was queued is lost, unless the peer has
-// opened one meanwhile. The lock is held by the caller, and not while it dials.
+// dialPeer opens a connection to a peer; nil: it can't be reached, and what was queued is lost, unless the
+// peer has opened one meanwhile. The lock is held by the caller, and not while it dials.
 func (t *Transport) dialPeer(p *peer) net.Conn {
 	t.mu.Unlock()
 	conn, err := t.dial(p.addr)
@@ -262,8 +262,8 @@
 	return conn, nil
 }
 
-// writeAll writes a queue. A connection is dead if it takes nothing for long, and not if it takes much slowly: the limit
-// is on each piece.
+// writeAll writes a queue. A connection is dead if it takes nothing for long, and not if it takes much
+// slowly: the limit is on each piece.
 func writeAll(conn net.Conn, queued []byte) error {
 	for len(queued) > 0 {
 		piece := queued[:min(len(queued), maxWriteSize)]
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,5 @@
-// Package events numbers the lines that the gateway logs. docs/events.md is their catalogue: it tells what each
-// means and what to do about it. A test holds the two equal.
+// Package events numbers the lines that the gateway logs. docs/events.md is their catalogue: it tells what
+// each means and what to do about it. A test holds the two equal.
 package events
 
 // Event is one kind of log line. Its number never changes and is never used again.
--- a/internal/lab/scale/cause.go
+++ b/internal/lab/scale/cause.go
@@ -94,7 +94,8 @@
 			bare := *body
 			bare.Endpoints, bare.Nodes, bare.Config, bare.Chunks = nil, nil, nil, nil
 			bare.Chain, bare.Members, bare.OutgoingMembers = nil, nil, nil
-			take(Servers, size-length(&message.Message{RequestID: m.RequestID, Incarnation: m.Incarnation, Body: &bare}))
+			take(Servers, size-length(&message.Message{RequestID: m.RequestID, Incarnation: m.Incarnation,
+				Body: &bare}))
 		}
 	}
 	all[main] += size
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -44,7 +44,8 @@
 		{message.Message{Body: &message.Heartbeat{CaughtUp: true,
 			Endpoints: &message.EndpointList{Epoch: 65, Sequence: 3}}}, []string{Beats}},
 		{message.Message{Body: &message.Heartbeat{Nodes: members}}, []string{Beats, Members}},
-		{message.Message{RequestID: 9, Body: &message.WatchResponse{Fresh: true, Epoch: 65, Chain: []string{"10.0.0.1:7"},
+		{message.Message{RequestID: 9, Body: &message.WatchResponse{Fresh: true, Epoch: 65,
+			Chain:   []string{"10.0.0.1:7"},
 			Members: members, Version: 2, Config: message.NewDelta(made.Config(2), 1, made.Config(1)), Endpoints: list,
 			Nodes: members, NodesChecksum: 5}}, []string{Members, Servers, Configuration, Polls, Views}},
 		{message.Message{RequestID: 9, Body: &message.WatchResponse{Fresh: true, Chunks: []message.SnapshotChunk{
--- a/internal/lab/scale/virtual.go
+++ b/internal/lab/scale/virtual.go
@@ -109,7 +109,7 @@
 }
 
 // assign gives each machine its role, as the chain now is.
-func (p *probe) assign(x *simulation.Exchange) {
+func (p *probe) assign(x *simulation.Cluster) {
 	chain := x.Chain()
 	p.role = map[string]string{}
 	for _, m := range x.Machines {
@@ -149,8 +149,9 @@
 	p.clear()
 	made := v.Made
 	made.Zones = v.Core
-	x := simulation.New(simulation.Options{Zones: v.Core, Disks: 1, Others: each - 1, Survive: v.Core / 2,
-		Seed: v.Seed, Text: made.Config})
+	x := simulation.New(simulation.Options{Zones: v.Core, ReplicasPerZone: 1, GatewaysPerZone: each - 1,
+		SurviveMachines: v.Core / 2,
+		Seed:            v.Seed, ConfigOf: made.Config})
 	count, size, by := float64(len(x.Machines)), float64(len(x.Machines)), "machines"
 	if v.By == "servers" {
 		size, by = float64(made.Servers), fmt.Sprintf("servers at %.0f machines", count)
@@ -165,13 +166,13 @@
 	}
 	x.Servers = made.List(0)
 	version := uint64(1)
-	if _, ok := x.Change(x.Machines[0], version, 20*time.Second); !ok {
+	if _, ok := x.PutUntilAcknowledged(x.Machines[0], version, 20*time.Second); !ok {
 		return fmt.Errorf("the first configuration was not acknowledged")
 	}
 	whole := func() bool {
-		return x.Settled(version) && !slices.ContainsFunc(x.Machines, func(m *simulation.Machine) bool {
-			return m.Members() != len(x.Machines) || len(m.Servers()) != len(x.Servers) ||
-				m.Servers()[0].ID != x.Servers[0].ID
+		return x.Converged(version) && !slices.ContainsFunc(x.Machines, func(m *simulation.Machine) bool {
+			return m.Nodes() != len(x.Machines) || len(m.Endpoints()) != len(x.Servers) ||
+				m.Endpoints()[0].ID != x.Servers[0].ID
 		})
 	}
 	if !x.Until(whole, 30*time.Second) {
@@ -228,7 +229,7 @@
 	}{
 		{"route", func() error {
 			version++
-			if _, ok := x.Change(one, version, 20*time.Second); !ok {
+			if _, ok := x.PutUntilAcknowledged(one, version, 20*time.Second); !ok {
 				return fmt.Errorf("not acknowledged")
 			}
 			return nil
@@ -265,7 +266,7 @@
 	if err := v.cut(x, p, &version, whole, at); err != nil {
 		return fmt.Errorf("cut: %w", err)
 	}
-	if b := x.Broken(); len(b) > 0 {
+	if b := x.Violations(); len(b) > 0 {
 		return fmt.Errorf("a promise was broken: %s", b[0])
 	}
 	return nil
@@ -273,7 +274,7 @@
 
 // cut plays a region that is lost to the others, with the lesser part of the core in it, and a change
 // meanwhile.
-func (v Virtual) cut(x *simulation.Exchange, p *probe, version *uint64, whole func() bool,
+func (v Virtual) cut(x *simulation.Cluster, p *probe, version *uint64, whole func() bool,
 	at func(name, role, what, cause, unit string, value float64)) error {
 	each := len(x.Machines) / v.Core
 	rest, gone := x.Machines[:(v.Core-v.Core/3)*each], x.Machines[(v.Core-v.Core/3)*each:]
@@ -286,7 +287,7 @@
 	p.assign(x)
 	for _, m := range gone {
 		role := CutOff
-		if m.Frame() != nil {
+		if m.Replica() != nil {
 			role = CoreCutOff
 		}
 		p.role[m.Addr()] = role
@@ -300,7 +301,7 @@
 		at("cut", r, "processor", "", "% of a core", p.cpu[r].Seconds()/count/seconds*100)
 	}
 	*version++
-	took, ok := x.Change(rest[0], *version, 20*time.Second)
+	took, ok := x.PutUntilAcknowledged(rest[0], *version, 20*time.Second)
 	if !ok {
 		return fmt.Errorf("not acknowledged by the others")
 	}
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -13,7 +13,8 @@
 	exhaustedShare = 0.5
 	// initialShare is the part of its burst that a bucket begins with whose past the allocator doesn't know.
 	initialShare = 0.05
-	// lostNodeRetention is for how long a node that has gone may still be spending the share of a disconnected one.
+	// lostNodeRetention is for how long a node that has gone may still be spending the share of a disconnected
+	// one.
 	lostNodeRetention = 30 * time.Second
 )
 
@@ -43,8 +44,8 @@
 	deducted   map[string]float64 // from the buckets, by tenant
 }
 
-// Allocator keeps the token buckets, at the one process that has the lease for it. Its methods must not be called
-// concurrently.
+// Allocator keeps the token buckets, at the one process that has the lease for it. Its methods must not be
+// called concurrently.
 type Allocator struct {
 	epoch       uint64
 	activatedAt time.Duration
@@ -62,8 +63,8 @@
 		lostNodes: map[string]time.Duration{}, requests: map[Requester]*lastRequest{}}
 }
 
-// Activate begins to allocate under an epoch. The allocator knows nothing of what was spent before: buckets begin low,
-// and fill from then on. An epoch that is not above the last changes nothing.
+// Activate begins to allocate under an epoch. The allocator knows nothing of what was spent before: buckets
+// begin low, and fill from then on. An epoch that is not above the last changes nothing.
 func (a *Allocator) Activate(now time.Duration, epoch uint64) {
 	if epoch <= a.epoch {
 		return
@@ -73,8 +74,8 @@
 	clear(a.requests)
 }
 
-// SetNodes takes the gateways that hold leases of the control plane. One that is gone may be cut off, and go on by its
-// own share.
+// SetNodes takes the gateways that hold leases of the control plane. One that is gone may be cut off, and go
+// on by its own share.
 func (a *Allocator) SetNodes(now time.Duration, list []message.Node) {
 	current := map[string]bool{}
 	for _, node := range list {
@@ -87,21 +88,26 @@
 		}
 	}
 	a.nodes = current
-	maps.DeleteFunc(a.lostNodes, func(_ string, lostAt time.Duration) bool { return now > lostAt+lostNodeRetention })
+	maps.DeleteFunc(a.lostNodes, func(_ string,
+		lostAt time.Duration) bool {
+		return now > lostAt+lostNodeRetention
+	})
 }
 
-// connectedShare is the part of each rate that is left for the buckets, beside what lost nodes may be spending.
+// connectedShare is the part of each rate that is left for the buckets, beside what lost nodes may be
+// spending.
 func (a *Allocator) connectedShare() float64 {
 	all := float64(max(1, len(a.nodes)+len(a.lostNodes)))
 	return 1 - disconnectedShare*float64(len(a.lostNodes))/all
 }
 
-// Allocate answers what a gateway asks for. What was spent beyond leases is deducted whether it is there or not: the
-// bucket then fills from below nothing.
+// Allocate answers what a gateway asks for. What was spent beyond leases is deducted whether it is there or
+// not: the bucket then fills from below nothing.
 //
-// Each request counts once. The one that came last gets the same grant again, and an earlier one nothing. A request says
-// which grant was taken last: what was granted since has been given up, and goes back into the buckets with what was
-// counted as spent, since the new request tells that, too. The grant must not be changed.
+// Each request counts once. The one that came last gets the same grant again, and an earlier one nothing. A
+// request says which grant was taken last: what was granted since has been given up, and goes back into the
+// buckets with what was counted as spent, since the new request tells that, too. The grant must not be
+// changed.
 func (a *Allocator) Allocate(now time.Duration, from Requester, id uint64,
 	request *message.TokenRequest) *message.TokenGrant {
 	if request.Epoch != a.epoch {
@@ -130,7 +136,8 @@
 }
 
 // deduct takes what was spent and what is granted of a tenant out of its bucket.
-func (a *Allocator) deduct(now time.Duration, request *lastRequest, asked message.TenantTokens, share float64) {
+func (a *Allocator) deduct(now time.Duration, request *lastRequest, asked message.TenantTokens,
+	share float64) {
 	limits := a.limits(asked.Tenant)
 	b := a.buckets[asked.Tenant]
 	if b == nil {
@@ -176,5 +183,8 @@
 		return
 	}
 	a.lastSweep = now
-	maps.DeleteFunc(a.requests, func(_ Requester, r *lastRequest) bool { return now > r.receivedAt+lostNodeRetention })
+	maps.DeleteFunc(a.requests, func(_ Requester,
+		r *lastRequest) bool {
+		return now > r.receivedAt+lostNodeRetention
+	})
 }
--- a/internal/ratelimit/epoch_test.go
+++ b/internal/ratelimit/epoch_test.go
@@ -8,8 +8,8 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// twoAllocators plays an allocator of the counts that goes on answering after another has taken its place, to a
-// tenant that asks for many times its quota, and returns what passed at most within a window.
+// twoAllocators plays an allocator of the counts that goes on answering after another has taken its place, to
+// a tenant that asks for many times its quota, and returns what passed at most within a window.
 func twoAllocators(seed uint64, taken bool) (most int, allowed float64) {
 	w := given(seed, 12, Limits{Rate: 200, Burst: 200})
 	w.run(8 * time.Second)
@@ -31,8 +31,8 @@
 	return w.most(), w.allowed()
 }
 
-// Given an allocator that was frozen or cut off and goes on answering, when another has taken its place, then its
-// grants are not taken, and no window holds more than the rules allow. Were they taken, it would.
+// Given an allocator that was frozen or cut off and goes on answering, when another has taken its place, then
+// its grants are not taken, and no window holds more than the rules allow. Were they taken, it would.
 func TestGrantsOfAnOldAllocatorAreNotTaken(t *testing.T) {
 	for seed := range uint64(5) {
 		if most, allowed := twoAllocators(seed, false); float64(most) > allowed {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Given an allocator under an epoch, when it is asked under an older one, or told to open under one, then it gives
-// nothing, and its stores are as they were.
+// Given an allocator under an epoch, when it is asked under an older one, or told to open under one, then it
+// gives nothing, and its stores are as they were.
 func TestAnAllocatorGrantsNothingUnderAnOlderEpoch(t *testing.T) {
 	now := time.Hour
 	d := NewAllocator(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -40,8 +40,8 @@
 	Deny
 )
 
-// Decide is called once for a request that has waited. Where it is not allowed, the client may come back after the
-// given time.
+// Decide is called once for a request that has waited. Where it is not allowed, the client may come back
+// after the given time.
 type Decide func(allowed bool, retryAfter time.Duration)
 
 // Limiter holds a gateway's requests to what it has leased. Its methods may be called from any goroutine.
@@ -65,7 +65,8 @@
 	lastResponseAt time.Duration // when the last grant came; 0: none has
 }
 
-// NewLimiter returns the limiter of an incarnation of a process. onStateChange is told of states, under a lock.
+// NewLimiter returns the limiter of an incarnation of a process. onStateChange is told of states, under a
+// lock.
 func NewLimiter(incarnation uint64, limits func(tenant string) Limits, send func(*message.Message),
 	onStateChange func(State)) *Limiter {
 	return &Limiter{incarnation: incarnation, limits: limits, send: send, onStateChange: onStateChange,
@@ -94,8 +95,8 @@
 	l.nodes = float64(max(1, nodes))
 }
 
-// Take asks to let a request of a tenant in. With Wait, decide is called later, and not under a lock. With Deny, the
-// client may come back after the given time.
+// Take asks to let a request of a tenant in. With Wait, decide is called later, and not under a lock. With
+// Deny, the client may come back after the given time.
 func (l *Limiter) Take(now time.Duration, name string, decide Decide) (d Decision, retryAfter time.Duration) {
 	limits := l.limits(name)
 	if limits.Rate <= 0 {
@@ -133,8 +134,8 @@
 	return Wait, 0
 }
 
-// maySpendUnreported reports whether a request may pass that is told to the allocator afterwards: it has said a moment
-// ago that the tenant has plenty.
+// maySpendUnreported reports whether a request may pass that is told to the allocator afterwards: it has said
+// a moment ago that the tenant has plenty.
 func (l *Limiter) maySpendUnreported(now time.Duration, tenant *tenantState) bool {
 	return l.state == StateConnected && !tenant.exhausted && l.lastResponseAt != 0 &&
 		now < l.lastResponseAt+statusValidity && tenant.unreported < tenant.unreportedLimit(l.nodes)
@@ -150,8 +151,9 @@
 	return tenant
 }
 
-// requestTokens sends a request for all that is short, unless one is out. While disconnected it asks if nothing is
-// short, too: only a grant ends that, and where shares of the leases are parts of a request nothing is leased ahead.
+// requestTokens sends a request for all that is short, unless one is out. While disconnected it asks if
+// nothing is short, too: only a grant ends that, and where shares of the leases are parts of a request
+// nothing is leased ahead.
 func (l *Limiter) requestTokens(now time.Duration) {
 	if l.epoch == 0 { // no allocator is known yet: who waits does so no longer than for one that is silent
 		if l.silentSince == 0 && l.hasQueued() {
@@ -193,8 +195,9 @@
 	return false
 }
 
-// HandleGrant takes the allocator's answer to the request that is out, once. Any other has been given up. One under
-// another epoch is of an allocator whose lease has ended: what it grants is granted once more by the next.
+// HandleGrant takes the allocator's answer to the request that is out, once. Any other has been given up. One
+// under another epoch is of an allocator whose lease has ended: what it grants is granted once more by the
+// next.
 func (l *Limiter) HandleGrant(now time.Duration, incarnation, requestID uint64, grant *message.TokenGrant) {
 	l.mu.Lock()
 	if incarnation != l.incarnation || requestID != l.requestID || grant.Epoch != l.epoch || !grant.OK ||
@@ -220,7 +223,8 @@
 	runAll(decisions)
 }
 
-// Tick asks again for what is short, and decides on what has waited too long. It is to be called every 100 ms or so.
+// Tick asks again for what is short, and decides on what has waited too long. It is to be called every 100 ms
+// or so.
 func (l *Limiter) Tick(now time.Duration) {
 	l.mu.Lock()
 	if l.silentSince != 0 && now > l.silentSince+disconnectAfter {
--- a/internal/ratelimit/overlap_test.go
+++ b/internal/ratelimit/overlap_test.go
@@ -8,15 +8,15 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// The bounds of the core: for how long an earlier allocator of the counts may give tokens after the view of the
-// next one began, and how much later those who ask it may hear of that one.
+// The bounds of the core: for how long an earlier allocator of the counts may give tokens after the view of
+// the next one began, and how much later those who ask it may hear of that one.
 const (
 	earlierGives = 750 * time.Millisecond
 	hearsAfter   = 810 * time.Millisecond
 )
 
-// succeeded has another allocator begin while the one before still gives for a time: half of the gateways go on
-// asking that and hear of the next one afterwards, the others hear of it soon. The next one gives from the
+// succeeded has another allocator begin while the one before still gives for a time: half of the gateways go
+// on asking that and hear of the next one afterwards, the others hear of it soon. The next one gives from the
 // view's beginning, or once the other has left off.
 func (w *cluster) succeeded(gives time.Duration, waits bool) {
 	earlier := w.allocator
@@ -43,9 +43,9 @@
 	}
 }
 
-// overlap draws a tenant that asks many times its quota, from rest or not, at gateways whose allocator changes
-// in the midst of it, and returns how many more were let in within a window than the rules allow, as a part
-// of the quota.
+// overlap draws a tenant that asks many times its quota, from rest or not, at gateways whose allocator
+// changes in the midst of it, and returns how many more were let in within a window than the rules allow, as
+// a part of the quota.
 func overlap(seed uint64, waits bool) float64 {
 	r := rand.New(rand.NewPCG(seed, 77))
 	rate := 20 * (1 + 49*r.Float64()*r.Float64())
@@ -61,9 +61,9 @@
 	return (float64(w.most()) - w.allowed()) / (rate*quotaWindowSeconds + w.limits.Burst)
 }
 
-// Given any tenant, gateways and moment, when an allocator of the counts gives tokens until the next one does,
-// to those who have not heard of that, then no window holds more than the rules allow. When both give at
-// once, for the time that a word of the core may be old, some do.
+// Given any tenant, gateways and moment, when an allocator of the counts gives tokens until the next one
+// does, to those who have not heard of that, then no window holds more than the rules allow. When both give
+// at once, for the time that a word of the core may be old, some do.
 func TestOneAllocatorAfterTheOtherGrantsWhatThereIs(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -147,8 +147,8 @@
 	return (w.limits.Rate*quotaWindowSeconds+w.limits.Burst)*1.1 + 20
 }
 
-// Given any tenant, gateways and demand, when it asks many times its quota, allocators change and gateways are
-// cut off, then no window holds more than the rules allow.
+// Given any tenant, gateways and demand, when it asks many times its quota, allocators change and gateways
+// are cut off, then no window holds more than the rules allow.
 func TestNoWindowHoldsMoreThanTheRulesAllow(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 15
@@ -220,7 +220,8 @@
 	}
 }
 
-// Given an allocator that falls silent, when a tenant goes on within half its quota, then most of it is let in.
+// Given an allocator that falls silent, when a tenant goes on within half its quota, then most of it is let
+// in.
 func TestWithoutAnAllocatorEvenSharesAreSpent(t *testing.T) {
 	w := given(2, 12, Limits{Rate: 100, Burst: 100})
 	w.run(8 * time.Second)
--- a/internal/ratelimit/requests_test.go
+++ b/internal/ratelimit/requests_test.go
@@ -13,8 +13,8 @@
 	tokens, spent              float64
 }
 
-// left asks an allocator all questions, with a tenant's store of 100 full, and returns what was given by each and
-// what is left. forgets plays an allocator that counts each question by itself.
+// left asks an allocator all questions, with a tenant's store of 100 full, and returns what was given by each
+// and what is left. forgets plays an allocator that counts each question by itself.
 func left(questions []question, forgets bool) (given []float64, rest float64) {
 	now := time.Hour
 	d := NewAllocator(func(string) Limits { return Limits{Rate: 100, Burst: 100} })
@@ -24,8 +24,9 @@
 		if forgets {
 			clear(d.requests)
 		}
-		g := d.Allocate(now, Requester{from, q.incarnation}, q.call, &message.TokenRequest{Epoch: 1, LastGrant: q.granted,
-			Tokens: []message.TenantTokens{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}})
+		g := d.Allocate(now, Requester{from, q.incarnation}, q.call, &message.TokenRequest{Epoch: 1,
+			LastGrant: q.granted,
+			Tokens:    []message.TenantTokens{{Tenant: "t", Tokens: q.tokens, Spent: q.spent}}})
 		if !g.OK {
 			return 0
 		}
@@ -37,9 +38,9 @@
 	return given, ask("b", question{incarnation: 9, call: 1, tokens: 1000})
 }
 
-// Given an gateway whose question comes twice, late, or anew after a silence, when the allocator answers, then
-// what it leases and what was spent counts once, and that of another incarnation by itself. A allocator that forgets
-// counts twice.
+// Given an gateway whose question comes twice, late, or anew after a silence, when the allocator answers,
+// then what it leases and what was spent counts once, and that of another incarnation by itself. A allocator
+// that forgets counts twice.
 func TestAQuestionForTokensCountsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -66,8 +67,8 @@
 	}
 }
 
-// Given an gateway that was started again, when the grant of its earlier incarnation comes under a call that is out
-// again, then it is not taken, and its own is, once. Without the incarnation it would be.
+// Given an gateway that was started again, when the grant of its earlier incarnation comes under a call that
+// is out again, then it is not taken, and its own is, once. Without the incarnation it would be.
 func TestAGrantForAnEarlierIncarnationIsNotTaken(t *testing.T) {
 	now := time.Hour
 	var out []*message.Message
--- a/internal/ratelimit/tenant.go
+++ b/internal/ratelimit/tenant.go
@@ -77,8 +77,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// targetLease is how many tokens to hold: some of the demand to come, and no more than an even part of what may be
-// leased; none where that is less than a request.
+// targetLease is how many tokens to hold: some of the demand to come, and no more than an even part of what
+// may be leased; none where that is less than a request.
 func (t *tenantState) targetLease(nodes float64) float64 {
 	return math.Floor(min(max(1, leaseAheadSeconds*t.demand), maxLeasedTokens(t.limits)/nodes))
 }
@@ -112,7 +112,8 @@
 }
 
 // takeGrant takes what was granted, and returns the decisions on requests that have waited for it.
-func (t *tenantState) takeGrant(now time.Duration, granted message.TenantTokens, nodes float64) (decisions []func()) {
+func (t *tenantState) takeGrant(now time.Duration, granted message.TenantTokens,
+	nodes float64) (decisions []func()) {
 	t.unreported = max(0, t.unreported-max(granted.Spent, 0))
 	t.tokens += granted.Tokens
 	t.leasedAt = now
--- a/internal/server/cluster.go
+++ b/internal/server/cluster.go
@@ -62,7 +62,8 @@
 
 func (s *Server) replicaStatus(r *replica.Replica) *api.ReplicaStatus {
 	state := r.PersistentState()
-	status := &api.ReplicaStatus{State: r.State().String(), Serves: r.ServingWithQuorum(), CaughtUp: state.CaughtUp,
+	status := &api.ReplicaStatus{State: r.State().String(), Serves: r.ServingWithQuorum(),
+		CaughtUp:      state.CaughtUp,
 		DiskUnhealthy: r.DiskUnhealthy(), Version: state.Version, Reachable: r.ReachableMembers(),
 		MembershipEpoch: state.MembershipEpoch, ToleratedFailures: r.ToleratedFailures(),
 		ToleranceGap: r.ToleranceGap()}
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -23,8 +23,8 @@
 	storedBodyMemoryShare = 8        // one in so many bytes of the memory is for bodies that are stored
 	minClientRate         = 32 << 10 // bytes a second that a client has to take or give
 	clientGrace           = 3 * time.Second
-	// acceptAfterTerm is for how long clients are accepted after SIGTERM: two checks of the platform, and a connection
-	// on its way.
+	// acceptAfterTerm is for how long clients are accepted after SIGTERM: two checks of the platform, and a
+	// connection on its way.
 	acceptAfterTerm     = 2300 * time.Millisecond
 	defaultGraceSeconds = 6 // of the bound grace_period_s
 )
@@ -59,12 +59,13 @@
 	files := fileBudget(set)
 	limits := s.handler.ClientLimits()
 	grace := set.Bound("grace_period_s", defaultGraceSeconds)
-	s.listener = accept.NewStreams(listener, s.handler, files-int(upstreamFileShare*float64(files)), accept.Streams{
-		Head: limits.MaxHeaderBytes, Promises: true, Short: maxShortBody, Wait: limits.HeaderTimeout,
-		Idle: limits.IdleTimeout, Accept: acceptAfterTerm, Life: time.Duration(grace * float64(time.Second)),
-		Store: flow.NewStore(max(minBodyMemory, set.Limits.MemoryMB) << 20 / storedBodyMemoryShare),
-		Rest:  flow.Pace{Least: minClientRate, Grace: clientGrace},
-	}, zerolog.Nop())
+	s.listener = accept.NewStreams(listener, s.handler, files-int(upstreamFileShare*float64(files)),
+		accept.Streams{
+			Head: limits.MaxHeaderBytes, Promises: true, Short: maxShortBody, Wait: limits.HeaderTimeout,
+			Idle: limits.IdleTimeout, Accept: acceptAfterTerm, Life: time.Duration(grace * float64(time.Second)),
+			Store: flow.NewStore(max(minBodyMemory, set.Limits.MemoryMB) << 20 / storedBodyMemoryShare),
+			Rest:  flow.Pace{Least: minClientRate, Grace: clientGrace},
+		}, zerolog.Nop())
 	go s.listener.Serve()
 	s.Log(events.Ready)
 	return nil
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,6 @@
-// Package server runs a process: it gives a control-plane node its connections, its disk and its clock, and starts what
-// clients, servers and operators reach. All that is decided here is when to start and when to stop.
+// Package server runs a process: it gives a control-plane node its connections, its disk and its clock, and
+// starts what clients, servers and operators reach. All that is decided here is when to start and when to
+// stop.
 package server
 
 import (
@@ -28,8 +29,10 @@
 
 // Times of a process.
 const (
-	discoveryInterval   = 850 * time.Millisecond // between readings of the list of servers: each page has its price
-	maxDiscoveryDelay   = time.Second            // a list that waited for so long to be told was held up with the process
+	// between readings of the list of servers: each page has its price
+	discoveryInterval = 850 * time.Millisecond
+	// a list that waited for so long to be told was held up with the process
+	maxDiscoveryDelay   = time.Second
 	readyPollInterval   = 5 * time.Millisecond   // between looks whether clients can be accepted
 	limiterTickInterval = 100 * time.Millisecond // between looks at what waits for tokens
 	handoverTimeout     = time.Second            // for a successor in the core, at the end
@@ -70,8 +73,8 @@
 	chain         []string
 }
 
-// Run serves until the context ends and all that was accepted is answered. A value on reload has the settings, in the
-// file at path, read again.
+// Run serves until the context ends and all that was accepted is answered. A value on reload has the
+// settings, in the file at path, read again.
 func Run(ctx context.Context, path string, reload <-chan os.Signal, log logr.Logger) error {
 	set, err := settings.ReadFile(path)
 	if err != nil {
@@ -91,8 +94,8 @@
 	return s.stop()
 }
 
-// stop drains the process: clients are served until their connections end, another replica takes this one's place, and
-// the disk is closed.
+// stop drains the process: clients are served until their connections end, another replica takes this one's
+// place, and the disk is closed.
 func (s *Server) stop() error {
 	s.Log(events.Stopping)
 	s.stopping.Store(true)
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// reloadSettings reads the settings again. The platform's address and seeds are applied; all else needs a restart.
+// reloadSettings reads the settings again. The platform's address and seeds are applied; all else needs a
+// restart.
 func (s *Server) reloadSettings() {
 	set, err := settings.ReadFile(s.path)
 	if err != nil {
--- a/internal/server/wiring.go
+++ b/internal/server/wiring.go
@@ -80,22 +80,25 @@
 	s.forwarder = s.newForwarder()
 	slowLog := &slowlog.Log{}
 	s.handler = proxy.New(proxy.Options{SlowLog: slowLog, NodeAddr: self.Addr, Zone: set.Zone, Tuning: Tuning,
-		Limiter: s.limiter, Clock: s.now, BodyBudget: flow.NewBudget(s.bodyBudget()), NewCore: s.newCore, Log: s.Log})
+		Limiter: s.limiter, Clock: s.now, BodyBudget: flow.NewBudget(s.bodyBudget()), NewCore: s.newCore,
+		Log: s.Log})
 	s.discovery = discovery.New(set.CloudAPI.Address, direct.Dial)
-	s.api = &api.Handler{Cluster: s, Ready: s.isReady, SlowLog: slowLog, ControlPort: controlPort(set), Log: s.Log}
+	s.api = &api.Handler{Cluster: s, Ready: s.isReady, SlowLog: slowLog, ControlPort: controlPort(set),
+		Log: s.Log}
 	s.node = node.New(s.now(), node.Options{Self: self, Seeds: set.SeedPeerAddrs(), Tolerance: tolerance(set),
 		ReplaceAfter: replaceAfter(set), FirstStart: firstStart, Saved: saved, Limits: s.limits,
 		Incarnation: incarnation, Actions: (*actions)(s)})
-	s.transport, err = transport.New(transport.Options{Self: self.Addr, Incarnation: incarnation, Listen: net.Listen,
-		Dial: (&net.Dialer{}).DialContext, Log: s.Log, Handle: s.receive})
+	s.transport, err = transport.New(transport.Options{Self: self.Addr, Incarnation: incarnation,
+		Listen: net.Listen,
+		Dial:   (&net.Dialer{}).DialContext, Log: s.Log, Handle: s.receive})
 	if err != nil {
 		return err
 	}
 	return s.serveControl()
 }
 
-// openStorage opens the disk, if there is one. A store that is damaged counts as an empty disk that is not of the first
-// start.
+// openStorage opens the disk, if there is one. A store that is damaged counts as an empty disk that is not of
+// the first start.
 func (s *Server) openStorage() (saved *replica.PersistentState, firstStart bool, err error) {
 	set := s.settings
 	if set.DataDir == "" {
@@ -113,7 +116,8 @@
 	return &state, set.FreshStart, nil
 }
 
-// newIncarnation draws the number of this process's incarnation: above 0, and of 62 bits, so that sums of it fit.
+// newIncarnation draws the number of this process's incarnation: above 0, and of 62 bits, so that sums of it
+// fit.
 func newIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -162,8 +166,8 @@
 	return port
 }
 
-// replaceAfter is for how long a member of the core must be silent before another one takes its place: that has to have
-// it within sync_s of its start.
+// replaceAfter is for how long a member of the core must be silent before another one takes its place: that
+// has to have it within sync_s of its start.
 func replaceAfter(set *settings.Settings) time.Duration {
 	return time.Duration(set.Bound("sync_s", defaultSyncSeconds) / 2 * float64(time.Second))
 }
