--- a/internal/controlplane/storage/snapshot.go
+++ b/internal/controlplane/storage/snapshot.go
@@ -17,11 +17,12 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// Snapshot is what a stopped machine's store holds, as a document that staff can keep and look at. The
-// configuration is in it with its tenants' keys: it is to be kept like one.
+// Snapshot is what a stopped machine's store holds, as a document that operators can keep and look at. The
+// configuration is in it with its tenants' keys: it is to be kept like one. The names of its fields are those
+// of documents that were written before.
 type Snapshot struct {
 	Format   int      `json:"form"`  // of the document: 1
-	CaughtUp bool     `json:"whole"` // the machine had all that was acknowledged, and a vote
+	CaughtUp bool     `json:"whole"` // the replica had all that was acknowledged, and a vote
 	Version  uint64   `json:"version"`
 	Epoch    uint64   `json:"epoch"` // the highest that it has promised or installed
 	Members  []string `json:"core"`  // addresses of the machines of the core
@@ -30,13 +31,13 @@
 	Config   string   `json:"config"` // as it was sent
 }
 
-// snapshotFormat is the form that this program writes and reads.
+// snapshotFormat is the format that this program writes and reads.
 const snapshotFormat = 1
 
 // ReadSnapshot reads the store of a stopped machine without changing it. The error is a trace.NotFound where
 // there is no store, a trace.CompareFailed where the store is in use or can't be read whole.
-func ReadSnapshot(dir string) (*Snapshot, error) {
-	path := filepath.Join(dir, "vault")
+func ReadSnapshot(dir string) (snapshot *Snapshot, err error) {
+	path := filepath.Join(dir, storeName)
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, trace.NotFound("no store in this folder")
 	}
@@ -44,26 +45,22 @@
 	if err != nil {
 		return nil, trace.CompareFailed("the store can't be opened; does its machine run? %v", err)
 	}
-	defer lock.Close()
+	defer func() { err = trace.NewAggregate(err, lock.Close()) }()
 	opened, err := openPebble(path, diskEnvironment, true)
 	if err != nil {
 		return nil, trace.CompareFailed("the store can't be read: %v", err)
 	}
-	defer opened.close()
-	r := opened.takeInitial()
-	snapshot := &Snapshot{
-		Format:   snapshotFormat,
-		CaughtUp: r.CaughtUp,
-		Version:  r.Version,
-		Epoch:    max(r.PromisedEpoch, r.Epoch),
-		Chain:    r.Chain,
-		Digest:   configDigest(r.Config),
-		Config:   string(r.Config),
-	}
-	for _, m := range r.Members {
-		snapshot.Members = append(snapshot.Members, m.Addr)
+	return newSnapshot(opened.takeInitial()), trace.Wrap(opened.close())
+}
+
+func newSnapshot(state replica.PersistentState) *Snapshot {
+	snapshot := &Snapshot{Format: snapshotFormat, CaughtUp: state.CaughtUp, Version: state.Version,
+		Epoch: max(state.PromisedEpoch, state.Epoch), Chain: state.Chain, Digest: configDigest(state.Config),
+		Config: string(state.Config)}
+	for _, member := range state.Members {
+		snapshot.Members = append(snapshot.Members, member.Addr)
 	}
-	return snapshot, nil
+	return snapshot
 }
 
 func configDigest(config []byte) string {
@@ -95,42 +92,34 @@
 	return s, nil
 }
 
-// restoredEpochGap is by how much a core that is founded anew begins above the epochs of a snapshot: those
-// who are not in it may have promised later ones.
+// restoredEpochGap is by how much a core that is restored begins above the epochs of a snapshot: those who
+// are not in it may have promised later ones.
 const restoredEpochGap = 1 << 20
 
-// Restore makes the store of one machine of a core that is founded anew from a snapshot. All machines named
-// must get the same, and none of the old core may be started again with its old store. The folder must hold
-// no store; the error is a trace.AlreadyExists otherwise.
-func Restore(dir string, s *Snapshot, core []message.Node) error {
-	if len(core) == 0 {
+// Restore makes the store of one member of a core that is restored from a snapshot. All members named must
+// get the same, and none of the old core may be started again with its old store. The folder must hold no
+// store; the error is a trace.AlreadyExists otherwise.
+func Restore(dir string, s *Snapshot, members []message.Node) error {
+	if len(members) == 0 {
 		return trace.BadParameter("a core needs machines")
 	}
-	if _, err := os.Stat(filepath.Join(dir, "vault")); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, storeName)); err == nil {
 		return trace.AlreadyExists("there is a store in this folder: move it away first")
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	core = slices.Clone(core)
-	slices.SortFunc(core, func(a, b message.Node) int { return strings.Compare(a.Addr, b.Addr) })
+	members = slices.Clone(members)
+	slices.SortFunc(members, func(a, b message.Node) int { return strings.Compare(a.Addr, b.Addr) })
 	restored, _, err := Open(dir)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	epoch := s.Epoch + restoredEpochGap
-	for i := range core { // the same on all of them, and of no store before
-		core[i].StoreID = epoch
+	for i := range members { // the same on all of them, and of no store before
+		members[i].StoreID = epoch
 	}
-	err = restored.write(
-		replica.PersistentState{
-			CaughtUp:        true,
-			Members:         core,
-			MembershipEpoch: epoch,
-			PromisedEpoch:   epoch,
-			Epoch:           epoch,
-			Value:           replica.Value{Version: s.Version, Config: []byte(s.Config)},
-		},
-	)
+	err = restored.write(replica.PersistentState{CaughtUp: true, Members: members, MembershipEpoch: epoch,
+		PromisedEpoch: epoch, Epoch: epoch, Value: replica.Value{Version: s.Version, Config: []byte(s.Config)}})
 	return trace.NewAggregate(err, restored.Close(closeTimeout))
 }
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -1,6 +1,6 @@
-// Package vault keeps a frame's record on disk, in a pebble store. Saves are done in order by one goroutine,
-// each synced before it is told as done. A disk that refuses something ends neither the process nor the
-// vault: the save is told as failed, and goes on when the disk is well, before the next.
+// Package storage keeps a replica's state on disk, in a pebble store. Saves are done in order by one
+// goroutine, each synced before it is told as done. A disk that refuses something ends neither the process
+// nor the storage: the save is told as failed, and goes on when the disk is well, before the next.
 package storage
 
 import (
@@ -18,33 +18,34 @@
 )
 
 // errBackingOff tells that a store was given up a moment ago.
-var errBackingOff = errors.New("vault: the store was given up a moment ago")
+var errBackingOff = errors.New("storage: the store was given up a moment ago")
 
-// closeTimeout is how long a store that nobody serves from may take to close.
-const closeTimeout = 10 * time.Second
-
-// Names in the folder: of the store, and of one that was found damaged, until another is.
+// Names in the folder, which stay: of the store, and of one that was found damaged, until another is.
 const (
 	storeName   = "vault"
 	damagedName = "vault.damaged"
 	lockName    = "LOCK" // in the store's folder
 )
 
-// initialBackoff is how long a store that was given up is left alone, the first time: what still runs of it
-// takes memory, a megabyte or two. The time doubles up to backOffMost.
 const (
+	// initialBackoff is how long a store that was given up is left alone, the first time: what still runs of it
+	// takes memory, a megabyte or two. The time doubles up to maxBackoff.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 30 * time.Second
+	// closeTimeout is how long a store that nobody serves from may take to close.
+	closeTimeout = 10 * time.Second
+	// maxQueuedSaves is how many saves may wait before Save blocks.
+	maxQueuedSaves = 256
 )
 
 // Storage is a store that is opened again after what the disk did to it.
 type Storage struct {
 	env          environment
 	dir          string
-	lock         io.Closer
+	lock         io.Closer    // nil: not held
 	store        *pebbleStore // nil: given up
 	backoff      time.Duration
-	backoffUntil time.Time // it is left alone
+	backoffUntil time.Time
 	damaged      error
 	corrupted    bool // what was given up can't be opened again
 	requests     chan saveRequest
@@ -57,21 +58,20 @@
 	onSaved func(ok bool)
 }
 
-// Open opens the store in a folder, and reads the record in it; an empty store gives the zero Record. So does
-// one that is damaged: it is laid aside, see Damaged. A store that can be read and not written gives its
-// record, and saves fail until it can be.
+// Open opens the store in a folder, and reads the state in it; an empty store gives the zero PersistentState.
+// So does one that is damaged: it is set aside, see Damaged. A store that can be read and not written gives
+// its state, and saves fail until it can be.
 func Open(dir string) (*Storage, replica.PersistentState, error) { return open(dir, diskEnvironment) }
 
-func open(dir string, w environment) (*Storage, replica.PersistentState, error) {
-	s := &Storage{env: w, dir: dir, backoff: initialBackoff, requests: make(chan saveRequest, 256),
+func open(dir string, env environment) (*Storage, replica.PersistentState, error) {
+	s := &Storage{env: env, dir: dir, backoff: initialBackoff, requests: make(chan saveRequest, maxQueuedSaves),
 		closing: make(chan struct{}), done: make(chan struct{})}
-	r, err := s.openFirst()
+	state, err := s.openFirst()
 	if err != nil {
-		s.unlockDir()
-		return nil, replica.PersistentState{}, trace.ConvertSystemError(err)
+		return nil, replica.PersistentState{}, trace.ConvertSystemError(errors.Join(err, s.unlockDir()))
 	}
 	go s.run()
-	return s, r, nil
+	return s, state, nil
 }
 
 // openFirst opens the store for the first time.
@@ -105,12 +105,12 @@
 	return replica.PersistentState{}, err
 }
 
-// readOnlyState reads the record of a store that can't be opened for writing now, while one that is being
+// readOnlyState reads the state of a store that can't be opened for writing now, while one that is being
 // opened stands still.
 func (s *Storage) readOnlyState(opening *pebbleStore) (replica.PersistentState, error) {
 	if opening != nil {
-		opening.fence.mu.Lock()
-		defer opening.fence.mu.Unlock()
+		opening.diskGuard.mu.Lock()
+		defer opening.diskGuard.mu.Unlock()
 	}
 	if _, err := s.env.fs.Stat(s.path()); errors.Is(err, fs.ErrNotExist) {
 		return replica.PersistentState{}, nil
@@ -130,7 +130,7 @@
 
 func (s *Storage) path() string { return filepath.Join(s.dir, storeName) }
 
-// Damaged tells why the store that Open found could not be read whole, so that the machine has to be mended
+// Damaged tells why the store that Open found could not be read whole, so that the replica has to be repaired
 // as after the loss of its disk; nil if it could.
 func (s *Storage) Damaged() error { return s.damaged }
 
@@ -146,23 +146,25 @@
 	return err
 }
 
-// isRefusal reports whether an error tells that the disk takes nothing now.
+// isRefusal reports whether an error tells that the disk accepts nothing now.
 func isRefusal(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, syscall.EROFS)
 }
 
-func (s *Storage) unlockDir() {
-	if s.lock != nil {
-		s.lock.Close()
-		s.lock = nil
+func (s *Storage) unlockDir() error {
+	if s.lock == nil {
+		return nil
 	}
+	err := s.lock.Close()
+	s.lock = nil
+	return err
 }
 
-// replaceDamaged lays a damaged store aside, and opens an empty one in its place.
+// replaceDamaged sets a damaged store aside, and opens an empty one in its place.
 func (s *Storage) replaceDamaged() error {
 	disk, aside := s.env.fs, filepath.Join(s.dir, damagedName)
-	s.unlockDir()
+	_ = s.unlockDir() // the lock is of the folder that is set aside
 	if err := disk.RemoveAll(aside); err != nil {
 		return err
 	}
@@ -182,45 +184,52 @@
 	return err
 }
 
-// Save writes a record and syncs it, and then calls then, on the vault's goroutine. After a failed save it is
-// unknown which of the two records is on the disk. It does not block, unless hundreds of saves wait. Those
-// that come once the vault is being closed are told as failed, at once: a machine that was told to stop is
-// asked for its promise up to its end.
-func (s *Storage) Save(r replica.PersistentState, then func(ok bool)) {
+// Save writes a state and syncs it, and then calls onSaved, on the storage's goroutine. After a failed save
+// it is unknown which of the two states is on the disk. It does not block, unless hundreds of saves wait.
+// Those that come once the storage is being closed are told as failed, at once: a replica that was told to
+// stop is asked for its promise up to its end.
+func (s *Storage) Save(state replica.PersistentState, onSaved func(ok bool)) {
 	select {
 	case <-s.closing:
-		then(false)
+		onSaved(false)
 		return
 	default:
 	}
 	select {
-	case s.requests <- saveRequest{r, then}:
+	case s.requests <- saveRequest{state, onSaved}:
 	case <-s.closing:
-		then(false)
+		onSaved(false)
 	}
 }
 
+// run does the saves, until the storage is closed.
 func (s *Storage) run() {
 	defer close(s.done)
 	for {
-		var broken chan struct{}
+		var failed chan struct{}
 		if s.store != nil {
-			broken = s.store.failed
+			failed = s.store.failed
 		}
 		select {
-		case <-broken:
+		case <-failed:
 			s.giveUp()
-		case j := <-s.requests:
-			j.onSaved(s.write(j.state) == nil)
+		case request := <-s.requests:
+			request.onSaved(s.write(request.state) == nil)
 		case <-s.closing:
-			for {
-				select {
-				case j := <-s.requests: // handed in before
-					j.onSaved(s.write(j.state) == nil)
-				default:
-					return
-				}
-			}
+			s.writeQueued()
+			return
+		}
+	}
+}
+
+// writeQueued does the saves that were handed in before the storage was closed.
+func (s *Storage) writeQueued() {
+	for {
+		select {
+		case request := <-s.requests:
+			request.onSaved(s.write(request.state) == nil)
+		default:
+			return
 		}
 	}
 }
@@ -236,11 +245,11 @@
 	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// write writes a record, in order behind what the disk has refused so far.
-func (s *Storage) write(r replica.PersistentState) error {
+// write writes a state, in order behind what the disk has refused so far.
+func (s *Storage) write(state replica.PersistentState) error {
 	err := s.ready()
 	if err == nil {
-		err = s.store.write(r)
+		err = s.store.write(state)
 	}
 	if err != nil && !errors.Is(err, errWriteRefused) && !errors.Is(err, errBackingOff) {
 		s.giveUp()
@@ -249,19 +258,9 @@
 }
 
 // ready waits for the store to be free. One that was given up is opened again; one that is damaged by now is
-// made anew: the record to be saved has all that is to be in it.
+// replaced: the state to be saved has all that is to be in it.
 func (s *Storage) ready() error {
-	var err error
-	switch {
-	case s.store != nil:
-		err = s.store.wait()
-	case s.env.now().Before(s.backoffUntil):
-		return errBackingOff
-	case s.corrupted:
-		err = ErrDamaged
-	default:
-		err = s.reopen()
-	}
+	err := s.awaitStore()
 	if isDamage(err) {
 		if s.store != nil {
 			s.store.giveUp()
@@ -274,26 +273,41 @@
 	return err
 }
 
+func (s *Storage) awaitStore() error {
+	switch {
+	case s.store != nil:
+		return s.store.wait()
+	case s.env.now().Before(s.backoffUntil):
+		return errBackingOff
+	case s.corrupted:
+		return ErrDamaged
+	}
+	return s.reopen()
+}
+
 // Close ends the saves under way and closes the store. A disk that hangs is not waited for longer than the
-// limit.
+// limit: the error is a trace.LimitExceeded then.
 func (s *Storage) Close(limit time.Duration) error {
 	close(s.closing)
 	closed := make(chan error, 1)
 	go func() {
 		<-s.done
-		var err error
-		if s.store != nil {
-			if err = s.store.wait(); err == nil {
-				err = s.store.close()
-			}
-		}
-		s.unlockDir()
-		closed <- err
+		closed <- errors.Join(s.closeStore(), s.unlockDir())
 	}()
 	select {
 	case err := <-closed:
 		return trace.Wrap(err)
 	case <-time.After(limit):
-		return trace.LimitExceeded("vault: the disk does not answer")
+		return trace.LimitExceeded("storage: the disk does not answer")
+	}
+}
+
+func (s *Storage) closeStore() error {
+	if s.store == nil {
+		return nil
+	}
+	if err := s.store.wait(); err != nil {
+		return err
 	}
+	return s.store.close()
 }
