--- a/agentcheck/agentcheck_test.go
+++ b/agentcheck/agentcheck_test.go
@@ -57,11 +57,12 @@
 		report := func() Report { return Report{State: state} }
 		for i, h := range []http.Handler{Health(report), Ready(report)} {
 			w := httptest.NewRecorder()
-			if h.ServeHTTP(w, httptest.NewRequest("GET", "/", nil)); w.Code != want[i] {
+			if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil)); w.Code != want[i] {
 				t.Errorf("state %d, question %d: %d, want %d", state, i, w.Code, want[i])
 			}
 			w = httptest.NewRecorder()
-			if h.ServeHTTP(w, httptest.NewRequest("POST", "/", nil)); w.Code != 405 || w.Header().Get("Allow") == "" {
+			if h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", nil)); w.Code != 405 ||
+				w.Header().Get("Allow") == "" {
 				t.Errorf("POST: %d, Allow %q", w.Code, w.Header().Get("Allow"))
 			}
 		}
--- a/bearer/bearer_test.go
+++ b/bearer/bearer_test.go
@@ -6,6 +6,7 @@
 	"crypto/rand"
 	"crypto/sha256"
 	"encoding/base64"
+	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
@@ -214,10 +215,10 @@
 		"pad alone":    {[]string{"Bearer =="}, 400, ""},
 		"pad in front": {[]string{"Bearer =a"}, 400, ""},
 	} {
-		r := httptest.NewRequest("GET", "https://api.example/pay?x=1", nil)
+		r := httptest.NewRequest(http.MethodGet, "https://api.example/pay?x=1", nil)
 		r.Header["Authorization"] = c.headers
 		s, refusal := Read(r, "")
-		if refusal == nil && (s.URL != "https://api.example/pay" || s.Method != "GET") {
+		if refusal == nil && (s.URL != "https://api.example/pay" || s.Method != http.MethodGet) {
 			t.Errorf("%s: %+v", name, s)
 		}
 		if behind, _ := Read(r, "https://public.example/"); refusal == nil &&
--- a/cmd/dunespoke/allocs_test.go
+++ b/cmd/dunespoke/allocs_test.go
@@ -28,10 +28,10 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		q, _ := http.NewRequest("GET", address, nil)
+		q, _ := http.NewRequest(http.MethodGet, address, nil)
 		q.Header.Set("X-Account", "1")
 		r, err := http.DefaultClient.Do(q)
-		if err != nil || r.StatusCode != 200 {
+		if err != nil || r.StatusCode != http.StatusOK {
 			b.Fatal(err, r)
 		}
 		if got, err := io.Copy(io.Discard, r.Body); got != int64(n) {
--- a/cmd/dunespoke/bodies_test.go
+++ b/cmd/dunespoke/bodies_test.go
@@ -37,7 +37,7 @@
 		peak = max(peak, live[0].Value.Uint64())
 		mu.Unlock()
 		if err != nil {
-			w.WriteHeader(500)
+			w.WriteHeader(http.StatusInternalServerError)
 		} else if n%2 == 0 {
 			w.Header().Set("Content-Length", fmt.Sprint(n))
 		}
@@ -63,7 +63,7 @@
 			if id%2 == 1 {
 				from = io.MultiReader(from) // in chunks
 			}
-			q, _ := http.NewRequest("POST", "http://"+addr+"/withdrawal?account=0000000000000007", from)
+			q, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/withdrawal?account=0000000000000007", from)
 			q.Header = http.Header{"X-Lane": {"withdrawal"}, "X-Txn": {fmt.Sprintf("%016x", id+1)},
 				"X-Contract": {"basic"}, "X-Remaining": {"50"}, "X-Metering": {"units=1,spread=1,first=0"}}
 			r, err := http.DefaultClient.Do(q)
@@ -73,7 +73,7 @@
 			}
 			defer r.Body.Close()
 			n, err := check(r.Body, body)
-			if want := sizes[(id+id%3*3)%len(sizes)]; err != nil || r.StatusCode != 200 || n != want {
+			if want := sizes[(id+id%3*3)%len(sizes)]; err != nil || r.StatusCode != http.StatusOK || n != want {
 				t.Errorf("%d bytes: status %d, %d came, %v", want, r.StatusCode, n, err)
 			}
 		})
--- a/cmd/dunespoke/gateway_slow_test.go
+++ b/cmd/dunespoke/gateway_slow_test.go
@@ -134,7 +134,7 @@
 func TestGatewayFreesServersAtOnce(t *testing.T) {
 	freed := make(chan time.Time, 1)
 	before(t, gatewayConf(), func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == "GET" {
+		if r.Method == http.MethodGet {
 			w.Write(make([]byte, 1024))
 			http.NewResponseController(w).Flush()
 			<-r.Context().Done()
@@ -193,7 +193,7 @@
 			nc, start := dial(), time.Now()
 			io.WriteString(nc, "GET /small HTTP/1.1\r\nHost: h\r\nX-Account: 1\r\n\r\n")
 			r, err := http.ReadResponse(bufio.NewReader(nc), nil)
-			if err != nil || r.StatusCode != 200 || time.Since(start) > 10*time.Millisecond {
+			if err != nil || r.StatusCode != http.StatusOK || time.Since(start) > 10*time.Millisecond {
 				t.Fatalf("%v, %v after %v", err, r, time.Since(start))
 			}
 			nc.Close()
@@ -228,7 +228,7 @@
 			for _, chunked := range []bool{false, true} {
 				body := make([]byte, size)
 				origin.Pattern(body, 0)
-				q, _ := http.NewRequest("POST", "http://ingress/withdraw", bytes.NewReader(body))
+				q, _ := http.NewRequest(http.MethodPost, "http://ingress/withdraw", bytes.NewReader(body))
 				q.Header.Set("X-Account", "1")
 				if chunked {
 					q.ContentLength, q.TransferEncoding = -1, []string{"chunked"}
@@ -239,7 +239,7 @@
 				}
 				got, err := io.ReadAll(r.Body)
 				r.Body.Close()
-				if err != nil || !bytes.Equal(got, body) || r.StatusCode != 200 {
+				if err != nil || !bytes.Equal(got, body) || r.StatusCode != http.StatusOK {
 					t.Errorf("%d bytes, chunked %v: %d, %d came, %v", size, chunked, r.StatusCode, len(got), err)
 				}
 				time.Sleep(10 * time.Millisecond)
--- a/cmd/dunespoke/gateway_test.go
+++ b/cmd/dunespoke/gateway_test.go
@@ -509,11 +509,11 @@
 		address := gatewayOn(t, app, func(g *config.Gateway) {
 			g.Trust = []netip.Prefix{netip.MustParsePrefix(trusted)}
 		})
-		q, _ := http.NewRequest("GET", "http://"+address+"/", nil)
+		q, _ := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
 		q.Host, q.Header = "h", http.Header{"X-Account": {"1"}, "X-Forwarded-For": {"192.0.2.1"},
 			"Forwarded": {"for=192.0.2.1"}}
 		r, err := http.DefaultClient.Do(q)
-		if err != nil || r.StatusCode != 200 {
+		if err != nil || r.StatusCode != http.StatusOK {
 			t.Fatal(err, r)
 		}
 		r.Body.Close()
--- a/cmd/dunespoke/live_test.go
+++ b/cmd/dunespoke/live_test.go
@@ -196,7 +196,7 @@
 
 // ask asks about a token and returns the status and the body.
 func (l *live) ask(token string) (int, string, error) {
-	r, err := http.NewRequest("POST", "https://"+l.addr+"/introspect",
+	r, err := http.NewRequest(http.MethodPost, "https://"+l.addr+"/introspect",
 		strings.NewReader(url.Values{"token": {token}}.Encode()))
 	if err != nil {
 		return 0, "", err
--- a/core/bans_test.go
+++ b/core/bans_test.go
@@ -20,8 +20,10 @@
 		if b.ban("never", true) {
 			t.Error("a server never listed was banned")
 		}
-		if !b.ban("s", true) || !b.ban("s", true) { // calls out may be repeated
-			t.Fatal("a listed server was not banned")
+		for call := range 2 { // calls out may be repeated
+			if !b.ban("s", true) {
+				t.Fatalf("call %d: a listed server was not banned", call+1)
+			}
 		}
 		b.ask("read", time.Second)
 		time.Sleep(2 * time.Second)
--- a/fleet/common/machine.go
+++ b/fleet/common/machine.go
@@ -83,7 +83,6 @@
 	kept     *Record // see reserve
 	group    *group  // nil until this member has a part in one
 	lastBeat time.Duration
-	reads    uint64
 	replaced time.Duration
 	pending  map[string]*proposal
 	asked    time.Duration // when this member began to found; 0: it does not
--- a/front/introspect/bearer_test.go
+++ b/front/introspect/bearer_test.go
@@ -63,7 +63,7 @@
 			{"/pay", "Bearer weak", 401}, {"/pay", "Bearer over", 401}, {"/other", "Bearer over", 401},
 			{"/pay", "Bearer bound", 401}, {"/pay", "DPoP good", 401}, {"/pay", "", 401}, {"/pay", "Basic YTpi", 400},
 			{"/pay", "Bearer a b", 400}} {
-			req := httptest.NewRequest("POST", "http://h"+c.path, nil)
+			req := httptest.NewRequest(http.MethodPost, "http://h"+c.path, nil)
 			if c.header != "" {
 				req.Header.Set("Authorization", c.header)
 			}
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	req := httptest.NewRequest("GET", "http://h/", nil)
+	req := httptest.NewRequest(http.MethodGet, "http://h/", nil)
 	req.Header.Set("Authorization", "Bearer x")
 	w := httptest.NewRecorder()
 	guard.Middleware(http.NotFoundHandler()).ServeHTTP(w, req)
--- a/front/introspect/clients.go
+++ b/front/introspect/clients.go
@@ -121,7 +121,6 @@
 	errNotItsWay  = errors.New("the client is set up with another way of authentication")
 	errNoCert     = errors.New("a certificate of the client is needed")
 	errWrongCert  = errors.New("the certificate is not the client's")
-	errManyShown  = errors.New("a parameter came twice")
 	errOtherShown = errors.New("client_id is not the assertion's")
 )
 
--- a/front/introspect/clients_test.go
+++ b/front/introspect/clients_test.go
@@ -294,7 +294,7 @@
 // get reads what the front tells of itself.
 func (r *rig) get(path string, into any) {
 	r.t.Helper()
-	req, err := http.NewRequest("GET", "http://h"+path, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://h"+path, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/front/introspect/desk_test.go
+++ b/front/introspect/desk_test.go
@@ -54,7 +54,7 @@
 		return never{}
 	}
 	return never{time.AfterFunc(after, func() {
-		a.End(Judge(&http1.Response{Response: &http.Response{StatusCode: 200}, Content: []byte(text)}))
+		a.End(Judge(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK}, Content: []byte(text)}))
 	})}
 }
 
@@ -156,7 +156,7 @@
 // send asks by a form and whatever else is done to the request.
 func (r *rig) send(form url.Values, with func(*http.Request)) *asked {
 	body := form.Encode()
-	req, err := http.NewRequest("POST", "http://h/introspect", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://h/introspect", strings.NewReader(body))
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/front/platform/judge.go
+++ b/front/platform/judge.go
@@ -42,9 +42,10 @@
 func (j Judge) read(r *http.Response) core.Result {
 	result := core.Result{Code: choice.Error, Load: j.load(r.Header)}
 	switch {
-	case r.StatusCode == 200:
+	case r.StatusCode == http.StatusOK:
 		result.Code, result.Units = choice.OK, j.settled(r.Header)
-	case (r.StatusCode == 503 || r.StatusCode == 504) && r.Header.Get("X-Turned-Away") == "1":
+	case (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
+		r.Header.Get("X-Turned-Away") == "1":
 		result.Code = choice.Busy
 	}
 	return result
--- a/front/platform/judge_test.go
+++ b/front/platform/judge_test.go
@@ -26,13 +26,13 @@
 		{nil, nil, nil, 0},
 	} {
 		h := http.Header{"X-Pressure": c.pressure, "X-Settled": c.settled}
-		got := j.Whole(&http1.Response{Response: &http.Response{StatusCode: 200, Header: h}})
+		got := j.Whole(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK, Header: h}})
 		if got.Code != choice.OK || !slices.Equal(got.Load, c.load) || got.Units != c.units {
 			t.Errorf("%q, %q: load %v, units %v", c.pressure, c.settled, got.Load, got.Units)
 		}
 	}
 	busy := http.Header{"X-Turned-Away": {"1"}, "X-Pressure": {"outstanding=9,backlog=30"}, "X-Settled": {"2"}}
-	got := j.Head(&http.Response{StatusCode: 503, Header: busy})
+	got := j.Head(&http.Response{StatusCode: http.StatusServiceUnavailable, Header: busy})
 	if got.Code != choice.Busy || !slices.Equal(got.Load, []float64{9, 30}) || got.Units != 0 {
 		t.Errorf("turned away: %+v", got)
 	}
@@ -45,7 +45,7 @@
 	j := Judge{Fields: []string{"outstanding", "backlog"}, Units: 8}
 	f.Fuzz(func(t *testing.T, pressure, settled string) {
 		h := http.Header{"X-Pressure": {pressure}, "X-Settled": {settled}}
-		got := j.Head(&http.Response{StatusCode: 200, Header: h})
+		got := j.Head(&http.Response{StatusCode: http.StatusOK, Header: h})
 		if got.Units < 0 || got.Units > 8 || len(got.Load) != 0 && len(got.Load) != 2 {
 			t.Errorf("%q, %q: %+v", pressure, settled, got)
 		}
--- a/internal/flights/flights_test.go
+++ b/internal/flights/flights_test.go
@@ -10,8 +10,10 @@
 			t.Fatalf("asker %d got no place", i)
 		}
 	}
-	if g.Leave(f, 0) || g.Leave(f, 0) {
-		t.Error("the leader took the flight along")
+	for call := range 2 { // who has left may leave again
+		if g.Leave(f, 0) {
+			t.Errorf("call %d: the leader took the flight along", call+1)
+		}
 	}
 	got := map[int]bool{}
 	for _, a := range g.End(f) {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"net/http"
 	"strings"
 	"testing"
 )
@@ -90,7 +91,8 @@
 func TestAnswerReadsBack(t *testing.T) {
 	a := Answer{Status: 429, Header: [][2]string{{"Retry-After", "0.250"}}, Body: []byte("later")}
 	r, err := new(Parser).Response(a.Append(nil, true))
-	if err != nil || r.StatusCode != 429 || !r.Close || r.Header.Get("Retry-After") != "0.250" ||
+	if err != nil || r.StatusCode != http.StatusTooManyRequests || !r.Close ||
+		r.Header.Get("Retry-After") != "0.250" ||
 		string(r.Content) != "later" {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -33,7 +33,7 @@
 		switch {
 		case err != nil:
 			return false, bad(502, "malformed")
-		case r.StatusCode != 200:
+		case r.StatusCode != http.StatusOK:
 			return false, bad(r.StatusCode, "status")
 		case len(r.TransferEncoding) == 0:
 			return false, bad(502, "not-chunked")
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -379,7 +379,7 @@
 	r.mu.Lock()
 	addr := r.doors[from][a].addr
 	r.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+addr+"/healthz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/healthz", nil)
 	if err != nil {
 		return false
 	}
--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -10,6 +10,7 @@
 	"io"
 	"math"
 	"net"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
@@ -331,14 +332,14 @@
 		defer n.end("counter-moved")
 	}
 	switch r.StatusCode {
-	case 200:
+	case http.StatusOK:
 		total, ok := readTotal(r.Content)
 		if !ok { // it has been added all the same, and must not be added again
 			c.done(choice.Reset, 0)
 			return false
 		}
 		c.done(choice.OK, total)
-	case 503:
+	case http.StatusServiceUnavailable:
 		c.done(choice.Busy, 0)
 	default:
 		n.lane.log.Warn().Str("code", "counter-rejects").Int("status", r.StatusCode).Str("name", c.name).
--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -268,7 +268,7 @@
 		switch {
 		case err != nil:
 			return fmt.Errorf("reading the list: %w", err)
-		case r.StatusCode != 200:
+		case r.StatusCode != http.StatusOK:
 			return &http1.Error{Status: r.StatusCode, Reason: "status"}
 		}
 		var l List
--- a/internal/net/keyset/keyset_test.go
+++ b/internal/net/keyset/keyset_test.go
@@ -44,12 +44,15 @@
 		t.Fatalf("%v, %v", s.Keys(), err)
 	}
 	for name, bad := range map[string]http.HandlerFunc{
-		"an error":  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) },
+		"an error":  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 		"malformed": func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("{")) },
 		"no keys":   func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(`{"keys":[]}`)) },
 		"too large": func(w http.ResponseWriter, _ *http.Request) { w.Write(make([]byte, mostBytes+1)) },
-		"elsewhere": func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, "/other", 302) },
-		"nothing":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"elsewhere": func(w http.ResponseWriter, r *http.Request) {
+			http.Redirect(w, r, "/other",
+				http.StatusFound)
+		},
+		"nothing": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		answer.Store(bad)
 		if err := s.read(t.Context()); err == nil || len(s.Keys()) != 1 {
--- a/middleware/bearer_test.go
+++ b/middleware/bearer_test.go
@@ -46,7 +46,7 @@
 		fmt.Fprint(w, "paid by ", claims.Subject)
 	}))
 	for _, token := range []string{"payer", "reader", "nobody"} {
-		r := httptest.NewRequest("POST", "/pay", nil)
+		r := httptest.NewRequest(http.MethodPost, "/pay", nil)
 		r.Header.Set("Authorization", "Bearer "+token)
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
@@ -77,7 +77,7 @@
 		c.String(http.StatusOK, claims.Subject)
 	})
 	for token, want := range map[string]int{"reader": 200, "nobody": 401} {
-		r := httptest.NewRequest("GET", "/", nil)
+		r := httptest.NewRequest(http.MethodGet, "/", nil)
 		r.Header.Set("Authorization", "Bearer "+token)
 		w := httptest.NewRecorder()
 		router.ServeHTTP(w, r)
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -31,7 +31,7 @@
 	}))
 	for range 3 {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("GET", "/accounts", nil))
+		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/accounts", nil))
 		fmt.Printf("%d %q\n", w.Code, w.Header().Get("Retry-After"))
 	}
 	// Output:
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -79,12 +79,12 @@
 	bothWays(t, 3, echo, func(t *testing.T, h http.Handler) {
 		runs = 0
 		for range 3 {
-			w := ask(h, httptest.NewRequest("POST", "/", strings.NewReader("hi")))
+			w := ask(h, httptest.NewRequest(http.MethodPost, "/", strings.NewReader("hi")))
 			if w.Code != 201 || w.Body.String() != "got hi" || w.Header().Get("X-Own") != "yes" {
 				t.Fatalf("%d %q %v", w.Code, w.Body, w.Header())
 			}
 		}
-		w := ask(h, httptest.NewRequest("POST", "/", strings.NewReader("hi")))
+		w := ask(h, httptest.NewRequest(http.MethodPost, "/", strings.NewReader("hi")))
 		if w.Code != 429 || w.Header().Get("Retry-After") != "5" || runs != 3 {
 			t.Errorf("%d, Retry-After %q, %d runs", w.Code, w.Header().Get("Retry-After"), runs)
 		}
@@ -100,7 +100,7 @@
 	bothWays(t, 9, heeds, func(t *testing.T, h http.Handler) {
 		start, answered := time.Now(), time.Duration(0)
 		w := &watched{httptest.NewRecorder(), func() { answered = time.Since(start) }}
-		h.ServeHTTP(w, httptest.NewRequest("GET", "/", nil))
+		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 		if answered != 2*time.Second || w.Code != 429 || strings.Contains(w.Body.String(), "too late") {
 			t.Errorf("%d %q after %v", w.Code, w.Body, answered)
 		}
@@ -119,7 +119,7 @@
 	panics := func(http.ResponseWriter, *http.Request) { panic("oops") }
 	bothWays(t, 9, panics, func(t *testing.T, h http.Handler) {
 		for range 2 {
-			if w := ask(h, httptest.NewRequest("GET", "/", nil)); w.Code != 429 && w.Code != 502 {
+			if w := ask(h, httptest.NewRequest(http.MethodGet, "/", nil)); w.Code != 429 && w.Code != 502 {
 				t.Errorf("%d %q", w.Code, w.Body)
 			}
 		}
@@ -136,7 +136,7 @@
 		ended = false
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, leave)
-		ask(h, httptest.NewRequest("GET", "/", nil).WithContext(ctx))
+		ask(h, httptest.NewRequest(http.MethodGet, "/", nil).WithContext(ctx))
 		synctest.Wait()
 		if !ended {
 			t.Error("the run goes on")
@@ -147,11 +147,11 @@
 func TestBadRequestsDoNotRun(t *testing.T) {
 	fails := func(http.ResponseWriter, *http.Request) { t.Error("it ran") }
 	bothWays(t, 9, fails, func(t *testing.T, h http.Handler) {
-		if w := ask(h, httptest.NewRequest("GET", "/odd", nil)); w.Code != 400 {
+		if w := ask(h, httptest.NewRequest(http.MethodGet, "/odd", nil)); w.Code != 400 {
 			t.Errorf("odd: %d", w.Code)
 		}
 		body := strings.NewReader(strings.Repeat("x", 101))
-		if w := ask(h, httptest.NewRequest("POST", "/", body)); w.Code != 413 {
+		if w := ask(h, httptest.NewRequest(http.MethodPost, "/", body)); w.Code != 413 {
 			t.Errorf("too large: %d", w.Code)
 		}
 	})
--- a/middleware/stream_test.go
+++ b/middleware/stream_test.go
@@ -62,7 +62,7 @@
 	streaming(t, echo, func(t *testing.T, h http.Handler) {
 		next = make(chan struct{})
 		reader, writer := io.Pipe()
-		w, wait := begin(h, httptest.NewRequest("PUT", "/", reader))
+		w, wait := begin(h, httptest.NewRequest(http.MethodPut, "/", reader))
 		for range 5 {
 			time.Sleep(time.Second)
 			io.WriteString(writer, "x")
@@ -91,15 +91,15 @@
 		panic("broken")
 	}
 	streaming(t, breaks, func(t *testing.T, h http.Handler) {
-		_, wait := begin(h, httptest.NewRequest("GET", "/late", nil))
+		_, wait := begin(h, httptest.NewRequest(http.MethodGet, "/late", nil))
 		if p := wait(); p != http.ErrAbortHandler {
 			t.Errorf("after the head: %v", p)
 		}
-		w, wait := begin(h, httptest.NewRequest("GET", "/early", nil))
+		w, wait := begin(h, httptest.NewRequest(http.MethodGet, "/early", nil))
 		if p := wait(); p != nil || w.Code != 429 {
 			t.Errorf("before the head: %v, %d", p, w.Code)
 		}
-		w, wait = begin(h, httptest.NewRequest("PUT", "/early", strings.NewReader("x")))
+		w, wait = begin(h, httptest.NewRequest(http.MethodPut, "/early", strings.NewReader("x")))
 		if p := wait(); p != nil || w.Code != 502 {
 			t.Errorf("before the head of an upload's answer: %v, %d", p, w.Code)
 		}
@@ -115,7 +115,7 @@
 	}
 	streaming(t, silent, func(t *testing.T, h http.Handler) {
 		start := time.Now()
-		w, wait := begin(h, httptest.NewRequest("PUT", "/", strings.NewReader("x")))
+		w, wait := begin(h, httptest.NewRequest(http.MethodPut, "/", strings.NewReader("x")))
 		wait()
 		if took := time.Since(start); w.Code != 502 || took != 2*time.Second {
 			t.Errorf("%d after %v: %q", w.Code, took, w.Body)
@@ -129,11 +129,11 @@
 		ctx, leave := context.WithCancel(t.Context())
 		var waits []func() any
 		for range 2 {
-			_, wait := begin(h, httptest.NewRequest("GET", "/", nil).WithContext(ctx))
+			_, wait := begin(h, httptest.NewRequest(http.MethodGet, "/", nil).WithContext(ctx))
 			waits = append(waits, wait)
 		}
 		synctest.Wait()
-		w, wait := begin(h, httptest.NewRequest("GET", "/", nil))
+		w, wait := begin(h, httptest.NewRequest(http.MethodGet, "/", nil))
 		wait()
 		if w.Code != 503 || w.Header().Get("Retry-After") != "1" {
 			t.Errorf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
