--- a/cmd/dunespoke-lab/cluster.go
+++ b/cmd/dunespoke-lab/cluster.go
@@ -9,7 +9,7 @@
 	"dunespoke/internal/controlplane/simulation"
 )
 
-type exchangeCommand struct {
+type clusterCommand struct {
 	Zones   int           `help:"Zones." default:"3"`
 	Disks   int           `help:"Machines with a disk in each." default:"1"`
 	Others  int           `help:"And without." default:"4"`
@@ -20,9 +20,9 @@
 	Case    string        `help:"What happens as a change is sent; a wrong one lists all." default:"calm"`
 }
 
-// exchangeCases are what can happen to an exchange, to its chain's head, middle or tail where one is named. A
+// clusterCases are what can happen to a cluster, to its chain's head, middle or tail where one is named. A
 // machine that can't hear of the change meanwhile is returned.
-var exchangeCases = map[string]func(x *simulation.Cluster, chain []*simulation.Machine) *simulation.Machine{
+var clusterCases = map[string]func(x *simulation.Cluster, chain []*simulation.Machine) *simulation.Machine{
 	"calm": func(*simulation.Cluster, []*simulation.Machine) *simulation.Machine { return nil },
 	"head-killed": func(_ *simulation.Cluster, c []*simulation.Machine) *simulation.Machine {
 		c[0].Kill()
@@ -63,10 +63,10 @@
 	},
 }
 
-// Run plays exchanges in virtual time and prints how long changes take, and what they cost.
-func (c *exchangeCommand) Run() error {
-	if exchangeCases[c.Case] == nil {
-		return fmt.Errorf("--case %s: want one of %v", c.Case, slices.Sorted(maps.Keys(exchangeCases)))
+// Run plays clusters in virtual time and prints how long changes take, and what they cost.
+func (c *clusterCommand) Run() error {
+	if clusterCases[c.Case] == nil {
+		return fmt.Errorf("--case %s: want one of %v", c.Case, slices.Sorted(maps.Keys(clusterCases)))
 	}
 	var acked, heard, whole []float64
 	var messages, bytes, calm float64
@@ -88,7 +88,7 @@
 		for _, addr := range x.Chain() {
 			chain = append(chain, x.At(addr))
 		}
-		deaf := exchangeCases[c.Case](x, chain)
+		deaf := clusterCases[c.Case](x, chain)
 		all := func() bool {
 			return !slices.ContainsFunc(x.Machines, func(m *simulation.Machine) bool {
 				return m != deaf && m.Version() != 100
--- a/cmd/dunespoke-lab/main.go
+++ b/cmd/dunespoke-lab/main.go
@@ -35,8 +35,8 @@
 	Transfers transfersCommand `cmd:"" help:"Make transfers of unlike speeds, all at once."`
 	Streaming streamingCommand `cmd:"" help:"Measure the streaming front beside ReverseProxy."`
 	Payday    paydayCommand    `cmd:"" help:"Measure introspection on a payday."`
-	Exchange  exchangeCommand  `cmd:"" help:"Time changes of the configuration in virtual time, with faults."`
-	Scale     scaleCommand     `cmd:"" help:"Measure how what control costs grows with the size of an exchange."`
+	Cluster   clusterCommand   `cmd:"" aliases:"exchange" help:"Time changes of the configuration, with faults."`
+	Scale     scaleCommand     `cmd:"" help:"Measure how what control costs grows with the size of a cluster."`
 	Decide    decideCommand    `cmd:"" help:"Time decisions in common in virtual time, at large size."`
 	Fleet     fleetCommand     `cmd:"" help:"Play a fleet of the program, with faults between processes."`
 }
--- a/cmd/dunespoke-lab/scale.go
+++ b/cmd/dunespoke-lab/scale.go
@@ -21,11 +21,11 @@
 
 type scaleCommand struct {
 	Only      []string      `help:"What is measured." default:"rehearsal,single,lines"`
-	Machines  []int         `help:"Sizes of exchanges in virtual time." default:"15,84,300,1000"`
+	Machines  []int         `help:"Sizes of clusters in virtual time." default:"15,84,300,1000"`
 	Core      int           `help:"Machines with a disk in these." default:"7"`
 	Part      float64       `help:"Of the whole routes, services and servers in these." default:"0.1"`
 	Parts     []float64     `help:"With --beside machines, and for single operations." default:"0.01,0.1,0.3,1"`
-	Beside    int           `help:"Machines of the exchanges whose lists grow." default:"84"`
+	Beside    int           `help:"Machines of the clusters whose lists grow." default:"84"`
 	Routes    int           `help:"The whole." default:"14000"`
 	Services  int           `help:"The whole." default:"830"`
 	Servers   int           `help:"The whole." default:"47000"`
--- a/internal/controlplane/api/api_test.go
+++ b/internal/controlplane/api/api_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// Given a desk with as many calls open as it takes, when one more comes, then it is told when to come back;
+// Given a API with as many calls open as it takes, when one more comes, then it is told when to come back;
 // checks whether clients should come are answered all the same.
 func TestCallsAreBounded(t *testing.T) {
 	d := &Handler{
--- a/internal/controlplane/replica/fault_tolerance_test.go
+++ b/internal/controlplane/replica/fault_tolerance_test.go
@@ -68,10 +68,10 @@
 			}
 		}
 	}
-	return len(members(all, chain)) >= majority(all)
+	return len(membersIn(all, chain)) >= majority(all)
 }
 
-// bears reports whether a set of members serves after every permitted loss.
+// tolerates reports whether a set of members serves after every permitted loss.
 func bears(t FaultTolerance, all []message.Node, well int) bool {
 	for _, k := range t.domainKinds() {
 		for _, lost := range losses(all, k.lost, k.of) {
@@ -83,7 +83,7 @@
 	return true
 }
 
-func members(all []message.Node, set int) (list []message.Node) {
+func membersIn(all []message.Node, set int) (list []message.Node) {
 	for i, m := range all {
 		if set>>i&1 == 1 {
 			list = append(list, m)
@@ -92,15 +92,15 @@
 	return list
 }
 
-// Given all small registries and what may be lost, when any members are well, then whether they may serve,
-// whether they bear what may be lost, and how many machines are to spare, is what going through all says.
+// Given all small memberships and what may be lost, when any members are well, then whether they may serve,
+// whether they tolerate what may be lost, and how many machines are to spare, is what going through all says.
 func TestWhatMembersBearIsWhatEveryLossSays(t *testing.T) {
 	small(5, func(o FaultTolerance, all []message.Node) {
 		for well := range 1 << len(all) {
-			list := members(all, well)
+			list := membersIn(all, well)
 			spare := -1
 			for _, lost := range losses(all, len(all), func(m message.Node) string { return m.Addr }) {
-				n := len(members(all, lost))
+				n := len(membersIn(all, lost))
 				if lost&^well == 0 && (spare < 0 || n <= spare) && !serves(o, all, well&^lost) {
 					spare = n - 1
 				}
@@ -119,13 +119,13 @@
 	})
 }
 
-// Given all small sets of machines, when a core is named of them, or grows by them, then it bears what may be
-// lost wherever some of them do.
+// Given all small sets of machines, when a core is named of them, or grows by them, then it tolerates what
+// may be lost wherever some of them do.
 func TestACoreIsFoundWhereThereIsOne(t *testing.T) {
 	small(7, func(o FaultTolerance, all []message.Node) {
 		some := false
 		for set := 1; set < 1<<len(all) && !some; set++ {
-			list := members(all, set)
+			list := membersIn(all, set)
 			some = o.shortfall(list) == 0
 		}
 		core, ok := o.bootstrapMembers(all)
@@ -138,30 +138,30 @@
 	})
 }
 
-// Given a registry and any machines that would be members, when one after another is taken in, then less is
+// Given a membership and any machines that would be members, when one after another is taken in, then less is
 // missing in the end wherever any of them mend that, and none is taken in, or in a member's place, for
 // nothing.
 func TestMembersComeWhereTheyHelp(t *testing.T) {
 	small(5, func(o FaultTolerance, all []message.Node) {
 		for set := 1; set < 1<<len(all); set++ {
-			registry, fresh := members(all, set), members(all, 1<<len(all)-1&^set)
+			members, fresh := membersIn(all, set), membersIn(all, 1<<len(all)-1&^set)
 			grows, swaps, sheds := false, false, false
 			for some := range 1 << len(fresh) {
-				come := members(fresh, some)
-				grows = grows || o.shortfall(slices.Concat(registry, come)) < o.shortfall(registry)
-				for stay := range 1 << len(registry) {
-					next := slices.Concat(members(registry, stay), come)
-					swaps = swaps || len(next) == len(registry) && o.shortfall(next) < o.shortfall(registry)
-					sheds = sheds || some == 0 && len(next) > 2*o.Machines && o.shortfall(next) < o.shortfall(registry)
+				come := membersIn(fresh, some)
+				grows = grows || o.shortfall(slices.Concat(members, come)) < o.shortfall(members)
+				for stay := range 1 << len(members) {
+					next := slices.Concat(membersIn(members, stay), come)
+					swaps = swaps || len(next) == len(members) && o.shortfall(next) < o.shortfall(members)
+					sheds = sheds || some == 0 && len(next) > 2*o.Machines && o.shortfall(next) < o.shortfall(members)
 				}
 			}
-			few := len(registry) < 2*o.Machines+1 && len(fresh) > 0
-			old, _, got := o.improvement(registry, fresh)
-			if (o.bestRemoval(registry) != "") != sheds {
-				t.Fatalf("%+v: %v sheds %q: %v", o, registry, o.bestRemoval(registry), sheds)
+			few := len(members) < 2*o.Machines+1 && len(fresh) > 0
+			old, _, got := o.improvement(members, fresh)
+			if (o.bestRemoval(members) != "") != sheds {
+				t.Fatalf("%+v: %v sheds %q: %v", o, members, o.bestRemoval(members), sheds)
 			}
 			if want := grows || swaps || few; got != want || got && (old != "") != (!grows && !few) {
-				t.Fatalf("%+v: %v by %v: %v %q, grows %v, swaps %v", o, registry, fresh, got, old, grows, swaps)
+				t.Fatalf("%+v: %v by %v: %v %q, grows %v, swaps %v", o, members, fresh, got, old, grows, swaps)
 			}
 		}
 	})
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -8,7 +8,7 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// Given a change of members that only the newcomer has on its disk, and a member that has heard of it and is
+// Given a change of members that only the learner has on its disk, and a member that has heard of it and is
 // in touch in the view before for some moments more, when a machine that has just started asks that one for
 // news, then it is not told that the change is complete, and tells it to nobody: no second core comes of it.
 // A member that tells it so is found.
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -12,8 +12,8 @@
 )
 
 // gateway asks every machine of the core for tokens all the time, each under the epoch that this one knows,
-// and holds their grants to one keeper at a time.
-type ingress struct {
+// and holds their grants to one allocator at a time.
+type allocatorProbe struct {
 	s     *story
 	calls uint64
 	epoch uint64        // newest under which tokens were given
@@ -23,8 +23,8 @@
 }
 
 // asking begins to ask.
-func (s *story) asking() *ingress {
-	g := &ingress{s: s, last: s.Now}
+func (s *story) asking() *allocatorProbe {
+	g := &allocatorProbe{s: s, last: s.Now}
 	s.Observe = func(from *Machine, _ string, m *message.Message) {
 		if grant, ok := m.Body.(*message.TokenGrant); ok && grant.OK {
 			g.granted(from, grant.Epoch)
@@ -47,7 +47,7 @@
 	return g
 }
 
-func (g *ingress) granted(from *Machine, epoch uint64) {
+func (g *allocatorProbe) granted(from *Machine, epoch uint64) {
 	if epoch < g.epoch {
 		g.twice = append(g.twice, fmt.Sprintf("%v: %s gives under %d, another gave under %d", g.s.Now-time.Hour,
 			from.Name, epoch, g.epoch))
@@ -56,7 +56,7 @@
 	g.epoch, g.pause, g.last = epoch, max(g.pause, g.s.Now-g.last), g.s.Now
 }
 
-// keeper is the machine that is the allocator; nil: none does.
+// allocator is the machine that is the allocator; nil: none does.
 func (c *Cluster) keeper() *Machine {
 	return c.At(replica.RoleHolder(c.Chain(), replica.QuotaAllocator))
 }
@@ -88,9 +88,9 @@
 	return all[(slices.Index(all, m)+1)%len(all)]
 }
 
-// keepers draws a history in which machines of the core, mostly the one that is the allocator, get into
+// allocators draws a history in which machines of the core, mostly the one that is the allocator, get into
 // trouble, some in the middle of a change of the view, and returns the gateway that asked all the while.
-func keepers(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *ingress {
+func allocators(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *allocatorProbe {
 	survive := 1 + int(seed%2)
 	s := &story{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: seed}), t, 0}
@@ -122,15 +122,15 @@
 
 // Given any troubles of machines of the core, when all of them are asked for tokens all the while, then once
 // one has given some in a view, none gives any in an earlier one. Where all say at once that no earlier
-// keeper has a lease, some do.
+// allocator has a lease, some do.
 func TestTwoNeverKeepTheCounts(t *testing.T) {
 	t.Parallel()
 	found := 0
 	for seed := range uint64(16) {
-		if g := keepers(t, seed, nil); len(g.twice) > 0 {
+		if g := allocators(t, seed, nil); len(g.twice) > 0 {
 			t.Errorf("seed %d: %d grants, the first: %s", seed, len(g.twice), g.twice[0])
 		}
-		g := keepers(t, seed, func(_ *Machine, m *message.Message) {
+		g := allocators(t, seed, func(_ *Machine, m *message.Message) {
 			if h, ok := m.Body.(*message.Heartbeat); ok {
 				h.OldLeasesExpired = true
 			}
@@ -143,7 +143,7 @@
 }
 
 // Given a machine that is the allocator, when it is killed, stopped beside a spare, or another one goes, then
-// there is a keeper again as soon as there is a view without it: nobody waits for a lease.
+// there is a allocator again as soon as there is a view without it: nobody waits for a lease.
 func TestNoLeaseIsAwaitedOfWhoIsGoneOrTookPart(t *testing.T) {
 	for place := range 3 {
 		s := given(t, 1)
@@ -169,8 +169,8 @@
 }
 
 // Given a core whose processes are all killed, when two of them are back and make a view, and the third comes
-// as that is being made, then tokens are given soon after it has answered in the view: no earlier life of
-// it can give any.
+// as that is being made, then tokens are given soon after it has answered in the view: no earlier incarnation
+// of it can give any.
 func TestNoLeaseIsAwaitedOfWhoHasAnsweredInTheView(t *testing.T) {
 	s := given(t, 1)
 	g := s.asking()
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -14,14 +14,14 @@
 	"dunespoke/internal/events"
 )
 
-// domains are exchanges that are to outlive the loss of a zone, and of a region.
+// domains are clusters that are to outlive the loss of a zone, and of a region.
 var domains = map[string]Options{
 	"zones": {Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, SurviveZones: 1},
 	"regions": {Zones: 6, ReplicasPerZone: 1, SurviveMachines: 1, SurviveZones: 1, SurviveRegions: 1,
 		ZonesPerRegion: 2},
 }
 
-// founded starts an exchange, and waits until what may be lost can be tolerated.
+// founded starts a cluster, and waits until what may be lost can be tolerated.
 func founded(t *testing.T, o Options) *story {
 	t.Helper()
 	s := &story{New(o), t, 0}
@@ -31,8 +31,8 @@
 	return s
 }
 
-// disksIn returns the machines with a disk in some zones.
-func (s *story) disksIn(zones ...string) []*Machine {
+// replicasIn returns the machines with a disk in some zones.
+func (s *story) replicasIn(zones ...string) []*Machine {
 	return slices.DeleteFunc(s.Replicas(), func(m *Machine) bool { return !slices.Contains(zones, m.node.Zone) })
 }
 
@@ -57,7 +57,7 @@
 					region := (first + i) % 3
 					zones = []string{fmt.Sprintf("z%d", 2*region+1), fmt.Sprintf("z%d", 2*region+2)}
 				}
-				lost := s.disksIn(zones...)
+				lost := s.replicasIn(zones...)
 				s.change(s.Machines[len(s.Machines)-1])
 				lose(lost)
 				what := fmt.Sprintf("%s, %v, loss %d", name, zones, i+1)
@@ -76,8 +76,8 @@
 }
 
 // Given any history of machines, zones and regions that are lost, each at the very moment from which that can
-// be borne, then all that operators hear is what one register would say, and the core is whole in the end. A
-// program that counts machines alone says too early that it can be tolerated, and is found.
+// be tolerated, then all that operators hear is what one register would say, and the core is whole in the
+// end. A program that counts machines alone says too early that it can be tolerated, and is found.
 func TestDrawnHistoriesOfDomains(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(17)
@@ -133,7 +133,7 @@
 				t.Error("it is not acknowledged either once the other zone is back")
 			}
 		}
-		lose(s.disksIn("z1"))
+		lose(s.replicasIn("z1"))
 		return acked, away.stored.Version == 5, log
 	}
 	acked, kept, log := play(false)
@@ -175,13 +175,13 @@
 		t.Errorf("members %v, borne %v", s.Members(), s.Tolerant())
 	}
 	s.change(s.Machine("z1-5"))
-	lose(s.disksIn("z1"))
+	lose(s.replicasIn("z1"))
 	s.change(s.Machine("z3-1"))
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
 	s = play(true)
-	lose(s.disksIn("z1"))
+	lose(s.replicasIn("z1"))
 	if _, ok := s.PutUntilAcknowledged(s.Machine("z3-1"), 3, 4*time.Second); ok {
 		t.Error("the seeded defect is not found")
 	}
--- a/internal/controlplane/simulation/membership.go
+++ b/internal/controlplane/simulation/membership.go
@@ -18,7 +18,7 @@
 // membershipHistory are all that were written on disks, by their generations.
 type membershipHistory struct {
 	written      map[uint64][]message.Node
-	removed      map[uint64][]message.Node // by operators, as it goes with the registry
+	removed      map[uint64][]message.Node // by operators, as it goes with the membership
 	completed    map[uint64][]message.Node // the change to it was told as complete
 	storedEpochs map[identity]uint64       // the highest generation that a disk has had
 }
@@ -28,10 +28,10 @@
 	return membershipHistory{empty(), empty(), empty(), map[identity]uint64{}}
 }
 
-// checkMemberships holds all machines to one sequence of registries: those of one generation are the same;
+// checkMemberships holds all machines to one sequence of memberships: those of one generation are the same;
 // and when a disk says that the change to one is complete, a majority of its members, and a majority of those
 // of the one before, have had it, or a later one, on their disks. So whoever goes by the one before, and asks
-// a majority of it, hears of the newer one; no two registries are ever gone by at once.
+// a majority of it, hears of the newer one; no two memberships are ever gone by at once.
 func (c *Cluster) checkMemberships(m *Machine, r *replica.PersistentState) {
 	if len(r.Members) == 0 {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// checkQuorum holds a majority of a registry to having had a generation, or a later one, on disk.
+// checkQuorum holds a majority of a membership to having had a generation, or a later one, on disk.
 func (c *Cluster) checkQuorum(registry []message.Node, generation uint64) {
 	n := 0
 	for _, r := range registry {
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -31,7 +31,7 @@
 
 // Given a machine of the core that is gone for good, when another one with an empty disk starts in its
 // place, then that is a member within the users' sync_s, with all that was acknowledged; and the old one,
-// when it comes back with its disk, is refused, and comes back as a newcomer that nobody has room for.
+// when it comes back with its disk, is refused, and comes back as a learner that nobody has room for.
 func TestAReplacedMachineBecomesAMember(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		s := given(t, 1)
@@ -68,7 +68,7 @@
 
 // Given changes under way, when every machine of the core is replaced in turn, three times over, each gone
 // for good, by one at another address with an empty disk, then nothing acknowledged is lost, and the
-// newcomers alone are the core.
+// learners alone are the core.
 func TestTheWholeCoreIsReplacedInTurnThreeTimesOver(t *testing.T) {
 	s := given(t, 1)
 	core := s.Replicas()
@@ -94,7 +94,7 @@
 }
 
 // replacing plays a replacement under changes until a moment: one of the core is gone for good, and a
-// newcomer has started, at a new address or, with an empty disk, at the same. Without a moment it plays
+// learner has started, at a new address or, with an empty disk, at the same. Without a moment it plays
 // until that is a member.
 func replacing(t *testing.T, until time.Duration, same bool) (s *story, fresh *Machine) {
 	t.Helper()
@@ -129,7 +129,7 @@
 }
 
 // Given a replacement, when at any moment around it all processes of the core are killed, or any one, and
-// start again with their disks, then nothing acknowledged is lost, and the newcomer is a member in the end.
+// start again with their disks, then nothing acknowledged is lost, and the learner is a member in the end.
 func TestKillsInTheMiddleOfAReplacement(t *testing.T) {
 	t.Parallel()
 	t.Run("new address", func(t *testing.T) { killsAround(t, false) })
@@ -193,7 +193,7 @@
 		x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
 			SurviveMachines: 1 + int(seed%2), Seed: seed})
 		if seed%4 < 2 {
-			x.Network = noise(seed, false)
+			x.Network = networkNoise(seed, false)
 		}
 		return memberships(x)
 	}, gen.UInt64()))
@@ -209,7 +209,7 @@
 	}
 	number := uint64(1)
 	var lost []*Machine // that come back
-	seen := x.Now       // from when on a loss has been noticed: what is said to be borne counts it
+	seen := x.Now       // from when on a loss has been noticed: what is said to be tolerated counts it
 	for range 10 {
 		for i := range 1 + rng.IntN(3) {
 			number += rng.Uint64N(2)
@@ -217,7 +217,7 @@
 			x.Run(time.Duration(rng.IntN(30)) * time.Millisecond)
 		}
 		if rng.IntN(3) > 0 {
-			mend(x, lost)
+			repair(x, lost)
 			lost = nil
 			if !x.Until(func() bool { return x.Now >= seen && x.Tolerant() }, 12*time.Second) {
 				return fmt.Sprint("no end of a repair; chain ", x.Chain(), ", members ", x.Members())
@@ -252,16 +252,16 @@
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 {
-			mend(x, lost)
+			repair(x, lost)
 			lost = nil
 		}
 		if rng.IntN(6) == 0 {
-			mend(x, x.Replicas())
+			repair(x, x.Replicas())
 			x.restartAll()
 			lost = nil
 		}
 	}
-	mend(x, x.Replicas())
+	repair(x, x.Replicas())
 	if !x.Until(func() bool { return x.Tolerant() }, 12*time.Second) {
 		return fmt.Sprint("no end of the last repair; chain ", x.Chain(), ", members ", x.Members())
 	}
@@ -277,7 +277,7 @@
 	return ""
 }
 
-// permitted draws a loss that is to be borne: of machines, or of all those of some zones or regions.
+// permitted draws a loss that is to be tolerated: of machines, or of all those of some zones or regions.
 func (c *Cluster) permitted(rng *rand.Rand) iter.Seq[*Machine] {
 	disks := c.Replicas()
 	var lost [][]string // zones
@@ -394,7 +394,7 @@
 		{remove: spare, why: "could not be tolerated", members: 2},
 	} {
 		if c.remove == b {
-			b.Kill() // it would come back as a newcomer, and the core is small
+			b.Kill() // it would come back as a learner, and the core is small
 		}
 		addr := func(m *Machine) string {
 			if m == nil {
@@ -460,7 +460,7 @@
 }
 
 // Given a member that operators have removed, while it ran or was cut off, when it is started again, and all
-// are, and the core is smaller than it should be, then it stays out, until operators add it; another newcomer
+// are, and the core is smaller than it should be, then it stays out, until operators add it; another learner
 // comes. One that forgets that it was removed is found.
 func TestARemovalByHandSticks(t *testing.T) {
 	for _, cut := range []bool{false, true} {
@@ -734,7 +734,7 @@
 		}
 		x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
-	mend(x, x.Replicas())
+	repair(x, x.Replicas())
 	if !x.Until(func() bool { return x.ToleratedFailures() >= 1 }, 15*time.Second) {
 		return "no core serves"
 	}
@@ -770,7 +770,7 @@
 }
 
 // Given a machine of the core whose disk takes nothing, or that hears nobody, while another one waits, then
-// that takes its place as for one that is silent; and when all is well again, it is a newcomer.
+// that takes its place as for one that is silent; and when all is well again, it is a learner.
 func TestAMachineThatIsOfNoUseIsReplaced(t *testing.T) {
 	for name, strike := range map[string]func(s *story, m *Machine, on bool){
 		"disk": func(_ *story, m *Machine, on bool) { m.FillDisk(on) },
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -305,7 +305,7 @@
 func (s *story) heal(m *Machine) {
 	m.SetSyncTime(5 * time.Millisecond)
 	m.HangDisk(false)
-	mend(s.Cluster, []*Machine{m})
+	repair(s.Cluster, []*Machine{m})
 }
 
 // Given any machine of the core in any trouble for twenty seconds, when operators go on and servers come and
@@ -431,7 +431,7 @@
 			return serial(m.Endpoints()) != serial(s.Servers)
 		})
 	})
-	for _, name := range []string{"z2-2", "z3-2"} { // which ask the newcomer, and the reader
+	for _, name := range []string{"z2-2", "z3-2"} { // which ask the learner, and the reader
 		s.Machine(name).Kill()
 		s.Machine(name).Start()
 	}
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// story is a test told as given, when, then, over an exchange in memory.
+// story is a test told as given, when, then, over a cluster in memory.
 type story struct {
 	*Cluster
 	t       *testing.T
@@ -134,7 +134,7 @@
 			x.CutOneWay(a, b, a != b)
 		case 2:
 			x.Isolate(a, true)
-		case 3: // always the same: two seeds that forget their votes are more than is borne
+		case 3: // always the same: two seeds that forget their votes are more than is tolerated
 			seeds[0].Kill()
 			x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 			seeds[0].Start()
@@ -143,7 +143,7 @@
 		}
 		x.Run(time.Duration(rng.IntN(1200)) * time.Millisecond)
 	}
-	mend(x, disks)
+	repair(x, disks)
 	if !x.Until(func() bool { return len(x.Chain()) >= 2 }, 15*time.Second) {
 		return "no core serves"
 	}
@@ -325,7 +325,7 @@
 	for i := range left.Members { // as vault.Found does: the document is the same for all
 		left.Members[i].StoreID = left.Epoch
 	}
-	s.memberships = newMembershipHistory() // its registries are of another sequence
+	s.memberships = newMembershipHistory() // its memberships are of another sequence
 	for _, m := range s.Replicas() {
 		m.stored = left
 		s.memberships.storedEpochs[identity{m.node.Addr, left.Epoch}] = left.Epoch
@@ -337,8 +337,8 @@
 	s.change(s.Machine("z3-2"))
 }
 
-// Given any history of losses that are to be borne, when it is over, then what was acknowledged is there, all
-// machines agree, and no promise was broken on the way.
+// Given any history of losses that are to be tolerated, when it is over, then what was acknowledged is there,
+// all machines agree, and no promise was broken on the way.
 func TestDrawnHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(7)
@@ -380,7 +380,7 @@
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 && len(lost) > 0 {
-			mend(x, lost)
+			repair(x, lost)
 			lost = nil
 			x.Run(4 * time.Second) // after which it counts again
 		}
@@ -389,7 +389,7 @@
 				m.Kill()
 			}
 			x.Run(500 * time.Millisecond)
-			mend(x, disks)
+			repair(x, disks)
 			for _, m := range x.Machines {
 				m.Start()
 			}
@@ -397,7 +397,7 @@
 			x.Run(4 * time.Second)
 		}
 	}
-	mend(x, disks)
+	repair(x, disks)
 	x.Run(6 * time.Second)
 	if b := x.Violations(); len(b) > 0 {
 		return b[0]
@@ -438,8 +438,8 @@
 	}
 }
 
-// mend ends all faults.
-func mend(x *Cluster, lost []*Machine) {
+// repair ends all faults.
+func repair(x *Cluster, lost []*Machine) {
 	x.HealAll()
 	for _, m := range lost {
 		m.FillDisk(false)
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -54,7 +54,7 @@
 	return []Delivery{{to, n.late + n.free[link] - n.s.Now, m}}
 }
 
-// sized has an exchange hold so many servers and items of a configuration.
+// sized has a cluster hold so many servers and items of a configuration.
 func (s *story) sized(servers, items int) {
 	s.t.Helper()
 	s.ConfigOf = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// Given any history of losses that are to be borne, when several operators race for numbers with unlike
+// Given any history of losses that are to be tolerated, when several operators race for numbers with unlike
 // texts, send again what had no clear answer, and old orders come once more, then all that they hear is what
 // one register would say, and one text is in force everywhere in the end.
 func TestDrawnRaces(t *testing.T) {
@@ -255,18 +255,18 @@
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 && len(lost) > 0 {
-			mend(x, lost)
+			repair(x, lost)
 			lost = nil
 			x.Run(4 * time.Second) // after which it counts again
 		}
 		if rng.IntN(6) == 0 {
-			mend(x, disks)
+			repair(x, disks)
 			x.restartAll()
 			lost = nil
 			x.Run(4 * time.Second)
 		}
 	}
-	mend(x, disks)
+	repair(x, disks)
 	x.Run(6 * time.Second)
 	c := x.Read(x.Machines[len(x.Machines)-1])
 	x.Run(2 * time.Second)
@@ -301,7 +301,7 @@
 				strike(x, x.Replicas()[rng.IntN(6)], rng)
 				x.Run(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			}
-			mend(x, x.Replicas())
+			repair(x, x.Replicas())
 			x.Run(4 * time.Second)
 			got := [2]int{x.Messages, x.Bytes}
 			if play == 0 {
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -16,14 +16,14 @@
 	*story
 	m     *Machine
 	kinds []message.Type
-	hold  []message.Type // answers that the earlier life does not get
-	kept  []letter
+	hold  []message.Type // answers that the earlier incarnation does not get
+	kept  []recordedMessage
 	cut   bool
 	free  []message.Type     // pass all the same
 	sent  []*message.Message // by the life that is cut off
 }
 
-type letter struct {
+type recordedMessage struct {
 	from string
 	m    *message.Message
 }
@@ -45,7 +45,7 @@
 		return nil
 	case !t.cut && to == own && m.IsResponse():
 		if slices.Contains(t.kinds, m.Type()) {
-			t.kept = append(t.kept, letter{from, m})
+			t.kept = append(t.kept, recordedMessage{from, m})
 		}
 		if slices.Contains(t.hold, m.Type()) {
 			return nil
@@ -220,7 +220,7 @@
 	})
 }
 
-// taped is an exchange in which a machine has just been started again, with its answers on tape.
+// taped is a cluster in which a machine has just been started again, with its answers on tape.
 func taped(t *testing.T, kinds []message.Type) *tape {
 	s := given(t, 1)
 	name := "z1-2"
@@ -265,8 +265,8 @@
 }
 
 // Given a first start in which a seed is killed before its own pledge is on disk, when it proposes again
-// under the same ballot, then pledges and votes that its earlier life was given count for nothing. Counted,
-// they would have it hand out another core under a ballot that may be decided.
+// under the same ballot, then pledges and votes that its earlier incarnation was given count for nothing.
+// Counted, they would have it hand out another core under a ballot that may be decided.
 func TestVotesForAnEarlierLifeNameNoCore(t *testing.T) {
 	play := func(l lie) (drafts, named bool) {
 		s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 7}), t,
@@ -310,10 +310,10 @@
 func viewAgain(t *testing.T, higher uint64) (kept, acked uint64) {
 	s := given(t, 1)
 	m := s.Machine("z2-1")
-	var views []letter
+	var views []recordedMessage
 	s.Network = func(from, to string, x *message.Message) []Delivery {
 		if x.Type() == message.TypeInstallView && to == m.node.Addr {
-			views = append(views, letter{from, x})
+			views = append(views, recordedMessage{from, x})
 		}
 		return []Delivery{{To: to, Message: x}}
 	}
@@ -337,9 +337,9 @@
 	return m.stored.Version, s.version
 }
 
-// noise has messages overtaken, come twice, some of them seconds late, and answers come to others, too. Blind
-// plays a program that doesn't tell whose answer it is: it takes those for its own.
-func noise(seed uint64, blind bool) func(from, to string, m *message.Message) []Delivery {
+// networkNoise has messages overtaken, come twice, some of them seconds late, and answers come to others,
+// too. Blind plays a program that doesn't tell whose answer it is: it takes those for its own.
+func networkNoise(seed uint64, blind bool) func(from, to string, m *message.Message) []Delivery {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var addrs []string
 	lives := map[string]uint64{}
@@ -376,11 +376,11 @@
 // noisy draws a history and races with noise, and returns what went wrong.
 func noisy(seed uint64, blind bool) string {
 	o := Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed,
-		Network: noise(seed, blind)}
+		Network: networkNoise(seed, blind)}
 	if wrong := history(o); wrong != "" {
 		return wrong
 	}
-	o.Network = noise(seed, blind)
+	o.Network = networkNoise(seed, blind)
 	return races(o)
 }
 
@@ -409,11 +409,11 @@
 	back := func(blind bool) bool {
 		s := given(t, 1)
 		m := s.Machine("z3-1")
-		var told []letter
+		var told []recordedMessage
 		alone := false
 		s.Network = func(from, to string, x *message.Message) []Delivery {
 			if to == m.node.Addr && x.Type() == message.TypeActivateView {
-				told = append(told, letter{from, x})
+				told = append(told, recordedMessage{from, x})
 			}
 			if h, ok := x.Body.(*message.Heartbeat); ok && blind && alone && to == m.node.Addr {
 				h.Epoch = 0
--- a/internal/controlplane/transport/connections_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -280,9 +280,9 @@
 	}
 }
 
-// Given a peer that was started again while something is on its way to its earlier life, when it calls, then
-// the old connection ends at once, and what is said next comes to the new life, without what was cut off.
-// Were lives not told apart, the old one would go on.
+// Given a peer that was started again while something is on its way to its earlier incarnation, when it
+// calls, then the old connection ends at once, and what is said next comes to the new life, without what was
+// cut off. Were lives not told apart, the old one would go on.
 func TestANewLifeTakesTheLineOver(t *testing.T) {
 	for life, ends := range map[uint64]bool{7: true, 1: false} {
 		l := lines{}
