--- a/bearer/bearer_test.go
+++ b/bearer/bearer_test.go
@@ -99,12 +99,8 @@
 	c.Bound.Certificate = base64.RawURLEncoding.EncodeToString(sum[:])
 	q := Requirement{Bound: true}
 	check(t, "mine", q.Check(now, c, Shown{Scheme: "Bearer", Certificate: mine}, nil), want{})
-	check(
-		t,
-		"another's",
-		q.Check(now, c, Shown{Scheme: "Bearer", Certificate: []byte("x")}, nil),
-		want{401, "invalid_token"},
-	)
+	check(t, "another's", q.Check(now, c, Shown{Scheme: "Bearer", Certificate: []byte("x")}, nil),
+		want{401, "invalid_token"})
 	check(t, "none", Requirement{}.Check(now, c, Shown{Scheme: "Bearer"}, nil), want{401, "another certificate"})
 }
 
--- a/cmd/dunespoke-lab/main.go
+++ b/cmd/dunespoke-lab/main.go
@@ -130,13 +130,8 @@
 		return err
 	}
 	defer end()
-	fmt.Printf(
-		"listening on %s; client %q, secret %q, token %q\n",
-		c.Listen,
-		endpoint.ClientID,
-		endpoint.Secret,
-		endpoint.Token,
-	)
+	fmt.Printf("listening on %s; client %q, secret %q, token %q\n", c.Listen, endpoint.ClientID, endpoint.Secret,
+		endpoint.Token)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/dunespoke-lab/payday.go
+++ b/cmd/dunespoke-lab/payday.go
@@ -198,10 +198,7 @@
 	if err := awaitHealth(ctx); err != nil {
 		return nil, err
 	}
-	service, end, err := startIdp(
-		idpAddr,
-		idp.Options{Script: script, Work: 20 * time.Millisecond, Workers: 32},
-	)
+	service, end, err := startIdp(idpAddr, idp.Options{Script: script, Work: 20 * time.Millisecond, Workers: 32})
 	if err != nil {
 		return nil, err
 	}
@@ -247,20 +244,10 @@
 	if last := d.report.Phases[3].LastBad; last > 0 {
 		after = (last - silentTill).Round(10 * time.Millisecond).String()
 	}
-	return fmt.Sprintf(
-		"| %s | %.1f%% | %.1f%% | %.1f%% | %.1f%% | %d | %.1f | %.0f | %.0f%% | %s | %.0f |\n",
-		name,
-		percent(p.Served-p.Late, p),
-		percent(p.RefusedEarly, p),
-		percent(p.RefusedLate, p),
-		percent(p.Failed+p.Wrong+p.NotAsked, p),
-		p.Unanswered,
-		ms(p, 50),
-		ms(p, 99),
-		100*float64(d.put)/float64(p.Asked),
-		after,
-		float64(d.cpu.Microseconds())/float64(p.Asked),
-	)
+	return fmt.Sprintf("| %s | %.1f%% | %.1f%% | %.1f%% | %.1f%% | %d | %.1f | %.0f | %.0f%% | %s | %.0f |\n",
+		name, percent(p.Served-p.Late, p), percent(p.RefusedEarly, p), percent(p.RefusedLate, p),
+		percent(p.Failed+p.Wrong+p.NotAsked, p), p.Unanswered, ms(p, 50), ms(p, 99),
+		100*float64(d.put)/float64(p.Asked), after, float64(d.cpu.Microseconds())/float64(p.Asked))
 }
 
 func percent(n int, p *load.Phase) float64 { return 100 * float64(n) / float64(max(1, p.Asked)) }
@@ -275,18 +262,7 @@
 }
 
 func tableRow(name string, p *load.Phase) string {
-	return fmt.Sprintf(
-		"| %s | %d | %d | %d | %d | %d | %d | %d | %d | %.1f | %.1f |\n",
-		name,
-		p.Asked,
-		p.Served,
-		p.RefusedEarly,
-		p.RefusedLate,
-		p.NoRetryAfter,
-		p.Failed+p.NotAsked,
-		p.Unanswered,
-		p.Wrong,
-		ms(p, 50),
-		ms(p, 99),
-	)
+	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d | %d | %.1f | %.1f |\n", name, p.Asked, p.Served,
+		p.RefusedEarly, p.RefusedLate, p.NoRetryAfter, p.Failed+p.NotAsked, p.Unanswered, p.Wrong, ms(p, 50),
+		ms(p, 99))
 }
--- a/cmd/dunespoke-lab/scale.go
+++ b/cmd/dunespoke-lab/scale.go
@@ -192,10 +192,7 @@
 }{
 	{"scale-rest.svg", "What a core machine sends at rest", "machines, 7 of them of the core", "bytes a second",
 		func(s scale.Slope) string {
-			return named(
-				s.Case == "rest" && s.Role == scale.Middle && s.What == "sent" && s.By == "machines",
-				s.Cause,
-			)
+			return named(s.Case == "rest" && s.Role == scale.Middle && s.What == "sent" && s.By == "machines", s.Cause)
 		}},
 	{"scale-events.svg", "What a core machine sends for an event", "machines, 7 of them of the core", "bytes",
 		func(s scale.Slope) string {
--- a/cmd/dunespoke-lab/streaming.go
+++ b/cmd/dunespoke-lab/streaming.go
@@ -76,14 +76,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf(
-		"done %d, refused %d, failed %d, wrong %d, %d MB\n",
-		r.Done,
-		r.Refused,
-		r.Failed,
-		r.Wrong,
-		r.Bytes>>20,
-	)
+	fmt.Printf("done %d, refused %d, failed %d, wrong %d, %d MB\n", r.Done, r.Refused, r.Failed, r.Wrong,
+		r.Bytes>>20)
 	if r.First != nil {
 		fmt.Println("first fault:", r.First)
 	}
--- a/cmd/dunespoke/gateway.go
+++ b/cmd/dunespoke/gateway.go
@@ -47,12 +47,8 @@
 func (p *program) startGateway(g *config.Gateway, share sockets) (*gate, error) {
 	if g.MemoryMB > 0 {
 		if bound := g.Bound(share.clients, share.servers); bound > g.MemoryMB<<20 {
-			return nil, fmt.Errorf(
-				"gateway.memory_mb: %d, and with %d connections and all transfers it may take %d",
-				g.MemoryMB,
-				share.clients+share.servers,
-				bound>>20,
-			)
+			return nil, fmt.Errorf("gateway.memory_mb: %d, and with %d connections and all transfers it may take %d",
+				g.MemoryMB, share.clients+share.servers, bound>>20)
 		}
 		if p.conf == nil { // on the platform its limit counts
 			debug.SetMemoryLimit(int64(g.MemoryMB) << 20)
--- a/cmd/dunespoke/gateway_fuzz_test.go
+++ b/cmd/dunespoke/gateway_fuzz_test.go
@@ -72,8 +72,7 @@
 	for in := bufio.NewReader(nc); ; {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
-				!errors.Is(err, io.ErrClosedPipe) {
+			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.ErrClosedPipe) {
 				t.Errorf("an app server got what can't be read: %v", err)
 			}
 			return
--- a/cmd/dunespoke/gateway_slow_test.go
+++ b/cmd/dunespoke/gateway_slow_test.go
@@ -21,12 +21,8 @@
 )
 
 // before runs a program before an app server of Go's own, both on a network in memory.
-func before(
-	t *testing.T,
-	o config.Operator,
-	app http.HandlerFunc,
-	test func(p *program, dial func() net.Conn),
-) {
+func before(t *testing.T, o config.Operator, app http.HandlerFunc,
+	test func(p *program, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := scenario.NewNet()
 		ctx, end := context.WithCancel(t.Context())
--- a/cmd/dunespoke/questions.go
+++ b/cmd/dunespoke/questions.go
@@ -105,17 +105,9 @@
 // told fills in who may ask, and what the front tells of itself.
 func (q *questions) told(n *config.Introspection, o *introspect.Options) error {
 	for _, k := range n.Clients {
-		c := introspect.Client{
-			ID:          k.ID,
-			Plan:        k.Plan,
-			Method:      introspect.Method(k.Auth),
-			SecretHash:  k.SecretHash,
-			SharedKey:   k.SharedKey,
-			Keys:        k.Keys,
-			Certificate: k.Certificate,
-			Claims:      k.Claims,
-			Name:        introspect.Name{Subject: k.Subject, DNS: k.DNS, URI: k.URI, IP: k.IP, Email: k.Email},
-		}
+		c := introspect.Client{ID: k.ID, Plan: k.Plan, Method: introspect.Method(k.Auth), SecretHash: k.SecretHash,
+			SharedKey: k.SharedKey, Keys: k.Keys, Certificate: k.Certificate, Claims: k.Claims,
+			Name: introspect.Name{Subject: k.Subject, DNS: k.DNS, URI: k.URI, IP: k.IP, Email: k.Email}}
 		if k.EncryptAlg != "" {
 			c.Encrypt = &introspect.Encryption{Key: k.EncryptKey, Algorithm: jose.KeyAlgorithm(k.EncryptAlg),
 				Content: jose.ContentEncryption(k.EncryptEnc)}
@@ -133,15 +125,8 @@
 		}
 	}
 	if r := n.Resource; r != nil {
-		o.Resource = &introspect.Resource{
-			Resource: r.Resource,
-			Servers:  r.Servers,
-			Scopes:   r.Scopes,
-			Name:     r.Name,
-			Docs:     r.Docs,
-			Methods:  []string{"header"},
-			DPoP:     bearer.DPoPAlgorithms(),
-		}
+		o.Resource = &introspect.Resource{Resource: r.Resource, Servers: r.Servers, Scopes: r.Scopes, Name: r.Name,
+			Docs: r.Docs, Methods: []string{"header"}, DPoP: bearer.DPoPAlgorithms()}
 	}
 	return nil
 }
--- a/cmd/dunespoke/wiring.go
+++ b/cmd/dunespoke/wiring.go
@@ -122,9 +122,7 @@
 	case err != nil:
 		p.log.Warn().Str("code", "reload-failed").Err(err).Msg("the operator's settings stay as they were")
 	case p.questions == nil && p.gate == nil && p.fleet == nil:
-		p.log.Warn().
-			Str("code", "reload-needs-restart").
-			Msg("nothing of the operator's file that is on can change")
+		p.log.Warn().Str("code", "reload-needs-restart").Msg("nothing of the operator's file that is on can change")
 	default:
 		p.log.Info().Str("code", "reloaded").Int("issuers", len(o.Introspection.Issuers)).
 			Int("clients", len(o.Introspection.Clients)).Int("routes", len(o.Gateway.Routes)).
--- a/internal/controlplane/client/calls.go
+++ b/internal/controlplane/client/calls.go
@@ -98,15 +98,15 @@
 // Read asks the core for the newest configuration.
 func (c *Client) Read(now time.Duration, done ReadDone) {
 	held := c.resources.config
-	c.startCall(now, &message.Read{Version: held.version}, func(response message.Body) {
+	c.startCall(now, &message.Read{Version: held.Version}, func(response message.Body) {
 		result, ok := response.(*message.ReadResult)
 		switch {
 		case !ok:
 			done(0, nil, ErrNoResponse)
 		case result.Config == nil:
-			done(held.version, held.config, nil)
+			done(held.Version, held.Config, nil)
 		default:
-			config, err := result.Config.Apply(held.version, held.config)
+			config, err := result.Config.Apply(held.Version, held.Config)
 			if err != nil {
 				done(0, nil, fmt.Errorf("%w: %w", ErrNoResponse, err))
 				return
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -6,6 +6,7 @@
 
 import (
 	"maps"
+	"math/rand/v2"
 	"slices"
 	"strings"
 	"time"
@@ -250,16 +251,8 @@
 	}
 	const maxDoublings = 4
 	pause := min(retryDelay<<min(c.silent-2, maxDoublings), maxRetryDelay)
-	return pause/2 + time.Duration(mix(c.options.Incarnation^c.requestID)%uint64(pause/2))
-}
-
-// mix spreads a number over all numbers: what differs by a little goes far apart. It is the finalizer of
-// splitmix64.
-func mix(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+	jitter := rand.New(rand.NewPCG(c.options.Incarnation, c.requestID)).Int64N(int64(pause / 2))
+	return pause/2 + time.Duration(jitter)
 }
 
 // failOver turns to another replica.
--- a/internal/controlplane/client/resources.go
+++ b/internal/controlplane/client/resources.go
@@ -10,17 +10,11 @@
 // chunkTargetTime is how long a chunk of a snapshot is to take.
 const chunkTargetTime = firstResponseTimeout / 2
 
-// configVersion is a configuration and its version.
-type configVersion struct {
-	version uint64
-	config  []byte
-}
-
 // resources are what a Client has of each resource that it watches, and what is on its way.
 type resources struct {
-	config         configVersion
-	base           configVersion // a configuration that is held and not in force
-	needFullConfig bool          // a delta did not apply
+	config         message.ConfigVersion
+	base           message.ConfigVersion // a configuration that is held and not in force
+	needFullConfig bool                  // a delta did not apply
 	endpoints      *message.EndpointList
 	nodesChecksum  uint64
 
@@ -42,14 +36,14 @@
 
 // describe tells in a watch what is here.
 func (r *resources) describe(watch *message.Watch) {
-	watch.Version = r.config.version
+	watch.Version = r.config.Version
 	watch.NodesChecksum = r.nodesChecksum
 	watch.Chunks = r.transfers.progress()
 	if r.chunkBudget != message.InitialChunkBudget {
 		watch.ChunkBudget = r.chunkBudget
 	}
-	if r.base.version > r.config.version {
-		watch.BaseVersion = r.base.version
+	if r.base.Version > r.config.Version {
+		watch.BaseVersion = r.base.Version
 	}
 	if r.endpoints != nil {
 		watch.Endpoints = &message.EndpointList{Epoch: r.endpoints.Epoch, Sequence: r.endpoints.Sequence}
@@ -67,17 +61,17 @@
 
 // apply puts in force what a fresh response, or a complete snapshot that it names as the newest, tells.
 func (r *resources) apply(response *message.WatchResponse, actions Actions) {
-	if response.Version > r.config.version && response.Config != nil {
+	if response.Version > r.config.Version && response.Config != nil {
 		config, err := r.applyDelta(response.Config)
 		if r.needFullConfig = err != nil; r.needFullConfig {
 			actions.Log(events.DeltaInvalid, "version", response.Version, "error", err.Error())
 		} else {
-			r.config = configVersion{response.Version, config}
+			r.config = message.ConfigVersion{Version: response.Version, Config: config}
 			actions.ApplyConfig(response.Version, config)
 		}
 	}
-	if r.base.version <= r.config.version {
-		r.base = configVersion{}
+	if r.base.Version <= r.config.Version {
+		r.base = message.ConfigVersion{}
 	}
 	if list := response.Endpoints; list != nil && list.Newer(r.endpoints) {
 		r.endpoints = list
@@ -93,10 +87,10 @@
 // held.
 func (r *resources) applyDelta(delta *message.Delta) ([]byte, error) {
 	base := r.config
-	if delta.BaseVersion != base.version && delta.BaseVersion == r.base.version {
+	if delta.BaseVersion != base.Version && delta.BaseVersion == r.base.Version {
 		base = r.base
 	}
-	return delta.Apply(base.version, base.config)
+	return delta.Apply(base.Version, base.Config)
 }
 
 // takeChunks takes what a fresh response brings of snapshots. Each that the response names as the newest, and
@@ -146,10 +140,10 @@
 // what is newer, or that nothing is, in a few bytes, and that puts it in force.
 func (r *resources) hold(transfer *snapshotTransfer) {
 	snapshot, ok := transfer.decode()
-	if !ok || snapshot.Config == nil || snapshot.Version <= max(r.config.version, r.base.version) {
+	if !ok || snapshot.Config == nil || snapshot.Version <= max(r.config.Version, r.base.Version) {
 		return
 	}
 	if config, err := r.applyDelta(snapshot.Config); err == nil {
-		r.base = configVersion{snapshot.Version, config}
+		r.base = message.ConfigVersion{Version: snapshot.Version, Config: config}
 	}
 }
--- a/internal/controlplane/message/accepted_versions.go
+++ b/internal/controlplane/message/accepted_versions.go
@@ -6,6 +6,12 @@
 	"slices"
 )
 
+// ConfigVersion is a configuration and its version.
+type ConfigVersion struct {
+	Version uint64 // 0: none
+	Config  []byte
+}
+
 // AcceptedVersion is a version of the configuration that was accepted, and what it stands for.
 type AcceptedVersion struct {
 	Version uint64 `pb:"1"`
--- a/internal/controlplane/message/accepted_versions_test.go
+++ b/internal/controlplane/message/accepted_versions_test.go
@@ -39,9 +39,7 @@
 			}
 			old[len(old)/2].Digest[0]++ // of a chunk that is not sent, where numbers were dropped
 			text, err = packed.Apply(7, EncodeAcceptedVersions(old))
-			if got, _ := DecodeAcceptedVersions(
-				text,
-			); !errors.Is(err, ErrDigestMismatch) &&
+			if got, _ := DecodeAcceptedVersions(text); !errors.Is(err, ErrDigestMismatch) &&
 				(last > 512 || !slices.Equal(got, list)) {
 				t.Errorf("%d behind %d: over other numbers: %v", behind, last, err)
 			}
--- a/internal/controlplane/replica/config_history.go
+++ b/internal/controlplane/replica/config_history.go
@@ -9,19 +9,13 @@
 // maxConfigHistory is how many committed configurations are kept, to tell newer ones as deltas over them.
 const maxConfigHistory = 4
 
-// configVersion is a configuration and its version.
-type configVersion struct {
-	version uint64
-	config  []byte
-}
-
 // deltaKey names a delta by its version and the base; base 0: in full.
 type deltaKey struct{ version, base uint64 }
 
 // configHistory is the configurations that were committed last, and the deltas between them, each made once
 // for all who ask for the same.
 type configHistory struct {
-	committed []configVersion // in rising order
+	committed []message.ConfigVersion // in rising order
 	deltas    map[deltaKey]*message.Delta
 }
 
@@ -30,8 +24,8 @@
 }
 
 // add takes a configuration that was committed.
-func (h *configHistory) add(c configVersion) {
-	if h.newest() == c.version && len(h.committed) > 0 {
+func (h *configHistory) add(c message.ConfigVersion) {
+	if h.newest() == c.Version && len(h.committed) > 0 {
 		return
 	}
 	h.committed = append(h.committed, c)
@@ -49,14 +43,14 @@
 	if len(h.committed) == 0 {
 		return 0
 	}
-	return h.committed[len(h.committed)-1].version
+	return h.committed[len(h.committed)-1].Version
 }
 
 // find returns the configuration of a version, if it is kept.
-func (h *configHistory) find(version uint64) (c configVersion, ok bool) {
-	i := slices.IndexFunc(h.committed, func(c configVersion) bool { return c.version == version })
+func (h *configHistory) find(version uint64) (c message.ConfigVersion, ok bool) {
+	i := slices.IndexFunc(h.committed, func(c message.ConfigVersion) bool { return c.Version == version })
 	if i < 0 {
-		return configVersion{}, false
+		return message.ConfigVersion{}, false
 	}
 	return h.committed[i], true
 }
@@ -68,19 +62,19 @@
 }
 
 // delta returns a configuration as a delta over a version, if that is wanted and kept; else in full.
-func (h *configHistory) delta(c configVersion, base uint64, asDelta bool) *message.Delta {
+func (h *configHistory) delta(c message.ConfigVersion, base uint64, asDelta bool) *message.Delta {
 	older, known := h.find(base)
 	if !known || !asDelta {
-		base, older = 0, configVersion{}
+		base, older = 0, message.ConfigVersion{}
 	}
-	key := deltaKey{c.version, base}
+	key := deltaKey{c.Version, base}
 	if delta := h.deltas[key]; delta != nil {
 		return delta
 	}
 	if len(h.deltas) >= 2*maxConfigHistory {
 		clear(h.deltas)
 	}
-	delta := message.NewDelta(c.config, base, older.config)
+	delta := message.NewDelta(c.Config, base, older.Config)
 	h.deltas[key] = delta
 	return delta
 }
--- a/internal/controlplane/replica/config_history_test.go
+++ b/internal/controlplane/replica/config_history_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"dunespoke/internal/controlplane/message"
 	"fmt"
 	"testing"
 )
@@ -12,12 +13,12 @@
 	h := newConfigHistory()
 	text := func(version uint64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 	for version := uint64(1); version <= maxConfigHistory+1; version++ {
-		h.add(configVersion{version, text(version)})
-		h.add(configVersion{version, text(version)}) // told twice
+		h.add(message.ConfigVersion{Version: version, Config: text(version)})
+		h.add(message.ConfigVersion{Version: version, Config: text(version)}) // told twice
 	}
 	newest, _ := h.find(h.newest())
-	if newest.version != maxConfigHistory+1 || h.contains(1) || !h.contains(2) {
-		t.Fatalf("newest %d, first kept %v, second kept %v", newest.version, h.contains(1), h.contains(2))
+	if newest.Version != maxConfigHistory+1 || h.contains(1) || !h.contains(2) {
+		t.Fatalf("newest %d, first kept %v, second kept %v", newest.Version, h.contains(1), h.contains(2))
 	}
 	for _, c := range []struct {
 		name       string
@@ -31,7 +32,7 @@
 	} {
 		delta := h.delta(newest, c.base, c.asDelta)
 		config, err := delta.Apply(c.base, text(c.base))
-		if delta.BaseVersion != c.baseInForm || err != nil || !bytes.Equal(config, newest.config) {
+		if delta.BaseVersion != c.baseInForm || err != nil || !bytes.Equal(config, newest.Config) {
 			t.Errorf("%s: over %d, %q, %v", c.name, delta.BaseVersion, config, err)
 		}
 		if h.delta(newest, c.base, c.asDelta) != delta {
--- a/internal/controlplane/replica/fault_tolerance_test.go
+++ b/internal/controlplane/replica/fault_tolerance_test.go
@@ -191,15 +191,7 @@
 	} {
 		fresh := all(c.fresh)
 		if got := fresh[c.t.bestAddition(all(c.registry), fresh, c.of)].Zone; got != c.want {
-			t.Errorf(
-				"%+v: %s and one of %s for one of %s: %s, want %s",
-				c.t,
-				c.registry,
-				c.fresh,
-				c.of,
-				got,
-				c.want,
-			)
+			t.Errorf("%+v: %s and one of %s for one of %s: %s, want %s", c.t, c.registry, c.fresh, c.of, got, c.want)
 		}
 	}
 }
--- a/internal/controlplane/replica/value.go
+++ b/internal/controlplane/replica/value.go
@@ -30,7 +30,9 @@
 }
 
 // configVersion is the configuration with its version.
-func (v *Value) configVersion() configVersion { return configVersion{v.Version, v.Config} }
+func (v *Value) configVersion() message.ConfigVersion {
+	return message.ConfigVersion{Version: v.Version, Config: v.Config}
+}
 
 // digestOf returns the digest of the content of a version, if one is remembered.
 func (v *Value) digestOf(version uint64) (digest message.Digest, known bool) {
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -25,11 +25,8 @@
 		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
 		a.SetSyncTime(430 * time.Millisecond)
 		a.controlNode.Drain(s.Now)
-		s.then(
-			"the other has promised",
-			time.Second,
-			func() bool { return a.Replica().State() == replica.StateInstalling },
-		)
+		s.then("the other has promised", time.Second,
+			func() bool { return a.Replica().State() == replica.StateInstalling })
 		b.Kill()
 		s.then("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
 			return len(c.stored.OutgoingMembers) > 0
--- a/internal/controlplane/simulation/membership.go
+++ b/internal/controlplane/simulation/membership.go
@@ -111,12 +111,8 @@
 func (c *Cluster) ChangeMembers(m *Machine, add, remove string) *MemberChange {
 	o := &MemberChange{}
 	m.act(m.starts, func() {
-		m.controlNode.ChangeMembers(
-			c.Now,
-			add,
-			remove,
-			func(answer *message.ChangeMembersResult, _ error) { o.Ended, o.Answer = true, answer },
-		)
+		m.controlNode.ChangeMembers(c.Now, add, remove,
+			func(answer *message.ChangeMembersResult, _ error) { o.Ended, o.Answer = true, answer })
 	})
 	return o
 }
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -475,11 +475,8 @@
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
 		s.ends("after that")
-		if _, _, back := dismissed(
-			t,
-			cut,
-			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false },
-		); !back {
+		if _, _, back := dismissed(t, cut,
+			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false }); !back {
 			t.Errorf("cut %v: the seeded defect is not found", cut)
 		}
 	}
@@ -816,11 +813,8 @@
 				t.Errorf("%s hears nothing of %q: held up for %v of 4 s, %d changes", name, from, held, n)
 			}
 			s.HealAll()
-			s.then(
-				"it is back",
-				4*time.Second,
-				func() bool { return s.ToleratedFailures() == 1 && deaf.Version() == s.version },
-			)
+			s.then("it is back", 4*time.Second,
+				func() bool { return s.ToleratedFailures() == 1 && deaf.Version() == s.version })
 		}
 	}
 }
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -281,10 +281,8 @@
 		tape.m.SetSyncTime(tape.SyncTime) // it says that it is there once its disk's id is on it
 		tape.first()                      // its disk had nothing yet
 		named = tape.play(func() bool { return len(tape.m.controlNode.Members()) > 0 }, l)
-		return slices.ContainsFunc(
-			tape.sent,
-			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept },
-		), named
+		return slices.ContainsFunc(tape.sent,
+			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept }), named
 	}
 	if drafts, named := play(nil); drafts || named {
 		t.Errorf("drafts %v, named %v by votes for an earlier life", drafts, named)
@@ -422,11 +420,8 @@
 		}
 		m.Kill()
 		m.Start()
-		s.then(
-			"it serves",
-			6*time.Second,
-			func() bool { return m.Replica().ServingWithQuorum() && len(s.Chain()) == 3 },
-		)
+		s.then("it serves", 6*time.Second,
+			func() bool { return m.Replica().ServingWithQuorum() && len(s.Chain()) == 3 })
 		s.Run(2 * time.Second)
 		alone = true
 		s.Isolate(m, true)
--- a/internal/controlplane/storage/changes_test.go
+++ b/internal/controlplane/storage/changes_test.go
@@ -156,10 +156,8 @@
 	var r replica.PersistentState
 	for r.Version < 700 {
 		r.Version++
-		r.AcceptedVersions = replica.AppendAccepted(
-			r.AcceptedVersions,
-			message.AcceptedVersion{Version: r.Version, Digest: message.Digest{byte(r.Version)}},
-		)
+		r.AcceptedVersions = replica.AppendAccepted(r.AcceptedVersions,
+			message.AcceptedVersion{Version: r.Version, Digest: message.Digest{byte(r.Version)}})
 		if !v.save(r) {
 			t.Fatal("not saved")
 		}
--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -444,14 +444,7 @@
 			}
 			v, r, err := open("data", d.environment())
 			if err != nil || v.Damaged() != nil || number(r) != saves {
-				t.Fatalf(
-					"%d saves, full from change %d on: record %d, %v, %v",
-					saves,
-					at,
-					number(r),
-					err,
-					v.Damaged(),
-				)
+				t.Fatalf("%d saves, full from change %d on: record %d, %v, %v", saves, at, number(r), err, v.Damaged())
 			}
 			d.mu.Lock()
 			opened := d.n < at
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -158,12 +158,8 @@
 		sum := message.DigestOf(text)
 		return sum[:]
 	}
-	range1, whole, numberedHead := under(
-		want.Config,
-	), message.MarshalAppend(
-		nil,
-		&legacyAcceptedVersions{numbered.AcceptedVersions},
-	), h
+	range1, whole, numberedHead := under(want.Config), message.MarshalAppend(nil,
+		&legacyAcceptedVersions{numbered.AcceptedVersions}), h
 	numberedHead.ConfigIndex, numberedHead.LegacyAcceptedVersions = under(range1), under(whole)
 	text := message.MarshalAppend(nil, &numberedHead)
 	for _, c := range []struct {
--- a/internal/controlplane/transport/connections_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -121,10 +121,8 @@
 	first := true
 	var sent bytes.Buffer
 	ring := len(
-		message.AppendFrame(
-			nil,
-			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}},
-		),
+		message.AppendFrame(nil,
+			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}}),
 	)
 	a := l.end(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := l.dial(ctx, network, addr)
@@ -166,14 +164,10 @@
 // in part; and the next are heard. A transport that sends its queue anew is found out.
 func TestWhatAResetCutsOffIsNotSentTwice(t *testing.T) {
 	size := len(
-		message.AppendFrame(
-			nil,
-			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}},
-		),
+		message.AppendFrame(nil,
+			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}}),
 	) +
-		3*len(
-			message.AppendFrame(nil, &message.Message{RequestID: 1, Body: &message.Put{}}),
-		)
+		3*len(message.AppendFrame(nil, &message.Message{RequestID: 1, Body: &message.Put{}}))
 	twice := 0
 	for after := range size {
 		heard := reset(t, after, false)
--- a/internal/lab/scale/single.go
+++ b/internal/lab/scale/single.go
@@ -221,10 +221,7 @@
 	s.row("front", "use a configuration", "ms", "servers", m.Servers, ms(took))
 	var ingresses []message.Node
 	for i := range members {
-		ingresses = append(
-			ingresses,
-			message.Node{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)},
-		)
+		ingresses = append(ingresses, message.Node{Addr: fmt.Sprintf("10.1.%d.%d:7", i>>8, i&255), Zone: zone(0)})
 	}
 	from := 0
 	took, _ = s.cost(func() { from++; f.SetEndpoints(m.List(from)); settle() })
--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -49,18 +49,8 @@
 func routesOf(d *Table) map[string]string {
 	texts := map[string]string{}
 	for _, r := range d.Routes {
-		texts[r.Name] = fmt.Sprintf(
-			"%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v",
-			r.Domain,
-			r.PathPrefix,
-			r.Kind,
-			r.Shares,
-			r.Timeout,
-			r.LatencyTarget,
-			r.Priority,
-			r.MaxAttempts,
-			r.Public,
-		)
+		texts[r.Name] = fmt.Sprintf("%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v", r.Domain,
+			r.PathPrefix, r.Kind, r.Shares, r.Timeout, r.LatencyTarget, r.Priority, r.MaxAttempts, r.Public)
 	}
 	return texts
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -171,13 +171,7 @@
 		routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
 	for i, it := range doc.Items {
 		if err := table.addItem(it); err != nil {
-			return nil, trace.BadParameter(
-				"configuration: item %d (%s %q): %v",
-				i+1,
-				it.Kind,
-				it.Metadata.Name,
-				err,
-			)
+			return nil, trace.BadParameter("configuration: item %d (%s %q): %v", i+1, it.Kind, it.Metadata.Name, err)
 		}
 	}
 	if err := table.index(); err != nil {
@@ -197,13 +191,11 @@
 			return trace.Wrap(err)
 		}
 		route := Route{
-			Name:       name,
-			Domain:     strings.ToLower(r.Domain),
-			PathPrefix: r.PathPrefix,
-			Kind:       r.Kind,
-			Timeout: seconds(
-				r.TimeoutSeconds,
-			),
+			Name:          name,
+			Domain:        strings.ToLower(r.Domain),
+			PathPrefix:    r.PathPrefix,
+			Kind:          r.Kind,
+			Timeout:       seconds(r.TimeoutSeconds),
 			LatencyTarget: seconds(r.LatencyTargetSeconds),
 			Priority:      r.Priority,
 			MaxAttempts:   max(1, r.MaxAttempts),
