--- /dev/null
+++ b/internal/dataplane/proxy/endpoints.go
@@ -0,0 +1,70 @@
+package proxy
+
+import (
+	"slices"
+
+	"dunespoke/choice"
+	"dunespoke/core"
+	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/subset"
+)
+
+// SetEndpoints takes the list of servers.
+func (h *Handler) SetEndpoints(list []message.Endpoint) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.endpoints = list
+	h.updateCores()
+}
+
+// SetNodes takes the gateways that there are, in an agreed order.
+func (h *Handler) SetNodes(list []message.Node) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.zoneNodes = nil
+	for _, node := range list {
+		if node.Zone == h.Zone {
+			h.zoneNodes = append(h.zoneNodes, node.Addr)
+		}
+	}
+	h.updateCores()
+}
+
+// updateCores tells all cores of their servers. The lock is held.
+func (h *Handler) updateCores() {
+	for service := range h.cores {
+		h.updateCore(service)
+	}
+}
+
+// updateCore tells a service's core of its servers. The lock is held.
+func (h *Handler) updateCore(service string) {
+	if h.endpoints == nil {
+		return
+	}
+	preferred := h.preferredEndpoints(service)
+	var servers []core.Server
+	for _, e := range h.endpoints {
+		if e.Service != service {
+			continue
+		}
+		state := choice.Live
+		if e.Draining {
+			state = choice.Draining
+		}
+		servers = append(servers, core.Server{Name: e.ID, Addr: e.Addr, Zone: e.Zone, State: state, Weight: 1,
+			Far: e.Zone == h.Zone && !slices.Contains(preferred, e.ID)})
+	}
+	h.cores[service].Servers(true, servers)
+}
+
+// preferredEndpoints returns the servers of a service that this gateway tries first, of those in its zone.
+func (h *Handler) preferredEndpoints(service string) []string {
+	var ids []string
+	for _, e := range h.endpoints {
+		if e.Service == service && e.Zone == h.Zone && !e.Draining {
+			ids = append(ids, e.ID)
+		}
+	}
+	return subset.Slice(h.NodeAddr, h.zoneNodes, ids)
+}
