--- a/internal/controlplane/message/accepted_versions_test.go
+++ b/internal/controlplane/message/accepted_versions_test.go
@@ -16,7 +16,7 @@
 
 // Given numbers, when a machine lacks the last of them, then what it is sent follows from those, whichever
 // older ones have been dropped since; over other numbers than those of its outline no others come out.
-func TestNumbersCostWhatIsNew(t *testing.T) {
+func TestAcceptedVersionsCostWhatIsNew(t *testing.T) {
 	for _, last := range []int{40, 700, 731} {
 		for _, behind := range []int{0, 1, 31, 33, 200} {
 			if behind > last {
@@ -48,7 +48,7 @@
 }
 
 // Given what is no list of numbers, or a digest of another length, when it is read, then that is told.
-func TestWhatIsNoNumberIsNotTaken(t *testing.T) {
+func TestMalformedAcceptedVersionsAreRejected(t *testing.T) {
 	if _, err := DecodeAcceptedVersions(make([]byte, 3*acceptedVersionSize-1)); err == nil {
 		t.Error("an entry that is cut off is taken")
 	}
--- a/internal/controlplane/message/chunks_test.go
+++ b/internal/controlplane/message/chunks_test.go
@@ -29,7 +29,7 @@
 
 // Given any two texts, related by edits or not, when one is packed over the outline of the other, then the
 // receiver has it whole, and another old text than the outline's is told as such, never taken.
-func TestRangesMendWhatDiffers(t *testing.T) {
+func TestChunksRepairWhatDiffers(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 150
 	p := gopter.NewProperties(params)
@@ -89,7 +89,7 @@
 
 // Given 14,000 routes, when a machine missed changes, then what it is sent follows from the changes, not from
 // the whole.
-func TestRangesCostWhatChanged(t *testing.T) {
+func TestChunksCostWhatChanged(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	items := routes(rng, 14_000)
 	old := bytes.Join(items, nil)
--- a/internal/controlplane/message/message_test.go
+++ b/internal/controlplane/message/message_test.go
@@ -144,7 +144,7 @@
 }
 
 // Given all that is written by numbered fields, then no two fields of one have the same number.
-func TestNumbersOfFieldsStandForOne(t *testing.T) {
+func TestFieldNumbersAreUnique(t *testing.T) {
 	written := []any{AcceptedVersion{}, Node{}, EndpointList{}, Endpoint{}, TenantTokens{}, Delta{},
 		SnapshotChunk{},
 		patch{}, segment{}}
--- a/internal/controlplane/replica/fault_tolerance_test.go
+++ b/internal/controlplane/replica/fault_tolerance_test.go
@@ -72,7 +72,7 @@
 }
 
 // tolerates reports whether a set of members serves after every permitted loss.
-func bears(t FaultTolerance, all []message.Node, well int) bool {
+func tolerates(t FaultTolerance, all []message.Node, well int) bool {
 	for _, k := range t.domainKinds() {
 		for _, lost := range losses(all, k.lost, k.of) {
 			if !serves(t, all, well&^lost) {
@@ -94,7 +94,7 @@
 
 // Given all small memberships and what may be lost, when any members are well, then whether they may serve,
 // whether they tolerate what may be lost, and how many machines are to spare, is what going through all says.
-func TestWhatMembersBearIsWhatEveryLossSays(t *testing.T) {
+func TestToleranceIsWhatEveryLossSays(t *testing.T) {
 	small(5, func(o FaultTolerance, all []message.Node) {
 		for well := range 1 << len(all) {
 			list := membersIn(all, well)
@@ -109,7 +109,7 @@
 			if got := o.chainSuffices(list, all) && len(list) >= majority(all); got != wantServes {
 				t.Fatalf("%+v: %v of %v serve: %v, want %v", o, list, all, got, wantServes)
 			}
-			if got, want := o.gap(list, all) == "", bears(o, all, well); got != want {
+			if got, want := o.gap(list, all) == "", tolerates(o, all, well); got != want {
 				t.Fatalf("%+v: %v of %v: %q, bears %v", o, list, all, o.gap(list, all), want)
 			}
 			if got := o.toleratedFailures(list, all); got != max(0, spare) {
@@ -121,7 +121,7 @@
 
 // Given all small sets of machines, when a core is named of them, or grows by them, then it tolerates what
 // may be lost wherever some of them do.
-func TestACoreIsFoundWhereThereIsOne(t *testing.T) {
+func TestABootstrapMembershipIsFoundWhereThereIsOne(t *testing.T) {
 	small(7, func(o FaultTolerance, all []message.Node) {
 		some := false
 		for set := 1; set < 1<<len(all) && !some; set++ {
@@ -129,10 +129,10 @@
 			some = o.shortfall(list) == 0
 		}
 		core, ok := o.bootstrapMembers(all)
-		if ok != some || ok && !bears(o, core, 1<<len(core)-1) || !ok && len(core) != len(all) {
+		if ok != some || ok && !tolerates(o, core, 1<<len(core)-1) || !ok && len(core) != len(all) {
 			t.Fatalf("%+v: of %v %v, %v; there is one: %v", o, all, core, ok, some)
 		}
-		if (o.shortfall(all) == 0) != bears(o, all, 1<<len(all)-1) {
+		if (o.shortfall(all) == 0) != tolerates(o, all, 1<<len(all)-1) {
 			t.Fatalf("%+v: %v misses %d", o, all, o.shortfall(all))
 		}
 	})
@@ -169,7 +169,7 @@
 
 // Given a place that is free, then the zone that lacks members is first, and after that the zone of who left;
 // where nothing but machines is counted, the zone alone decides.
-func TestTheNewcomerOfTheZoneThatLacksMembers(t *testing.T) {
+func TestTheLearnerOfTheZoneThatLacksMembers(t *testing.T) {
 	all := func(zones string) (list []message.Node) {
 		for i, z := range zones {
 			list = append(list, message.Node{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -12,7 +12,7 @@
 // in touch in the view before for some moments more, when a machine that has just started asks that one for
 // news, then it is not told that the change is complete, and tells it to nobody: no second core comes of it.
 // A member that tells it so is found.
-func TestAChangeThatIsNotCompleteIsNoNews(t *testing.T) {
+func TestAnIncompleteChangeIsNotTold(t *testing.T) {
 	play := func(defect bool) string {
 		s := given(t, 1)
 		a, b, c, asker := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
@@ -81,13 +81,13 @@
 			"hangs":     func(m *Machine) { m.HangDisk(true) },
 			"not there": func(m *Machine) { m.removed = true },
 		} {
-			s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 5}),
+			s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 5}),
 				t, 0}
 			m := s.Machine(name)
 			hit(m)
 			s.StartAll()
 			s.Run(300 * time.Millisecond) // by which all have started
-			if took := s.change(s.Machine("z1-2")); took > quietFor+mostForAChange-time.Second {
+			if took := s.change(s.Machine("z1-2")); took > quietPeriod+mostForAChange-time.Second {
 				t.Errorf("%s %s: acknowledged after %v", name, what, took)
 			}
 			m.removed = false
@@ -105,7 +105,7 @@
 func TestWhoProposesAViewWithoutItselfDoesNotServe(t *testing.T) {
 	s := given(t, 2)
 	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
-	w := watched(s.Cluster)
+	w := checkStaleness(s.Cluster)
 	watching, proposed := s.Observe, false
 	s.Observe = func(from *Machine, to string, m *message.Message) {
 		if from == b && m.Type() == message.TypePrepare { // for a moment it is heard
@@ -129,8 +129,8 @@
 		s.change(c)
 		s.Run(500 * time.Millisecond)
 	}
-	if len(w.wrong) > 0 {
-		t.Errorf("%d words, the first: %s", len(w.wrong), w.wrong[0])
+	if len(w.violations) > 0 {
+		t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
 	}
 	s.HealAll()
 	s.then("it is back", 4*time.Second, func() bool {
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -14,7 +14,7 @@
 // gateway asks every machine of the core for tokens all the time, each under the epoch that this one knows,
 // and holds their grants to one allocator at a time.
 type allocatorProbe struct {
-	s     *story
+	s     *scenario
 	calls uint64
 	epoch uint64        // newest under which tokens were given
 	last  time.Duration // when any were given last
@@ -23,7 +23,7 @@
 }
 
 // asking begins to ask.
-func (s *story) asking() *allocatorProbe {
+func (s *scenario) asking() *allocatorProbe {
 	g := &allocatorProbe{s: s, last: s.Now}
 	s.Observe = func(from *Machine, _ string, m *message.Message) {
 		if grant, ok := m.Body.(*message.TokenGrant); ok && grant.OK {
@@ -63,10 +63,10 @@
 
 // halves are troubles in which a machine is in touch with some of the core and not with others: one that
 // is the allocator hears a majority in its view until the moment at which there is another.
-var halves = []trouble{
-	{name: "not heard by one", hit: func(s *story, m *Machine) { s.CutOneWay(m, s.next(m), true) }},
-	{name: "does not hear one", hit: func(s *story, m *Machine) { s.CutOneWay(s.next(m), m, true) }},
-	{name: "not heard by one, and hears nobody as that makes another view", hit: func(s *story, m *Machine) {
+var halves = []fault{
+	{name: "not heard by one", hit: func(s *scenario, m *Machine) { s.CutOneWay(m, s.next(m), true) }},
+	{name: "does not hear one", hit: func(s *scenario, m *Machine) { s.CutOneWay(s.next(m), m, true) }},
+	{name: "not heard by one, and hears nobody as that makes another view", hit: func(s *scenario, m *Machine) {
 		s.CutOneWay(m, s.next(m), true)
 		s.schedule(time.Duration(800+s.rng.IntN(100))*time.Millisecond, func() {
 			for _, other := range s.others(m) {
@@ -74,9 +74,9 @@
 			}
 		})
 	}},
-	{name: "cut off from one", hit: func(s *story, m *Machine) { s.Cut(m, s.next(m), true) }},
-	{name: "killed", hit: func(_ *story, m *Machine) { m.Kill() }},
-	{name: "killed for a moment", hit: func(s *story, m *Machine) {
+	{name: "cut off from one", hit: func(s *scenario, m *Machine) { s.Cut(m, s.next(m), true) }},
+	{name: "killed", hit: func(_ *scenario, m *Machine) { m.Kill() }},
+	{name: "killed for a moment", hit: func(s *scenario, m *Machine) {
 		m.Kill()
 		s.schedule(300*time.Millisecond, m.Start)
 	}},
@@ -92,14 +92,14 @@
 // trouble, some in the middle of a change of the view, and returns the gateway that asked all the while.
 func allocators(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *allocatorProbe {
 	survive := 1 + int(seed%2)
-	s := &story{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
+	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 21))
 	s.Tamper = tamper
 	s.StartAll()
 	s.then("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
 	g := s.asking()
-	all := append(slices.Clone(halves), troubles...)
+	all := append(slices.Clone(halves), faults...)
 	for range 4 {
 		var hit []*Machine
 		for range 1 + rng.IntN(s.SurviveMachines) {
@@ -123,7 +123,7 @@
 // Given any troubles of machines of the core, when all of them are asked for tokens all the while, then once
 // one has given some in a view, none gives any in an earlier one. Where all say at once that no earlier
 // allocator has a lease, some do.
-func TestTwoNeverKeepTheCounts(t *testing.T) {
+func TestTwoNeverAllocate(t *testing.T) {
 	t.Parallel()
 	found := 0
 	for seed := range uint64(16) {
@@ -171,7 +171,7 @@
 // Given a core whose processes are all killed, when two of them are back and make a view, and the third comes
 // as that is being made, then tokens are given soon after it has answered in the view: no earlier incarnation
 // of it can give any.
-func TestNoLeaseIsAwaitedOfWhoHasAnsweredInTheView(t *testing.T) {
+func TestNoLeaseIsAwaitedOfAReplicaThatAnsweredInTheView(t *testing.T) {
 	s := given(t, 1)
 	g := s.asking()
 	s.Run(time.Second)
@@ -192,9 +192,9 @@
 	}
 }
 
-// heldUp has a gateway's watches wait for a while on their way, or come again after it, and ends
+// delayedWatch has a gateway's watches wait for a while on their way, or come again after it, and ends
 // its process; it returns for how long the others count it as a member.
-func heldUp(t *testing.T, again bool, tamper func(*Machine, *message.Message)) time.Duration {
+func delayedWatch(t *testing.T, again bool, tamper func(*Machine, *message.Message)) time.Duration {
 	s := given(t, 2)
 	s.Tamper = tamper
 	m, other := s.Machine("z1-2"), s.Machine("z2-2")
@@ -224,14 +224,14 @@
 // Given a gateway whose watches wait on their way, or come again, when its process ends, then its
 // lease runs out as if they had not: it counts from its own sending. If it counted from receipt, it would be
 // longer.
-func TestALeaseCountsFromTheAskersSending(t *testing.T) {
+func TestALeaseCountsFromTheWatchersSending(t *testing.T) {
 	const most = 3*time.Second + 900*time.Millisecond // a lease, and a watch until others hear of it
 	for _, again := range []bool{false, true} {
-		if took := heldUp(t, again, nil); took > most {
+		if took := delayedWatch(t, again, nil); took > most {
 			t.Errorf("again %v: a member for %v after its end", again, took)
 		}
 	}
-	if took := heldUp(t, false, func(_ *Machine, m *message.Message) {
+	if took := delayedWatch(t, false, func(_ *Machine, m *message.Message) {
 		if watch, ok := m.Body.(*message.Watch); ok {
 			watch.EchoDelayMillis = 1 << 30
 		}
--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -44,7 +44,8 @@
 
 // play lets the machine miss the changes, and come back.
 func (a *absence) play(t *testing.T) {
-	s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 11}), t,
+	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 11}),
+		t,
 		0}
 	s.Tamper, s.Spoil = a.tamper, a.spoil
 	s.StartAll()
@@ -173,7 +174,7 @@
 // Given as many numbers as are remembered, when a machine missed one change, then it is sent a part of them,
 // and remembers what the others do; the same where its disk has another entry among them, and where it tells
 // the outline of numbers that it doesn't have, so that what it is sent first doesn't come out.
-func TestNumbersThatDifferAreSent(t *testing.T) {
+func TestAcceptedVersionsThatDifferAreSent(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"z1-1", "z3-1"} {
 		for what, a := range map[string]absence{
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -22,9 +22,9 @@
 }
 
 // founded starts a cluster, and waits until what may be lost can be tolerated.
-func founded(t *testing.T, o Options) *story {
+func founded(t *testing.T, o Options) *scenario {
 	t.Helper()
-	s := &story{New(o), t, 0}
+	s := &scenario{New(o), t, 0}
 	s.StartAll()
 	s.tolerant(4 * time.Second)
 	s.change(s.Machines[0])
@@ -32,12 +32,12 @@
 }
 
 // replicasIn returns the machines with a disk in some zones.
-func (s *story) replicasIn(zones ...string) []*Machine {
+func (s *scenario) replicasIn(zones ...string) []*Machine {
 	return slices.DeleteFunc(s.Replicas(), func(m *Machine) bool { return !slices.Contains(zones, m.node.Zone) })
 }
 
-// lose takes machines away at once, with their disks.
-func lose(list []*Machine) {
+// loseMachines takes machines away at once, with their disks.
+func loseMachines(list []*Machine) {
 	for _, m := range list {
 		m.Kill()
 		m.WipeDisk()
@@ -59,7 +59,7 @@
 				}
 				lost := s.replicasIn(zones...)
 				s.change(s.Machines[len(s.Machines)-1])
-				lose(lost)
+				loseMachines(lost)
 				what := fmt.Sprintf("%s, %v, loss %d", name, zones, i+1)
 				s.then(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 4 })
 				s.change(s.Machines[0])
@@ -115,7 +115,7 @@
 		away := x.Machine("z2-1")
 		x.Machines = x.Machines[:4]
 		x.seeds = []string{x.Machines[0].node.Addr, x.Machines[1].node.Addr, away.node.Addr}
-		s := &story{x, t, 0}
+		s := &scenario{x, t, 0}
 		s.StartAll()
 		s.then("all four serve", 36*time.Second, func() bool { return len(s.Chain()) == 4 })
 		if !countsAlone {
@@ -133,7 +133,7 @@
 				t.Error("it is not acknowledged either once the other zone is back")
 			}
 		}
-		lose(s.replicasIn("z1"))
+		loseMachines(s.replicasIn("z1"))
 		return acked, away.stored.Version == 5, log
 	}
 	acked, kept, log := play(false)
@@ -151,8 +151,9 @@
 // Given machines of which one zone's come late, or that are too many in one zone, then the first start waits
 // for a core that outlives a zone, and names one; counted alone, it names one that doesn't.
 func TestAFirstStartIsSpreadOverZones(t *testing.T) {
-	play := func(countsAlone bool) *story {
-		s := &story{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t, 0}
+	play := func(countsAlone bool) *scenario {
+		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t,
+			0}
 		s.ignoresDomains = countsAlone
 		for _, m := range s.Machines {
 			switch m.Name {
@@ -175,13 +176,13 @@
 		t.Errorf("members %v, borne %v", s.Members(), s.Tolerant())
 	}
 	s.change(s.Machine("z1-5"))
-	lose(s.replicasIn("z1"))
+	loseMachines(s.replicasIn("z1"))
 	s.change(s.Machine("z3-1"))
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
 	s = play(true)
-	lose(s.replicasIn("z1"))
+	loseMachines(s.replicasIn("z1"))
 	if _, ok := s.PutUntilAcknowledged(s.Machine("z3-1"), 3, 4*time.Second); ok {
 		t.Error("the seeded defect is not found")
 	}
@@ -206,7 +207,7 @@
 	s.tolerant(time.Second)
 	s.Add("z2").Start() // the one that operators have replaced doesn't come
 	s.Run(time.Second)
-	lose([]*Machine{old})
+	loseMachines([]*Machine{old})
 	s.then("one of z2 has the place", 8*time.Second, func() bool {
 		return len(s.Members()) == 3 && !slices.Contains(s.Members(), old.node.Addr) && len(s.Chain()) == 3
 	})
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -18,13 +18,13 @@
 )
 
 // member reports whether a machine is a member, with a vote, in a view that serves.
-func (s *story) member(m *Machine) bool {
+func (s *scenario) member(m *Machine) bool {
 	return slices.Contains(s.Members(), m.node.Addr) && slices.Contains(s.Chain(), m.node.Addr) &&
 		m.stored.CaughtUp && len(m.stored.OutgoingMembers) == 0
 }
 
 // tolerant waits until the next loss can be tolerated.
-func (s *story) tolerant(limit time.Duration) {
+func (s *scenario) tolerant(limit time.Duration) {
 	s.t.Helper()
 	s.then("the next loss can be tolerated", limit, s.Tolerant)
 }
@@ -96,7 +96,7 @@
 // replacing plays a replacement under changes until a moment: one of the core is gone for good, and a
 // learner has started, at a new address or, with an empty disk, at the same. Without a moment it plays
 // until that is a member.
-func replacing(t *testing.T, until time.Duration, same bool) (s *story, fresh *Machine) {
+func replacing(t *testing.T, until time.Duration, same bool) (s *scenario, fresh *Machine) {
 	t.Helper()
 	s = given(t, 1)
 	if fresh = s.Machine("z1-1"); same {
@@ -117,7 +117,7 @@
 }
 
 // ends holds a story to its end: all is well again, and nothing that was acknowledged is lost.
-func (s *story) ends(what string) {
+func (s *scenario) ends(what string) {
 	s.t.Helper()
 	s.then(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 2 })
 	s.change(s.Machine("z3-2"))
@@ -356,7 +356,7 @@
 }
 
 // by has an order by hand carried out or refused, as operators do: one without a clear answer is sent again.
-func (s *story) by(m *Machine, add, remove string) (ok bool, why string) {
+func (s *scenario) by(m *Machine, add, remove string) (ok bool, why string) {
 	s.t.Helper()
 	for range 6 {
 		o := s.ChangeMembers(m, add, remove)
@@ -422,10 +422,11 @@
 	}
 }
 
-// dismissed plays a member that operators remove while it runs, or while it is cut off from the members and
-// hears of it from a seed without a disk; it is started again, and so are all. It returns whether that is a
-// member again, though nobody has added it.
-func dismissed(t *testing.T, cut bool, spoil func(*Machine, *replica.PersistentState)) (s *story, m *Machine,
+// removedMember plays a member that operators remove while it runs, or while it is cut off from the members
+// and hears of it from a seed without a disk; it is started again, and so are all. It returns whether that is
+// a member again, though nobody has added it.
+func removedMember(t *testing.T, cut bool, spoil func(*Machine, *replica.PersistentState)) (s *scenario,
+	m *Machine,
 	back bool) {
 	t.Helper()
 	s = given(t, 1)
@@ -464,7 +465,7 @@
 // comes. One that forgets that it was removed is found.
 func TestARemovalByHandSticks(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		s, m, back := dismissed(t, cut, nil)
+		s, m, back := removedMember(t, cut, nil)
 		if back {
 			t.Errorf("cut %v: it is back in %v", cut, s.Members())
 		}
@@ -475,7 +476,7 @@
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
 		s.ends("after that")
-		if _, _, back := dismissed(t, cut,
+		if _, _, back := removedMember(t, cut,
 			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false }); !back {
 			t.Errorf("cut %v: the seeded defect is not found", cut)
 		}
@@ -501,7 +502,7 @@
 // handedOver plays a change that is acknowledged while one of three is away, a member that is replaced
 // then, and the loss of the only other one that has the change: the successor has to have it. What is
 // seeded takes hold as the successor starts.
-func handedOver(t *testing.T, seed func(s *story, fresh *Machine)) (wrong string) {
+func handedOver(t *testing.T, seed func(s *scenario, fresh *Machine)) (wrong string) {
 	t.Helper()
 	s := given(t, 1)
 	away, old, left := s.Machine("z3-1"), s.Machine("z1-1"), s.Machine("z2-1")
@@ -532,9 +533,9 @@
 	return "the newest can't be read"
 }
 
-// apart plays a core that has replaced a machine; that comes back beside one of the others, and the two are
-// cut off from the rest while operators are at both sides.
-func apart(t *testing.T, seed func(s *story, old, peer *Machine)) (wrong string) {
+// partitionedChange plays a core that has replaced a machine; that comes back beside one of the others, and
+// the two are cut off from the rest while operators are at both sides.
+func partitionedChange(t *testing.T, seed func(s *scenario, old, peer *Machine)) (wrong string) {
 	t.Helper()
 	s := given(t, 1)
 	old, peer := s.Machine("z1-1"), s.Machine("z2-1")
@@ -571,18 +572,18 @@
 			}
 		}
 	}
-	never := func(*story, *Machine) {}
+	never := func(*scenario, *Machine) {}
 	if wrong := handedOver(t, never); wrong != "" {
 		t.Errorf("without a defect: %s", wrong)
 	}
-	if wrong := apart(t, func(*story, *Machine, *Machine) {}); wrong != "" {
+	if wrong := partitionedChange(t, func(*scenario, *Machine, *Machine) {}); wrong != "" {
 		t.Errorf("without a defect: %s", wrong)
 	}
 	for name, wrong := range map[string]string{
-		"a change agreed by the new members alone": handedOver(t, func(s *story, _ *Machine) {
+		"a change agreed by the new members alone": handedOver(t, func(s *scenario, _ *Machine) {
 			s.Spoil = func(_ *Machine, r *replica.PersistentState) { r.OutgoingMembers = nil }
 		}),
-		"a newcomer that votes before it is caught up": handedOver(t, func(s *story, fresh *Machine) {
+		"a newcomer that votes before it is caught up": handedOver(t, func(s *scenario, fresh *Machine) {
 			s.Spoil = func(m *Machine, r *replica.PersistentState) {
 				if m == fresh {
 					r.Value = replica.Value{}
@@ -590,13 +591,14 @@
 			}
 		}),
 		"a member that leaves before its successor has the state": handedOver(t,
-			func(s *story, fresh *Machine) {
+			func(s *scenario, fresh *Machine) {
 				s.Tamper = of(message.TypeInstallView, fresh, func(m *message.Message) {
 					install := m.Body.(*message.InstallView)
 					install.Version, install.Config, install.AcceptedVersions = 0, nil, nil
 				})
 			}),
-		"a removed member that votes under its old life": apart(t, func(_ *story, old, peer *Machine) {
+		"a removed member that votes under its old life": partitionedChange(t, func(_ *scenario, old,
+			peer *Machine) {
 			// Its vote counts beside that of one which has forgotten the change.
 			peer.stored.Members, peer.stored.MembershipEpoch = old.stored.Members, old.stored.MembershipEpoch
 		}),
@@ -630,7 +632,7 @@
 func TestAFirstStartOutlivesTwoSeeds(t *testing.T) {
 	for spared := range 3 {
 		for at := time.Duration(0); at < 1100*time.Millisecond; at += 20 * time.Millisecond {
-			if wrong := twoSeeds(spared, at, at%(80*time.Millisecond) == 0); wrong != "" {
+			if wrong := twoSeedsLost(spared, at, at%(80*time.Millisecond) == 0); wrong != "" {
 				t.Errorf("all but seed %d killed at %v: %s", spared, at, wrong)
 			}
 		}
@@ -738,8 +740,8 @@
 	return x.consistent()
 }
 
-// twoSeeds plays a first start in which all seeds but one are killed, and returns what went wrong.
-func twoSeeds(spared int, at time.Duration, wiped bool) (wrong string) {
+// twoSeedsLost plays a first start in which all seeds but one are killed, and returns what went wrong.
+func twoSeedsLost(spared int, at time.Duration, wiped bool) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: uint64(at)})
 	x.StartAll()
 	x.Run(at)
@@ -769,9 +771,9 @@
 // Given a machine of the core whose disk takes nothing, or that hears nobody, while another one waits, then
 // that takes its place as for one that is silent; and when all is well again, it is a learner.
 func TestAMachineThatIsOfNoUseIsReplaced(t *testing.T) {
-	for name, strike := range map[string]func(s *story, m *Machine, on bool){
-		"disk": func(_ *story, m *Machine, on bool) { m.FillDisk(on) },
-		"ears": func(s *story, m *Machine, on bool) {
+	for name, strike := range map[string]func(s *scenario, m *Machine, on bool){
+		"disk": func(_ *scenario, m *Machine, on bool) { m.FillDisk(on) },
+		"ears": func(s *scenario, m *Machine, on bool) {
 			for _, other := range s.Machines {
 				s.CutOneWay(other, m, on && other != m)
 			}
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -16,21 +16,21 @@
 // The bounds of the rules, by their names on the users' pages.
 const (
 	applyWithin = 2 * time.Second // apply_s
-	quietFor    = 3 * time.Second // quiet_s
+	quietPeriod = 3 * time.Second // quiet_s
 	callerWaits = time.Second     // of silence, after which a caller goes on
-	wayBack     = 50 * time.Millisecond
+	returnPath  = 50 * time.Millisecond
 	// confirm_s: no orderly change waits longer for its acknowledgement.
 	mostForAChange = 4 * time.Second
 )
 
 // Given the times that the program goes by, then what follows from them keeps within the rules.
-func TestTheBoundsOfWhatIsToldOutOfTouch(t *testing.T) {
+func TestTheBoundsOfStaleness(t *testing.T) {
 	for what, c := range map[string]struct{ got, most time.Duration }{
 		"who asks a silent machine asks the next": {client.FailoverTimeout, applyWithin},
 		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, applyWithin},
 		"an older configuration comes into force": {MaxStaleInForce, applyWithin},
-		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietFor},
-		"a call is answered":                      {client.CallTimeout, callerWaits - wayBack},
+		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietPeriod},
+		"a call is answered":                      {client.CallTimeout, callerWaits - returnPath},
 	} {
 		if c.got > c.most {
 			t.Errorf("%s after %v, %v is allowed", what, c.got, c.most)
@@ -38,24 +38,25 @@
 	}
 }
 
-// watch holds every word of every machine to what a majority has agreed on more than the bound ago.
-type watch struct {
-	x      *Cluster
-	polls  map[poll]uint64  // the version that the question came with
-	views  map[uint64]began // by epoch
-	newest uint64           // of these
-	last   map[word]time.Duration
-	lists  map[process]message.EndpointList // that was told last
-	wrong  []string
+// stalenessChecker holds every word of every machine to what a majority has agreed on more than the bound
+// ago.
+type stalenessChecker struct {
+	x          *Cluster
+	watches    map[watchKey]uint64  // the version that the question came with
+	views      map[uint64]viewStart // by epoch
+	newest     uint64               // of these
+	last       map[statement]time.Duration
+	lists      map[process]message.EndpointList // that was told last
+	violations []string
 }
 
-type poll struct {
+type watchKey struct {
 	from       string
 	life, call uint64
 }
 
-// began is when a view was first in service, and how many lists the platform had told by then.
-type began struct {
+// viewStart is when a view was first in service, and how many lists the platform had told by then.
+type viewStart struct {
 	at     time.Duration
 	serial int
 }
@@ -65,15 +66,16 @@
 	number int
 }
 
-type word struct {
+type statement struct {
 	from *Machine
 	kind message.Type
 }
 
-func watched(x *Cluster) *watch {
-	w := &watch{x: x, polls: map[poll]uint64{}, views: map[uint64]began{}, last: map[word]time.Duration{},
+func checkStaleness(x *Cluster) *stalenessChecker {
+	w := &stalenessChecker{x: x, watches: map[watchKey]uint64{}, views: map[uint64]viewStart{},
+		last:  map[statement]time.Duration{},
 		lists: map[process]message.EndpointList{}}
-	x.Observe = w.told
+	x.Observe = w.observe
 	return w
 }
 
@@ -87,36 +89,37 @@
 }
 
 // change has the platform tell another list.
-func (w *watch) change() {
+func (w *stalenessChecker) change() {
 	w.x.Servers = []message.Endpoint{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
 }
 
-func (w *watch) breaks(from *Machine, format string, args ...any) {
-	w.wrong = append(w.wrong, fmt.Sprintf("%v %s ", w.x.Now-time.Hour, from.Name)+fmt.Sprintf(format, args...))
+func (w *stalenessChecker) violate(from *Machine, format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v %s ", w.x.Now-time.Hour, from.Name)+fmt.Sprintf(format,
+		args...))
 }
 
-// told takes a word of a machine.
-func (w *watch) told(from *Machine, to string, m *message.Message) {
+// observe takes a word of a machine.
+func (w *stalenessChecker) observe(from *Machine, to string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.Heartbeat:
 		if _, known := w.views[body.Epoch]; body.Epoch > 0 && !known {
-			w.views[body.Epoch] = began{w.x.Now, serial(w.x.Servers)}
+			w.views[body.Epoch] = viewStart{w.x.Now, serial(w.x.Servers)}
 			w.newest = max(w.newest, body.Epoch)
 		}
 		return
 	case *message.Watch:
-		w.polls[poll{from.node.Addr, m.Incarnation, m.RequestID}] = body.Version
+		w.watches[watchKey{from.node.Addr, m.Incarnation, m.RequestID}] = body.Version
 		return
 	case *message.WatchResponse:
-		w.news(from, to, m, body)
+		w.checkResponse(from, to, m, body)
 	case *message.TokenGrant:
-		w.inForce(from, "grants tokens", body.Epoch, body.OK)
+		w.checkEpoch(from, "grants tokens", body.Epoch, body.OK)
 	case *message.EndpointUpdate:
-		w.read(from, body.Endpoints)
+		w.checkEndpoints(from, body.Endpoints)
 		return
 	}
 	if succeeds(m) {
-		w.last[word{from, m.Type()}] = w.x.Now
+		w.last[statement{from, m.Type()}] = w.x.Now
 	}
 }
 
@@ -143,20 +146,22 @@
 	return false
 }
 
-// inForce holds a word that is told under an epoch to the views that were in service more than the bound ago.
-func (w *watch) inForce(from *Machine, what string, epoch uint64, ok bool) {
+// checkEpoch holds a word that is told under an epoch to the views that were in service more than the bound
+// ago.
+func (w *stalenessChecker) checkEpoch(from *Machine, what string, epoch uint64, ok bool) {
 	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.MaxStaleness {
-		w.breaks(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
+		w.violate(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
 	}
 }
 
-func (w *watch) news(from *Machine, to string, m *message.Message, response *message.WatchResponse) {
-	version, known := w.polls[poll{to, m.Incarnation, m.RequestID}]
-	delete(w.polls, poll{to, m.Incarnation, m.RequestID})
+func (w *stalenessChecker) checkResponse(from *Machine, to string, m *message.Message,
+	response *message.WatchResponse) {
+	version, known := w.watches[watchKey{to, m.Incarnation, m.RequestID}]
+	delete(w.watches, watchKey{to, m.Incarnation, m.RequestID})
 	if !response.Fresh || !known { // asked before the watch began
 		return
 	}
-	w.inForce(from, "tells news", response.Epoch, true)
+	w.checkEpoch(from, "tells news", response.Epoch, true)
 	if response.Config != nil {
 		version = response.Version
 	}
@@ -168,88 +173,89 @@
 	}
 	for _, c := range w.x.Calls {
 		if !stale && c.Acknowledged && !c.Read && c.Version > version && w.x.Now > c.EndedAt+replica.MaxStaleness {
-			w.breaks(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.EndedAt)
+			w.violate(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.EndedAt)
 		}
 	}
 	if response.Endpoints != nil {
-		w.read(from, response.Endpoints)
+		w.checkEndpoints(from, response.Endpoints)
 	}
 }
 
-// read holds a list to its token: it was read when that epoch's view was in service, and tokens only rise.
-func (w *watch) read(from *Machine, l *message.EndpointList) {
+// checkEndpoints holds a list to its token: it was read when that epoch's view was in service, and tokens
+// only rise.
+func (w *stalenessChecker) checkEndpoints(from *Machine, l *message.EndpointList) {
 	of := process{from, from.starts}
 	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
-		w.breaks(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
+		w.violate(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
 	}
 	w.lists[of] = *l
 	if v, known := w.views[l.Epoch]; known && serial(l.Endpoints) < v.serial {
-		w.breaks(from, "tells list %d as one of %d, which began with %d", serial(l.Endpoints), l.Epoch, v.serial)
+		w.violate(from, "tells list %d as one of %d, which began with %d", serial(l.Endpoints), l.Epoch, v.serial)
 	}
 }
 
-// trouble is what befalls a machine for a while.
-type trouble struct {
+// fault is what befalls a machine for a while.
+type fault struct {
 	name string
-	hit  func(s *story, m *Machine)
+	hit  func(s *scenario, m *Machine)
 	// It can't know what a majority goes by: nothing that counts is said after the bound. What a majority has
 	// said may come late, and is true all the same.
 	mute bool
 	late time.Duration
 }
 
-var troubles = []trouble{
-	{"cut off from all", func(s *story, m *Machine) {
+var faults = []fault{
+	{"cut off from all", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.Cut(m, other, true)
 		}
 	}, true, 0},
-	{"heard by nobody", func(s *story, m *Machine) {
+	{"heard by nobody", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.CutOneWay(m, other, true)
 		}
 	}, true, 0},
-	{"hears nobody", func(s *story, m *Machine) {
+	{"hears nobody", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.CutOneWay(other, m, true)
 		}
 	}, true, 0},
-	{"cut off from the core", func(s *story, m *Machine) { s.Isolate(m, true) }, true, 0},
-	{"hears nobody of the core", func(s *story, m *Machine) {
+	{"cut off from the core", func(s *scenario, m *Machine) { s.Isolate(m, true) }, true, 0},
+	{"hears nobody of the core", func(s *scenario, m *Machine) {
 		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(other, m, true)
 			}
 		}
 	}, true, 0},
-	{"heard by nobody of the core", func(s *story, m *Machine) {
+	{"heard by nobody of the core", func(s *scenario, m *Machine) {
 		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(m, other, true)
 			}
 		}
 	}, true, 0},
-	{"cut off from all but the core", func(s *story, m *Machine) {
+	{"cut off from all but the core", func(s *scenario, m *Machine) {
 		for _, other := range s.Machines {
 			if !other.hasDisk {
 				s.Cut(m, other, true)
 			}
 		}
 	}, false, 0},
-	{"hears all three seconds late", func(s *story, m *Machine) {
+	{"hears all three seconds late", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.SlowOneWay(other, m, 3*time.Second)
 		}
 	}, true, 3 * time.Second},
-	{"is heard three seconds late", func(s *story, m *Machine) {
+	{"is heard three seconds late", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.SlowOneWay(m, other, 3*time.Second)
 		}
 	}, true, 3 * time.Second},
-	{"frozen", func(_ *story, m *Machine) { m.Freeze() }, true, 0},
-	{"a slow disk", func(_ *story, m *Machine) { m.SetSyncTime(1500 * time.Millisecond) }, false, 0},
-	{"a disk that hangs", func(_ *story, m *Machine) { m.HangDisk(true) }, false, 0},
-	{"a full disk", func(_ *story, m *Machine) { m.FillDisk(true) }, false, 0},
+	{"frozen", func(_ *scenario, m *Machine) { m.Freeze() }, true, 0},
+	{"a slow disk", func(_ *scenario, m *Machine) { m.SetSyncTime(1500 * time.Millisecond) }, false, 0},
+	{"a disk that hangs", func(_ *scenario, m *Machine) { m.HangDisk(true) }, false, 0},
+	{"a full disk", func(_ *scenario, m *Machine) { m.FillDisk(true) }, false, 0},
 }
 
 // others are all machines but one.
@@ -257,8 +263,8 @@
 	return slices.DeleteFunc(slices.Clone(c.Machines), func(o *Machine) bool { return o == m })
 }
 
-// counts are the kinds of words that claim to be the newest, or to be held by a majority.
-var counts = []message.Type{
+// allocatorGap are the kinds of words that claim to be the newest, or to be held by a majority.
+var allocatorGap = []message.Type{
 	message.TypeWatchResponse,
 	message.TypeCommitted,
 	message.TypeConflict,
@@ -268,7 +274,8 @@
 
 // twentySeconds has a machine of the core in trouble for that long, while operators go on at the others and
 // at this one, and the platform's list changes. It returns the longest that a change took.
-func twentySeconds(s *story, w *watch, m *Machine, hit func(*story, *Machine)) (longest time.Duration) {
+func twentySeconds(s *scenario, w *stalenessChecker, m *Machine, hit func(*scenario,
+	*Machine)) (longest time.Duration) {
 	others := s.others(m)
 	hit(s, m)
 	began := s.Now
@@ -290,7 +297,7 @@
 }
 
 // changeAt sends a change to one of some machines after another until it has a clear answer.
-func (s *story) changeAt(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
+func (s *scenario) changeAt(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
 	began := s.Now
 	for i := first; s.Now < began+8*time.Second; i++ {
 		c := s.Put(list[i%len(list)], version, "in-order")
@@ -302,7 +309,7 @@
 	return 8 * time.Second, false
 }
 
-func (s *story) heal(m *Machine) {
+func (s *scenario) heal(m *Machine) {
 	m.SetSyncTime(5 * time.Millisecond)
 	m.HangDisk(false)
 	repair(s.Cluster, []*Machine{m})
@@ -313,27 +320,27 @@
 // it, within the second that they wait; the others go on, and when it is over all go by the newest.
 func TestTwentySecondsOutOfTouch(t *testing.T) {
 	t.Parallel()
-	for _, tr := range troubles {
+	for _, tr := range faults {
 		for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 			t.Run(tr.name+" "+name, func(t *testing.T) {
 				s := given(t, 2)
 				s.ReadTime = 700 * time.Millisecond
-				w := watched(s.Cluster)
+				w := checkStaleness(s.Cluster)
 				m, first, began := s.Machine(name), len(s.Calls), s.Now
 				if took := twentySeconds(s, w, m, tr.hit); took > mostForAChange {
 					t.Errorf("a change took %v at the others", took)
 				}
-				for _, kind := range counts {
+				for _, kind := range allocatorGap {
 					most := replica.MaxWatchSilence
 					if kind != message.TypeWatchResponse && kind != message.TypeTokenGrant {
 						most += tr.late
 					}
-					if at := w.last[word{m, kind}]; tr.mute && at > began+most {
+					if at := w.last[statement{m, kind}]; tr.mute && at > began+most {
 						t.Errorf("it says %d for %v more", kind, at-began)
 					}
 				}
 				for _, c := range s.Calls[first:] {
-					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerWaits-wayBack {
+					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerWaits-returnPath {
 						t.Errorf("%+v has its answer after %v", *c, took)
 					}
 					if !c.Ended && !m.frozen && c.StartedAt < s.Now-callerWaits {
@@ -355,8 +362,8 @@
 				if len(s.Chain()) != 3 {
 					t.Errorf("the chain is %v", s.Chain())
 				}
-				if len(w.wrong) > 0 {
-					t.Errorf("%d words, the first: %s", len(w.wrong), w.wrong[0])
+				if len(w.violations) > 0 {
+					t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
 				}
 				if wrong := s.consistent(); wrong != "" {
 					t.Error(wrong)
@@ -396,13 +403,13 @@
 	} {
 		s := given(t, 2)
 		s.ReadTime = 2 * time.Second
-		w := watched(s.Cluster)
+		w := checkStaleness(s.Cluster)
 		d.seed(s.Cluster)
 		w.change()
 		s.Run(2 * time.Second) // reading
-		i := slices.IndexFunc(troubles, func(tr trouble) bool { return tr.name == d.trouble })
-		took := twentySeconds(s, w, s.Machine(d.machine), troubles[i].hit)
-		if took <= mostForAChange && len(w.wrong) == 0 && s.consistent() == "" {
+		i := slices.IndexFunc(faults, func(tr fault) bool { return tr.name == d.trouble })
+		took := twentySeconds(s, w, s.Machine(d.machine), faults[i].hit)
+		if took <= mostForAChange && len(w.violations) == 0 && s.consistent() == "" {
 			t.Errorf("not found: %s", d.what)
 		}
 	}
@@ -412,7 +419,7 @@
 // when the platform is down, then nobody goes back to that: it is told the newest, and passes it on.
 func TestAReaderThatComesBackTellsNoOldList(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Cluster)
+	w := checkStaleness(s.Cluster)
 	reader := s.Machine("z3-1")
 	w.change()
 	s.Run(2 * time.Second)
@@ -440,8 +447,8 @@
 			return serial(m.Endpoints()) != serial(s.Servers)
 		})
 	})
-	if len(w.wrong) > 0 {
-		t.Error(w.wrong[0])
+	if len(w.violations) > 0 {
+		t.Error(w.violations[0])
 	}
 }
 
@@ -450,7 +457,7 @@
 // comes.
 func TestAMachineThatIsNotToldWhatIsDone(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Cluster)
+	w := checkStaleness(s.Cluster)
 	s.Tamper = func(to *Machine, m *message.Message) {
 		if to.Name != "z2-1" {
 			return
@@ -467,14 +474,14 @@
 		s.Run(200 * time.Millisecond)
 	}
 	s.Run(2 * time.Second)
-	if len(w.wrong) > 0 {
-		t.Errorf("%d words, the first: %s", len(w.wrong), w.wrong[0])
+	if len(w.violations) > 0 {
+		t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
 	}
 }
 
 // Given a machine that stands still for twenty seconds with an answer on its way to it, when changes were
 // acknowledged meanwhile, then it doesn't go by that answer when it wakes.
-func TestNewsThatWasHeldUpIsNotTaken(t *testing.T) {
+func TestAResponseThatWasDelayedIsNotTaken(t *testing.T) {
 	s := given(t, 1)
 	m := s.Machine("z1-2")
 	s.Observe = func(_ *Machine, to string, told *message.Message) {
@@ -498,9 +505,9 @@
 
 // Given a list that comes three seconds late to a machine of the core, when the next one came before it, then
 // those who start, and ask that machine, go by the next one.
-func TestAListThatComesLateIsNotTaken(t *testing.T) {
+func TestALateEndpointListIsNotTaken(t *testing.T) {
 	s := given(t, 2)
-	w := watched(s.Cluster)
+	w := checkStaleness(s.Cluster)
 	s.Network = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
 		update, ok := m.Body.(*message.EndpointUpdate)
@@ -518,8 +525,8 @@
 	m.Kill()
 	m.Start()
 	s.then("it has the newest", time.Second, func() bool { return serial(m.Endpoints()) == 2 })
-	if len(w.wrong) > 0 {
-		t.Error(w.wrong[0])
+	if len(w.violations) > 0 {
+		t.Error(w.violations[0])
 	}
 }
 
@@ -538,10 +545,10 @@
 // words draws a history, and returns what went wrong.
 func words(t *testing.T, seed uint64) string {
 	survive := 1 + int(seed%2)
-	s := &story{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
+	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	w := watched(s.Cluster)
+	w := checkStaleness(s.Cluster)
 	s.StartAll()
 	disks := s.Replicas()
 	if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, 8*time.Second) {
@@ -560,7 +567,7 @@
 			}
 		} else {
 			for _, m := range hit {
-				troubles[rng.IntN(len(troubles))].hit(s, m)
+				faults[rng.IntN(len(faults))].hit(s, m)
 			}
 		}
 		for range 1 + rng.IntN(6) {
@@ -580,8 +587,8 @@
 	c := s.Read(s.Machines[0])
 	s.Run(time.Second)
 	switch {
-	case len(w.wrong) > 0:
-		return w.wrong[0]
+	case len(w.violations) > 0:
+		return w.violations[0]
 	case !c.Acknowledged || !s.Converged(c.Version):
 		return "not all go by the newest"
 	}
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -15,17 +15,17 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// story is a test told as given, when, then, over a cluster in memory.
-type story struct {
+// scenario is a test told as given, when, then, over a cluster in memory.
+type scenario struct {
 	*Cluster
 	t       *testing.T
 	version uint64
 }
 
 // given starts a cluster of three zones, with a disk in each, and waits until it serves.
-func given(t *testing.T, others int) *story {
+func given(t *testing.T, others int) *scenario {
 	t.Helper()
-	s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: others, SurviveMachines: 1,
+	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: others, SurviveMachines: 1,
 		Seed: 7}), t, 0}
 	s.StartAll()
 	s.then("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
@@ -35,7 +35,7 @@
 }
 
 // then waits for something that must come to pass.
-func (s *story) then(what string, limit time.Duration, done func() bool) {
+func (s *scenario) then(what string, limit time.Duration, done func() bool) {
 	s.t.Helper()
 	if !s.Until(done, limit) {
 		s.t.Fatalf("after %v, not so: %s", limit, what)
@@ -46,7 +46,7 @@
 }
 
 // change sends a change to one machine after another until it is acknowledged, as operators do.
-func (s *story) change(first *Machine) time.Duration {
+func (s *scenario) change(first *Machine) time.Duration {
 	s.t.Helper()
 	s.version += 3
 	took, ok := s.PutUntilAcknowledged(first, s.version, 8*time.Second)
@@ -57,7 +57,7 @@
 }
 
 // reads asks a machine for the newest configuration until it answers.
-func (s *story) reads(m *Machine) uint64 {
+func (s *scenario) reads(m *Machine) uint64 {
 	s.t.Helper()
 	for range 8 {
 		c := s.Read(m)
@@ -85,7 +85,7 @@
 func TestAFirstStartOutlivesAnySeed(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for at := 100 * time.Millisecond; at < 1100*time.Millisecond; at += 40 * time.Millisecond {
-			s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
+			s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
 				Seed: uint64(at)}), t, 0}
 			s.StartAll()
 			s.Run(at)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestAMachineThatAcknowledgedAndLostItsDiskIsMended(t *testing.T) {
+func TestAReplicaThatAcknowledgedAndLostItsDiskIsRepaired(t *testing.T) {
 	s := given(t, 1)
 	s.change(s.Machine("z1-1"))
 	m := s.Machine("z1-1")
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -9,10 +9,10 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// narrow has news go by links of a width, one message after the other, and counts its bytes. Words between
+// slowLink has news go by links of a width, one message after the other, and counts its bytes. Words between
 // machines of the core have connections of their own, which get their share.
-type narrow struct {
-	s     *story
+type slowLink struct {
+	s     *scenario
 	to    *Machine      // by the link to this one; nil: by a link from each machine
 	rate  float64       // bytes a second
 	late  time.Duration // and for how long each message is held up on it
@@ -22,8 +22,8 @@
 	whole bool                     // seeded defect: each answer has all, and one that comes late is dropped
 }
 
-func (s *story) narrow(rate float64, to *Machine) *narrow {
-	n := &narrow{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
+func (s *scenario) slowLink(rate float64, to *Machine) *slowLink {
+	n := &slowLink{s: s, to: to, rate: rate, free: map[string]time.Duration{}, asked: map[string]uint64{}}
 	s.Network = n.wire
 	s.Tamper = func(to *Machine, m *message.Message) {
 		response, ok := m.Body.(*message.WatchResponse)
@@ -34,7 +34,7 @@
 	return n
 }
 
-func (n *narrow) wire(from, to string, m *message.Message) []Delivery {
+func (n *slowLink) wire(from, to string, m *message.Message) []Delivery {
 	if watch, ok := m.Body.(*message.Watch); ok {
 		n.asked[from] = m.RequestID
 		if n.whole {
@@ -55,7 +55,7 @@
 }
 
 // sized has a cluster hold so many servers and items of a configuration.
-func (s *story) sized(servers, items int) {
+func (s *scenario) sized(servers, items int) {
 	s.t.Helper()
 	s.ConfigOf = func(version uint64) []byte { return []byte(textOf(int(version), items)) }
 	for i := range servers {
@@ -66,7 +66,7 @@
 	s.then("all know all", 3*time.Second, func() bool { return s.allKnow() })
 }
 
-func (s *story) allKnow() bool {
+func (s *scenario) allKnow() bool {
 	for _, m := range s.Machines {
 		if m.up && (m.version != s.version || len(m.endpoints) != len(s.Servers) || m.nodes != len(s.Machines)) {
 			return false
@@ -91,7 +91,7 @@
 			s.sized(c.servers, c.items)
 			started := slices.DeleteFunc(slices.Clone(s.Machines),
 				func(m *Machine) bool { return m.hasDisk })[:c.started]
-			n := s.narrow(c.rate, nil)
+			n := s.slowLink(c.rate, nil)
 			if n.whole = whole; c.started == 1 {
 				n.to = started[0]
 			}
@@ -124,8 +124,8 @@
 		s := given(t, 1)
 		s.sized(1, c.items)
 		m := s.Machine("z1-2")
-		s.narrow(c.rate, m)
-		w := watched(s.Cluster)
+		s.slowLink(c.rate, m)
+		w := checkStaleness(s.Cluster)
 		m.Kill()
 		m.Start()
 		had := 0
@@ -152,8 +152,8 @@
 		}
 		t.Logf("it had one at %d of %d changes", had, c.changes)
 		s.then("it has the newest", 2*time.Second, func() bool { return m.Version() == s.version })
-		if had < c.changes/2 || len(w.wrong) > 0 {
-			t.Errorf("it had a configuration at %d of %d changes; wrong: %v", had, c.changes, w.wrong)
+		if had < c.changes/2 || len(w.violations) > 0 {
+			t.Errorf("it had a configuration at %d of %d changes; wrong: %v", had, c.changes, w.violations)
 		}
 	}
 }
@@ -162,12 +162,12 @@
 // puts anything in force; yet their bytes are kept, and the first word in time brings the newest by a few
 // more, as each change of a long configuration comes by a few. Seeded defect: a late answer counts as one to
 // the present question; then an old configuration comes into force.
-func TestALateSnapshotIsNoFreshWord(t *testing.T) {
+func TestALateSnapshotIsNotFresh(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
 		s := given(t, 1)
 		s.sized(1, 1200)
 		m := s.Machine("z1-2")
-		n := s.narrow(1e9, m)
+		n := s.slowLink(1e9, m)
 		s.change(s.Machine("z2-2"))
 		s.then("it has the change", time.Second, func() bool { return m.Version() == s.version })
 		if n.bytes > 1000 {
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -98,7 +98,7 @@
 // twoUnderOneNumber plays an order that is left on a head which is cut off, and another one under its number
 // that is acknowledged by the others; then all are killed, the cut ends, and they start again.
 func twoUnderOneNumber(t *testing.T, tamper func(*Machine, *message.Message),
-	spoil func(*Machine, *replica.PersistentState)) *story {
+	spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
 	s := given(t, 2)
 	s.Spoil = spoil
@@ -134,7 +134,7 @@
 // Given an order that was left on the disk of a head which was cut off, when another one under its number was
 // acknowledged, then that stands for ever: on all disks, in force everywhere, acknowledged whenever it is
 // sent again; the other is dropped, and told as a conflict.
-func TestOneTextANumber(t *testing.T) {
+func TestOneContentAVersion(t *testing.T) {
 	s := twoUnderOneNumber(t, nil, nil)
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
@@ -152,8 +152,8 @@
 }
 
 // Given the faults that this was made against, when the same is played, then it is told.
-func TestSeededDefectsOfTheRegisterAreFound(t *testing.T) {
-	for name, s := range map[string]*story{
+func TestSeededDefectsOfTheValueAreFound(t *testing.T) {
+	for name, s := range map[string]*scenario{
 		"what is newest is told by the number alone": twoUnderOneNumber(t, nil,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedEpoch = 0 }),
 		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *message.Message) {
@@ -177,7 +177,7 @@
 }
 
 // pastNumbers plays orders that are sent again when later ones stand.
-func pastNumbers(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *story {
+func pastNumbers(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
 	s := given(t, 1)
 	s.Spoil = spoil
@@ -288,7 +288,7 @@
 }
 
 // Given a seed, when what it draws is played again, then every message and byte is the same.
-func TestARehearsalRepeatsByItsSeed(t *testing.T) {
+func TestASimulationRepeatsByItsSeed(t *testing.T) {
 	for seed := range uint64(6) {
 		var first [2]int
 		for play := range 3 {
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -11,16 +11,16 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// tape keeps answers that a machine gets, and plays them to a later life of it, which is cut off.
-type tape struct {
-	*story
-	m     *Machine
-	kinds []message.Type
-	hold  []message.Type // answers that the earlier incarnation does not get
-	kept  []recordedMessage
-	cut   bool
-	free  []message.Type     // pass all the same
-	sent  []*message.Message // by the life that is cut off
+// recording keeps answers that a machine gets, and plays them to a later life of it, which is cut off.
+type recording struct {
+	*scenario
+	m         *Machine
+	types     []message.Type
+	withheld  []message.Type // answers that the earlier incarnation does not get
+	responses []recordedMessage
+	cut       bool
+	passed    []message.Type     // pass all the same
+	sent      []*message.Message // by the life that is cut off
 }
 
 type recordedMessage struct {
@@ -28,58 +28,58 @@
 	m    *message.Message
 }
 
-// tape has all go over the tape from now on.
-func (s *story) tape(name string, kinds ...message.Type) *tape {
-	t := &tape{story: s, m: s.Machine(name), kinds: kinds}
+// record has all go over the tape from now on.
+func (s *scenario) record(name string, kinds ...message.Type) *recording {
+	t := &recording{scenario: s, m: s.Machine(name), types: kinds}
 	s.Network = t.wire
 	return t
 }
 
-func (t *tape) wire(from, to string, m *message.Message) []Delivery {
+func (t *recording) wire(from, to string, m *message.Message) []Delivery {
 	own := t.m.node.Addr
 	switch {
-	case t.cut && (from == own || to == own) && !slices.Contains(t.free, m.Type()):
+	case t.cut && (from == own || to == own) && !slices.Contains(t.passed, m.Type()):
 		if from == own {
 			t.sent = append(t.sent, m)
 		}
 		return nil
 	case !t.cut && to == own && m.IsResponse():
-		if slices.Contains(t.kinds, m.Type()) {
-			t.kept = append(t.kept, recordedMessage{from, m})
+		if slices.Contains(t.types, m.Type()) {
+			t.responses = append(t.responses, recordedMessage{from, m})
 		}
-		if slices.Contains(t.hold, m.Type()) {
+		if slices.Contains(t.withheld, m.Type()) {
 			return nil
 		}
 	}
 	return []Delivery{{To: to, Message: m}}
 }
 
-// anew starts the machine again.
-func (t *tape) anew() {
+// restart starts the machine again.
+func (t *recording) restart() {
 	t.m.Kill()
 	t.m.Start()
 }
 
-// first starts the machine with an empty disk, and as in the first life of the system.
-func (t *tape) first() {
+// firstStart starts the machine with an empty disk, and as in the first life of the system.
+func (t *recording) firstStart() {
 	t.m.Kill()
 	t.m.WipeDisk()
 	t.m.startedBefore = false
 	t.m.Start()
 }
 
-// lie makes a kept answer one that an earlier program would have taken.
-type lie func(t *tape, m *message.Message)
+// forgery makes a kept answer one that an earlier program would have taken.
+type forgery func(t *recording, m *message.Message)
 
-// play has what was kept come again and again for two seconds, and reports whether it did something.
-func (t *tape) play(did func() bool, l lie) bool {
+// replay has what was kept come again and again for two seconds, and reports whether it did something.
+func (t *recording) replay(did func() bool, l forgery) bool {
 	t.t.Helper()
 	t.cut = true
-	if len(t.kept) == 0 {
+	if len(t.responses) == 0 {
 		t.t.Fatal("nothing was kept")
 	}
 	for end := t.Now + 2*time.Second; t.Now < end && !did(); t.Run(20 * time.Millisecond) {
-		for _, k := range t.kept {
+		for _, k := range t.responses {
 			m := clone(k.m)
 			if l != nil {
 				l(t, m)
@@ -90,12 +90,12 @@
 	return did()
 }
 
-// life has an answer say the life that gets it: as if lives were not told apart.
-func life(t *tape, m *message.Message) { m.Incarnation = t.m.incarnation }
+// forgeIncarnation has an answer say the life that gets it: as if lives were not told apart.
+func forgeIncarnation(t *recording, m *message.Message) { m.Incarnation = t.m.incarnation }
 
 // and the epoch or the ballot of what that asked last.
-func lifeAndEpoch(t *tape, m *message.Message) {
-	life(t, m)
+func forgeIncarnationAndEpoch(t *recording, m *message.Message) {
+	forgeIncarnation(t, m)
 	for _, q := range t.sent {
 		if slices.Contains(message.ResponseTypes[q.Type()], m.Type()) {
 			copyEpoch(m.Body, q.Body)
@@ -117,86 +117,88 @@
 	}
 }
 
-// lateAnswers tells for each kind of answer how it comes to a later life of who asked, and whether that did
+// lateResponses tells for each kind of answer how it comes to a later life of who asked, and whether that did
 // something with it. That life may as well be another machine that has the address now: it knows as little.
-var lateAnswers = []struct {
+var lateResponses = []struct {
 	name  string
 	kinds []message.Type
-	lie   lie // that is found
-	play  func(t *tape, l lie) bool
+	lie   forgery // that is found
+	play  func(t *recording, l forgery) bool
 }{
-	{"News", []message.Type{message.TypeWatchResponse}, life, func(t *tape, l lie) bool {
-		t.free = []message.Type{message.TypeAnnounce, message.TypeMemberList}
+	{"News", []message.Type{message.TypeWatchResponse}, forgeIncarnation, func(t *recording, l forgery) bool {
+		t.passed = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.Run(time.Second)
 		t.cut = true
-		t.anew()
-		return t.play(func() bool { return t.m.version != 0 }, l)
+		t.restart()
+		return t.replay(func() bool { return t.m.version != 0 }, l)
 	}},
-	{"Roll", []message.Type{message.TypeMemberList}, life, func(t *tape, l lie) bool {
+	{"Roll", []message.Type{message.TypeMemberList}, forgeIncarnation, func(t *recording, l forgery) bool {
 		t.Run(time.Second)
 		t.cut = true
-		t.anew()
-		return t.play(func() bool { return len(t.m.controlNode.Members()) > 0 }, l)
+		t.restart()
+		return t.replay(func() bool { return len(t.m.controlNode.Members()) > 0 }, l)
 	}},
-	{"Done", []message.Type{message.TypeCommitted}, life, func(t *tape, l lie) bool {
+	{"Done", []message.Type{message.TypeCommitted}, forgeIncarnation, func(t *recording, l forgery) bool {
 		t.change(t.m)
 		t.cut = true
-		t.anew()
+		t.restart()
 		c := t.PutVersion(t.m, t.version+3)
-		return t.play(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, l)
 	}},
-	{"Conflict", []message.Type{message.TypeConflict}, life, func(t *tape, l lie) bool {
+	{"Conflict", []message.Type{message.TypeConflict}, forgeIncarnation, func(t *recording, l forgery) bool {
 		c := t.Put(t.m, t.version, "another")
 		t.then("that is a conflict", time.Second, func() bool { return c.Conflict })
 		t.cut = true
-		t.anew()
+		t.restart()
 		c = t.PutVersion(t.m, t.version+3)
-		return t.play(func() bool { return c.Conflict }, l)
+		return t.replay(func() bool { return c.Conflict }, l)
 	}},
-	{"Copy", []message.Type{message.TypeReadResult}, life, func(t *tape, l lie) bool {
+	{"Copy", []message.Type{message.TypeReadResult}, forgeIncarnation, func(t *recording, l forgery) bool {
 		c := t.Read(t.m)
 		t.then("it is read", time.Second, func() bool { return c.Acknowledged })
 		t.cut = true
-		t.anew()
+		t.restart()
 		c = t.Read(t.m)
-		return t.play(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, l)
 	}},
-	{"Reformed", []message.Type{message.TypeChangeMembersResult}, life, func(t *tape, l lie) bool {
+	{"Reformed", []message.Type{message.TypeChangeMembersResult}, forgeIncarnation, func(t *recording,
+		l forgery) bool {
 		t.ChangeMembers(t.m, "", "")
 		t.Run(time.Second)
 		t.cut = true
-		t.anew()
+		t.restart()
 		o := t.ChangeMembers(t.m, "", "")
-		return t.play(func() bool { return o.Answer != nil }, l)
+		return t.replay(func() bool { return o.Answer != nil }, l)
 	}},
-	{"Refuse", []message.Type{message.TypeReject}, life, func(t *tape, l lie) bool {
-		t.hold = []message.Type{message.TypeWatchResponse} // it doesn't know the head
+	{"Refuse", []message.Type{message.TypeReject}, forgeIncarnation, func(t *recording, l forgery) bool {
+		t.withheld = []message.Type{message.TypeWatchResponse} // it doesn't know the head
 		t.PutVersion(t.m, t.version+3)
 		t.Run(time.Second)
-		t.free = []message.Type{message.TypeAnnounce, message.TypeMemberList}
+		t.passed = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.cut = true
-		t.anew()
+		t.restart()
 		t.PutVersion(t.m, t.version+3)
-		return t.play(func() bool { return t.m.epoch != 0 }, l)
+		return t.replay(func() bool { return t.m.epoch != 0 }, l)
 	}},
 	// A tail that is cut off would count what it was told before as a quorum, and read what is old.
-	{"Confirmed", []message.Type{message.TypeEpochConfirmed}, lifeAndEpoch, func(t *tape, l lie) bool {
+	{"Confirmed", []message.Type{message.TypeEpochConfirmed}, forgeIncarnationAndEpoch, func(t *recording,
+		l forgery) bool {
 		t.serves("z3-1")
 		t.reads(t.m)
-		t.anew()
+		t.restart()
 		t.serves("z3-1")
 		t.cut = true
 		t.change(t.Machine("z1-1"))
 		c := t.Read(t.m)
-		return t.play(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, l)
 	}},
 	// A machine alone would put a view into service.
 	{
 		"Promise and Installed",
 		[]message.Type{message.TypePromise, message.TypeViewInstalled},
-		lifeAndEpoch,
-		func(t *tape,
-			l lie) bool {
+		forgeIncarnationAndEpoch,
+		func(t *recording,
+			l forgery) bool {
 			t.serves("z1-1")
 			b, c := t.Machine("z2-1"), t.Machine("z3-1") // they serve nothing: it is the one to propose a view
 			t.Cut(b, c, true)
@@ -204,24 +206,24 @@
 				m.Kill()
 				m.Start()
 			}
-			t.free = []message.Type{message.TypeHeartbeat}
+			t.passed = []message.Type{message.TypeHeartbeat}
 			t.cut = true
-			t.anew()
-			return t.play(func() bool { return t.m.Replica().State() == replica.StateServing }, l)
+			t.restart()
+			return t.replay(func() bool { return t.m.Replica().State() == replica.StateServing }, l)
 		},
 	},
 }
 
 // serves waits until a machine is in service with the two others.
-func (t *tape) serves(name string) {
+func (t *recording) serves(name string) {
 	t.t.Helper()
 	t.then(name+" serves", 6*time.Second, func() bool {
 		return t.Machine(name).Replica().ServingWithQuorum() && len(t.Chain()) == 3
 	})
 }
 
-// taped is a cluster in which a machine has just been started again, with its answers on tape.
-func taped(t *testing.T, kinds []message.Type) *tape {
+// recorded is a cluster in which a machine has just been started again, with its answers on tape.
+func recorded(t *testing.T, kinds []message.Type) *recording {
 	s := given(t, 1)
 	name := "z1-2"
 	switch kinds[0] {
@@ -231,26 +233,26 @@
 		name = "z1-1"
 	}
 	s.Run(2 * time.Second)
-	tape := s.tape(name, kinds...)
+	tape := s.record(name, kinds...)
 	if kinds[0] == message.TypePromise { // all at once: otherwise those who serve take it in
 		s.restartAll()
 	}
-	tape.anew()
+	tape.restart()
 	return tape
 }
 
 // Given a process that was started again, or another one that has its address, when answers to its earlier
 // life come late under the same calls, then they do nothing. Were lives not told apart, each would.
-func TestAnswersToAnEarlierLifeDoNothing(t *testing.T) {
+func TestResponsesToAnEarlierIncarnationDoNothing(t *testing.T) {
 	tried := []message.Type{message.TypeBootstrapPromise, message.TypeBootstrapAccepted, // see the next test
 		message.TypeTokenGrant} // is the limiter's: see its tests
-	for _, c := range lateAnswers {
+	for _, c := range lateResponses {
 		tried = append(tried, c.kinds...)
 		t.Run(c.name, func(t *testing.T) {
-			if c.play(taped(t, c.kinds), nil) {
+			if c.play(recorded(t, c.kinds), nil) {
 				t.Error("an answer to an earlier life was taken")
 			}
-			if !c.play(taped(t, c.kinds), c.lie) {
+			if !c.play(recorded(t, c.kinds), c.lie) {
 				t.Error("the seeded defect is not found: the test can't fail")
 			}
 		})
@@ -267,27 +269,28 @@
 // Given a first start in which a seed is killed before its own pledge is on disk, when it proposes again
 // under the same ballot, then pledges and votes that its earlier incarnation was given count for nothing.
 // Counted, they would have it hand out another core under a ballot that may be decided.
-func TestVotesForAnEarlierLifeNameNoCore(t *testing.T) {
-	play := func(l lie) (drafts, named bool) {
-		s := &story{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 7}), t,
+func TestVotesForAnEarlierIncarnationNameNoCore(t *testing.T) {
+	play := func(l forgery) (drafts, named bool) {
+		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 7}),
+			t,
 			0}
-		tape := s.tape("z1-1", message.TypeBootstrapPromise, message.TypeBootstrapAccepted)
-		tape.hold = []message.Type{message.TypeBootstrapAccepted}
+		tape := s.record("z1-1", message.TypeBootstrapPromise, message.TypeBootstrapAccepted)
+		tape.withheld = []message.Type{message.TypeBootstrapAccepted}
 		tape.m.SetSyncTime(2 * time.Second)
 		s.StartAll()
-		s.then("two seeds have the draft", 3*time.Second, func() bool { return len(tape.kept) == 4 })
-		tape.free = []message.Type{message.TypeAnnounce}
+		s.then("two seeds have the draft", 3*time.Second, func() bool { return len(tape.responses) == 4 })
+		tape.passed = []message.Type{message.TypeAnnounce}
 		tape.cut = true
 		tape.m.SetSyncTime(tape.SyncTime) // it says that it is there once its disk's id is on it
-		tape.first()                      // its disk had nothing yet
-		named = tape.play(func() bool { return len(tape.m.controlNode.Members()) > 0 }, l)
+		tape.firstStart()                 // its disk had nothing yet
+		named = tape.replay(func() bool { return len(tape.m.controlNode.Members()) > 0 }, l)
 		return slices.ContainsFunc(tape.sent,
 			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept }), named
 	}
 	if drafts, named := play(nil); drafts || named {
 		t.Errorf("drafts %v, named %v by votes for an earlier life", drafts, named)
 	}
-	if drafts, named := play(life); !drafts || !named {
+	if drafts, named := play(forgeIncarnation); !drafts || !named {
 		t.Errorf("drafts %v, named %v: the seeded defect is not found", drafts, named)
 	}
 }
@@ -446,7 +449,7 @@
 
 // Given a machine that asks for news, when a question comes again after the next one, then the next one is
 // answered all the same, and nobody else need be asked. A late one that is taken for new is found.
-func TestALateQuestionForNewsDoesNotDisplaceTheNext(t *testing.T) {
+func TestALateWatchDoesNotDisplaceTheNext(t *testing.T) {
 	others := func(blind bool) (n int) {
 		s := given(t, 1)
 		m := s.Machine("z1-2")
--- a/internal/controlplane/storage/changes_test.go
+++ b/internal/controlplane/storage/changes_test.go
@@ -171,7 +171,7 @@
 
 // Given as many numbers as are remembered, when one more is taken, then what is written is a chunk, their
 // list and the head.
-func TestANumberCostsAChunk(t *testing.T) {
+func TestAnAcceptedVersionCostsAChunk(t *testing.T) {
 	const bound = 1500
 	most := dearest(t)
 	t.Logf("at most %d bytes", most)
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -16,7 +16,7 @@
 
 // Given records saved in order, when the store is opened again, then the last is there, with the
 // configuration.
-func TestARecordOutlivesTheProcess(t *testing.T) {
+func TestAStateOutlivesTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	v, r, err := Open(dir)
 	if err != nil || !reflect.DeepEqual(r, replica.PersistentState{}) {
@@ -60,7 +60,7 @@
 
 // Given the store of a stopped machine, when it is looked at and a core is restored from it, then the new
 // stores hold the configuration, under epochs above all of the old ones.
-func TestACoreIsFoundedAnewFromWhatIsLeft(t *testing.T) {
+func TestACoreIsRestoredFromWhatIsLeft(t *testing.T) {
 	dir, fresh := t.TempDir(), t.TempDir()
 	v, _, err := Open(dir)
 	if err != nil {
@@ -135,7 +135,7 @@
 
 // Given the stores of machines that ran earlier programs, when they are opened, then the record is there, and
 // the first save writes it in the form that there is now.
-func TestAStoreOfAnEarlierFormIsTakenOver(t *testing.T) {
+func TestStoresOfEarlierFormsAreRead(t *testing.T) {
 	want := replica.PersistentState{
 		CaughtUp:      true,
 		Members:       []message.Node{{Addr: "a", Zone: "z"}},
--- a/internal/controlplane/transport/connections_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -14,15 +14,15 @@
 	"dunespoke/internal/events"
 )
 
-// lines are connections in memory, from whoever dials to who listens at an address.
-type lines map[string]chan net.Conn
+// pipes are connections in memory, from whoever dials to who listens at an address.
+type pipes map[string]chan net.Conn
 
-func (l lines) listen(_, addr string) (net.Listener, error) {
+func (l pipes) listen(_, addr string) (net.Listener, error) {
 	l[addr] = make(chan net.Conn)
 	return listener{l[addr]}, nil
 }
 
-func (l lines) dial(_ context.Context, _, addr string) (net.Conn, error) {
+func (l pipes) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	if l[addr] == nil {
 		return nil, errReset
 	}
@@ -43,8 +43,8 @@
 func (l listener) Close() error   { close(l.calls); return nil }
 func (l listener) Addr() net.Addr { return nil }
 
-// end is a transport in memory, what it heard, and what it logged.
-type end struct {
+// endpoint is a transport in memory, what it heard, and what it logged.
+type endpoint struct {
 	*Transport
 	mu    sync.Mutex
 	calls []uint64
@@ -52,10 +52,10 @@
 	log   chan events.Event
 }
 
-func (l lines) end(t *testing.T, self string, life uint64,
-	dial func(context.Context, string, string) (net.Conn, error)) *end {
+func (l pipes) end(t *testing.T, self string, life uint64,
+	dial func(context.Context, string, string) (net.Conn, error)) *endpoint {
 	t.Helper()
-	e := &end{came: make(chan uint64, 64), log: make(chan events.Event, 64)}
+	e := &endpoint{came: make(chan uint64, 64), log: make(chan events.Event, 64)}
 	var err error
 	e.Transport, err = New(Options{Self: self, Incarnation: life, Listen: l.listen, Dial: dial,
 		Handle: func(_ string, m *message.Message) {
@@ -95,14 +95,14 @@
 	return n, nil
 }
 
-// anewConn plays a transport that sends a queue anew on the next connection.
-type anewConn struct {
+// resendingConn plays a transport that sends a queue anew on the next connection.
+type resendingConn struct {
 	net.Conn
 	rung bool
 	anew []byte
 }
 
-func (c *anewConn) Write(p []byte) (int, error) {
+func (c *resendingConn) Write(p []byte) (int, error) {
 	if c.rung {
 		if _, err := c.Conn.Write(c.anew); err != nil {
 			return 0, err
@@ -116,7 +116,7 @@
 // reset has one end send three calls over a connection that is reset after so many bytes, and then more of
 // them until one comes, and returns what the other heard.
 func reset(t *testing.T, after int, anew bool) []uint64 {
-	l := lines{}
+	l := pipes{}
 	b := l.end(t, "b", 2, l.dial)
 	first := true
 	var sent bytes.Buffer
@@ -131,7 +131,7 @@
 			first = false
 			return &resetConn{nc, after, &sent}, err
 		case anew && sent.Len() > ring:
-			return &anewConn{Conn: nc, anew: sent.Bytes()[ring:]}, err
+			return &resendingConn{Conn: nc, anew: sent.Bytes()[ring:]}, err
 		}
 		return nc, err
 	})
@@ -185,10 +185,10 @@
 	}
 }
 
-// misdialled plays a transport that doesn't say whom it calls.
-type misdialled struct{ net.Conn }
+// withoutReceiver plays a transport that doesn't say whom it calls.
+type withoutReceiver struct{ net.Conn }
 
-func (c misdialled) Write(p []byte) (int, error) {
+func (c withoutReceiver) Write(p []byte) (int, error) {
 	var cut message.FrameDecoder
 	cut.Feed(p)
 	if m, _ := cut.Next(); m != nil {
@@ -202,14 +202,14 @@
 
 // Given an address that another process answers, when it is called, then that one takes nothing of what is
 // said; and where it did not look, who called takes nothing from it.
-func TestWhoAnswersAtAnothersAddressIsHungUpOn(t *testing.T) {
+func TestAPeerAtAnothersAddressIsDisconnected(t *testing.T) {
 	for _, looks := range []bool{true, false} {
-		l := lines{}
+		l := pipes{}
 		b := l.end(t, "b", 2, l.dial)
 		a := l.end(t, "a", 1, func(ctx context.Context, network, _ string) (net.Conn, error) {
 			nc, err := l.dial(ctx, network, "b")
 			if !looks {
-				nc = misdialled{nc}
+				nc = withoutReceiver{nc}
 			}
 			return nc, err
 		})
@@ -232,8 +232,8 @@
 	}
 }
 
-// ring has a peer call a transport by hand, and returns its end once that has taken the connection.
-func (l lines) ring(t *testing.T, from string, life uint64, to *end) net.Conn {
+// handshake has a peer call a transport by hand, and returns its end once that has taken the connection.
+func (l pipes) handshake(t *testing.T, from string, life uint64, to *endpoint) net.Conn {
 	t.Helper()
 	nc, _ := l.dial(context.Background(), "", to.Self)
 	t.Cleanup(func() { nc.Close() })
@@ -277,16 +277,16 @@
 // Given a peer that was started again while something is on its way to its earlier incarnation, when it
 // calls, then the old connection ends at once, and what is said next comes to the new life, without what was
 // cut off. Were lives not told apart, the old one would go on.
-func TestANewLifeTakesTheLineOver(t *testing.T) {
+func TestANewIncarnationTakesTheConnectionOver(t *testing.T) {
 	for life, ends := range map[uint64]bool{7: true, 1: false} {
-		l := lines{}
+		l := pipes{}
 		b := l.end(t, "b", 2, l.dial)
-		old := l.ring(t, "a", 1, b)
+		old := l.handshake(t, "a", 1, b)
 		b.Send("a", &message.Message{RequestID: 1, Body: &message.Committed{}})
 		if _, err := old.Read(make([]byte, 1)); err != nil { // it stands still in the midst of it
 			t.Fatal(err)
 		}
-		young := l.ring(t, "a", life, b)
+		young := l.handshake(t, "a", life, b)
 		if _, err := old.Read(make([]byte, 1)); (err != nil) != ends {
 			t.Errorf("life %d: the old connection ends: %v, want %v", life, err != nil, ends)
 		}
--- a/internal/controlplane/transport/transport_test.go
+++ b/internal/controlplane/transport/transport_test.go
@@ -37,7 +37,7 @@
 
 // Given two processes, when each says something, then the other hears it, by one connection that ends early
 // if the other machine goes.
-func TestWhatIsSaidIsHeardByOneHardenedLine(t *testing.T) {
+func TestWhatIsSentComesByOneConnectionWithAUserTimeout(t *testing.T) {
 	type heard struct {
 		from string
 		m    *message.Message
@@ -80,7 +80,7 @@
 }
 
 // Given a stranger who speaks something else, when it calls, then its line is closed and nothing is heard.
-func TestAStrangerIsHungUpOn(t *testing.T) {
+func TestAStrangerIsDisconnected(t *testing.T) {
 	a, _ := given(t, func(from string, m *message.Message) { t.Errorf("heard %+v of %s", m, from) })
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.AppendFrame(nil,
 		&message.Message{Body: &message.Heartbeat{}}))} {
--- a/internal/routing/validate.go
+++ b/internal/routing/validate.go
@@ -7,7 +7,8 @@
 	"github.com/gravitational/trace"
 )
 
-// validate checks what a route says by itself; timeout is as written, in seconds. Errors name the configuration's keys.
+// validate checks what a route says by itself; timeout is as written, in seconds. Errors name the
+// configuration's keys.
 func (r *Route) validate(timeout float64) error {
 	total := 0.0
 	for _, s := range r.Shares {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// samePrefix returns two routes of a host that have the same prefix; nil: there are none. Routes are sorted by the
-// length of theirs.
+// samePrefix returns two routes of a host that have the same prefix; nil: there are none. Routes are sorted
+// by the length of theirs.
 func samePrefix(routes []*Route) (a, b *Route) {
 	for i, route := range routes {
 		for _, other := range routes[i+1:] {
--- a/internal/server/eventloop_test.go
+++ b/internal/server/eventloop_test.go
@@ -8,7 +8,7 @@
 
 // Given a loop that is handed in more while it works, without end, as by messages that come faster than they
 // are taken, when something is due, then it is done all the same: heartbeats go out, and calls end in time.
-func TestABusyLoopLooksAfterWhatIsDue(t *testing.T) {
+func TestABusyLoopStillTicks(t *testing.T) {
 	const most = 30_000_000 // some seconds, where the loop never looks; else it ends after some 60 ms
 	ctx, end := context.WithCancel(context.Background())
 	l, done, ticked := newEventLoop(), 0, 0
