--- a/internal/controlplane/message/codec.go
+++ b/internal/controlplane/message/codec.go
@@ -185,31 +185,57 @@
 }
 
 func unmarshalMessage(b []byte, m *Message) error {
-	number := Type(0)
-	err := forEachField(b, func(n protowire.Number, t protowire.Type, value []byte) error {
-		if n != typeNumber {
-			return nil
-		}
-		if t != protowire.VarintType {
-			return errFieldType
-		}
-		v, _ := protowire.ConsumeVarint(value)
-		number = Type(v)
-		return nil
-	})
+	number, err := messageType(b)
 	if err != nil {
 		return err
 	}
 	header := reflect.ValueOf(m).Elem()
-	if makeBody := newBody[number]; makeBody != nil {
-		m.Body = makeBody()
-		if err := unmarshalStruct(b, reflect.ValueOf(m.Body).Elem()); err != nil {
-			return err
+	makeBody := newBody[number]
+	if makeBody == nil {
+		if number != 0 {
+			m.Body = &Unknown{number}
+		}
+		return unmarshalStruct(b, header)
+	}
+	m.Body = makeBody()
+	body := reflect.ValueOf(m.Body).Elem()
+	fields := messageCodecOf(body.Type())
+	return forEachField(b, func(number protowire.Number, t protowire.Type, value []byte) error {
+		for _, field := range fields {
+			if field.number != number {
+				continue
+			}
+			if field.inBody {
+				return unmarshalField(body.Field(field.index), field.fieldCodec, t, value)
+			}
+			return unmarshalField(header.Field(field.index), field.fieldCodec, t, value)
+		}
+		return nil
+	})
+}
+
+// messageType returns the type that a message says it is of; 0: it says none. The type is written first, so
+// that no more than that is read as a rule.
+func messageType(b []byte) (Type, error) {
+	for len(b) > 0 {
+		number, t, n := protowire.ConsumeTag(b)
+		if n < 0 {
+			return 0, protowire.ParseError(n)
+		}
+		b = b[n:]
+		if number == typeNumber {
+			if t != protowire.VarintType {
+				return 0, errFieldType
+			}
+			value, n := protowire.ConsumeVarint(b)
+			return Type(value), protowire.ParseError(n)
+		}
+		if n = protowire.ConsumeFieldValue(number, t, b); n < 0 {
+			return 0, protowire.ParseError(n)
 		}
-	} else if number != 0 {
-		m.Body = &Unknown{number}
+		b = b[n:]
 	}
-	return unmarshalStruct(b, header)
+	return 0, nil
 }
 
 func unmarshalStruct(b []byte, v reflect.Value) error {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -4,7 +4,6 @@
 package routing
 
 import (
-	_ "embed"
 	"fmt"
 	"strings"
 	"time"
