--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -16,6 +16,7 @@
 	"dunespoke/internal/dataplane/slowlog"
 	"dunespoke/internal/events"
 	"dunespoke/internal/http1"
+	"dunespoke/internal/net/accept"
 )
 
 // Cluster is what the API passes on to.
@@ -34,7 +35,9 @@
 	Status(done func(NodeStatus))
 }
 
-// Handler answers calls. It is an accept.Handler.
+var _ accept.Handler = (*Handler)(nil)
+
+// Handler answers calls.
 type Handler struct {
 	Cluster     Cluster
 	Ready       func() bool
--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -15,6 +15,11 @@
 	"dunespoke/internal/ratelimit"
 )
 
+var (
+	_ client.Actions  = nodesObserver{}
+	_ replica.Actions = requestStamper{}
+)
+
 // Times of a node.
 const (
 	// announceInterval is how often a replica that is of no core says that it is there.
--- a/internal/controlplane/simulation/actions.go
+++ b/internal/controlplane/simulation/actions.go
@@ -5,10 +5,13 @@
 	"time"
 
 	"dunespoke/internal/controlplane/message"
+	"dunespoke/internal/controlplane/node"
 	"dunespoke/internal/controlplane/replica"
 	"dunespoke/internal/events"
 )
 
+var _ node.Actions = (*actions)(nil)
+
 // actions is what a node sees of the simulation.
 type actions struct {
 	m      *Machine
--- a/internal/dataplane/proxy/upstream_request.go
+++ b/internal/dataplane/proxy/upstream_request.go
@@ -20,6 +20,11 @@
 	"dunespoke/internal/routing"
 )
 
+var (
+	_ forward.Streamed = (*upstreamRequest)(nil)
+	_ forward.Judging  = (*upstreamRequest)(nil)
+)
+
 // upstreamRequest is a request as servers get it. It is a forward.Streamed that judges its answers itself.
 type upstreamRequest struct {
 	handler *Handler
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -21,55 +21,57 @@
 // Share is the part of a route's requests that goes to a service.
 type Share struct {
 	Service string
-	Weight  float64
+	Weight  float64 // beside the weights of the route's other shares; 0: none
 }
 
 // Route is where some requests go.
 type Route struct {
 	Name          string
-	Domain        string
-	PathPrefix    string // of the path: it begins and ends with a slash
+	Domain        string // of the request's host, in lower case, without a port
+	PathPrefix    string // it begins and ends with a slash; the longest that fits wins
 	Kind          RequestKind
-	Timeout       time.Duration // the longest that a request is held
-	LatencyTarget time.Duration // an answer within it has its full worth
+	Timeout       time.Duration // the longest that a request is held; above 0, ten minutes at most
+	LatencyTarget time.Duration // an answer within it has its full value; 0: Timeout
 	Priority      int           // 0 is the highest
-	Shares        []Share
-	MaxAttempts   int  // servers that one try may be sent to
-	Public        bool // no key is asked for
+	Shares        []Share       // at least one, of a weight above 0
+	MaxAttempts   int           // servers that a client's request may be sent to; at least 1
+	Public        bool          // no key is asked for
 }
 
 // Service is a group of servers that do the same.
 type Service struct {
 	Name           string
-	HealthPath     string
-	MaxConnections int // that each server takes, of all callers
+	HealthPath     string // kept, and not asked: responses tell how servers are
+	MaxConnections int    // that each server takes, of all gateways; 0: not told
 }
 
 // Tenant is whose requests count together.
 type Tenant struct {
 	Name          string
-	APIKeys       []string
-	Priority      int
-	RatePerSecond float64 // requests a second; 0: no limit
-	Burst         float64
+	APIKeys       []string // each of one tenant alone; never logged
+	Priority      int      // 0 is the highest
+	RatePerSecond float64  // requests a second, over all gateways; 0: no limit
+	Burst         float64  // requests above that, at once
 }
 
-// Limits are on what a client may send.
+// Limits are on what a client may send. 0: the gateway's default, see proxy.Handler.ClientLimits.
 type Limits struct {
-	MaxHeaderBytes, MaxBodyBytes int // bytes
-	HeaderTimeout, IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	HeaderTimeout  time.Duration // from connecting, or from the request's first byte, to the end of the header
+	IdleTimeout    time.Duration // between requests
 }
 
-// Table is a whole configuration.
+// Table is a whole configuration, made into tables by which requests are found. It is never changed.
 type Table struct {
-	Version      uint64
+	Version      uint64 // above 0; a later configuration has a higher one
 	Routes       []Route
-	Services     map[string]Service
-	Tenants      map[string]*Tenant
+	Services     map[string]Service // by name
+	Tenants      map[string]*Tenant // by name
 	Limits       Limits
-	RequiresKeys bool // requests carry keys
+	RequiresKeys bool // there are tenants: requests on routes that are not public carry a key
 
-	routesByHost map[string][]*Route // by domain, the longest start first
+	routesByHost map[string][]*Route // the longest prefix first
 	tenantsByKey map[string]*Tenant
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,42 +19,50 @@
 //go:embed settings.schema.json
 var schemaText []byte
 
-// Settings are what a process is told. Times are in seconds.
+// Settings are what a process is told, by the file that its platform writes. The keys are the platform's.
 type Settings struct {
-	NodeName      string             `toml:"node_name"`
-	Serves        []string           `toml:"serves"`
-	IPAddress     string             `toml:"ip_address"`
-	Zone          string             `toml:"zone"`
-	Region        string             `toml:"region"`
-	SparePorts    []int              `toml:"spare_ports"`
-	SeedNodes     []string           `toml:"seed_nodes"`
-	FreshStart    bool               `toml:"fresh_start"`
-	DataDir       string             `toml:"data_dir"`
-	Bounds        []string           `toml:"bounds"`
-	Zones         map[string]string  `toml:"zones"`
-	Listen        Listen             `toml:"listen"`
-	Limits        Limits             `toml:"limits"`
-	Survive       Survive            `toml:"survive"`
-	CloudAPI      CloudAPI           `toml:"cloud_api"`
-	NumericBounds map[string]float64 `toml:"-"` // the bounds that are numbers, by name
+	NodeName  string   `toml:"node_name"`  // in log lines and in the status
+	Serves    []string `toml:"serves"`     // what others may call here: edge, control
+	IPAddress string   `toml:"ip_address"` // for the system's own processes
+	Zone      string   `toml:"zone"`       // a failure domain; servers and replicas of it are preferred
+	Region    string   `toml:"region"`     // of the zone; empty: as Zones says
+	// SparePorts are the first and the last port that is free. The first is for the system's own processes.
+	SparePorts []int `toml:"spare_ports"`
+	// SeedNodes are control addresses by which a process that knows no replica finds the core. At the first
+	// start they are the same everywhere.
+	SeedNodes []string `toml:"seed_nodes"`
+	// FreshStart says that the whole system starts for the first time, with empty disks. Default: false.
+	FreshStart bool `toml:"fresh_start"`
+	// DataDir is a folder on the machine's disk, and makes it hold a replica. Default: none.
+	DataDir string   `toml:"data_dir"`
+	Bounds  []string `toml:"bounds"` // of the form name=value; see NumericBounds
+	// Zones are the zones' regions, by zone. A process whose settings let regions be lost has to find its own.
+	Zones    map[string]string `toml:"zones"`
+	Listen   Listen            `toml:"listen"`
+	Limits   Limits            `toml:"limits"`
+	Survive  Survive           `toml:"survive"`
+	CloudAPI CloudAPI          `toml:"cloud_api"`
+	// NumericBounds are the bounds that are numbers, by name. Those that end in _s are in seconds.
+	NumericBounds map[string]float64 `toml:"-"`
 }
 
 // Listen holds the addresses for what a process serves; empty: it does not serve that.
 type Listen struct {
-	Front   string `toml:"front"`
-	Ready   string `toml:"ready"`
-	Control string `toml:"control"`
+	Front   string `toml:"front"`   // for clients
+	Ready   string `toml:"ready"`   // for checks whether clients should come
+	Control string `toml:"control"` // for operators and servers
 }
 
-// Limits are the machine's.
+// Limits are the machine's. 0: no limit is told.
 type Limits struct {
-	CPUShare  float64 `toml:"cpu_share"`
-	MemoryMB  int     `toml:"memory_mb"`
-	OpenFiles int     `toml:"open_files"`
-	DiskMB    int     `toml:"disk_mb"`
+	CPUShare  float64 `toml:"cpu_share"`  // of a core; for the platform, this program uses one at most
+	MemoryMB  int     `toml:"memory_mb"`  // the collector works harder from six tenths of it
+	OpenFiles int     `toml:"open_files"` // descriptors; a third of what is left for connections is for servers
+	DiskMB    int     `toml:"disk_mb"`    // for the platform: the store is much smaller
 }
 
-// Survive is what may be lost at once with all rules kept: so many machines, or zones, or regions.
+// Survive is what may be lost at once with nothing lost that was acknowledged: so many machines with a disk,
+// or all those of so many zones, or regions. Default: 0 each.
 type Survive struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
@@ -64,8 +72,8 @@
 // CloudAPI is where the platform holds the list of servers.
 type CloudAPI struct {
 	Address          string  `toml:"address"`
-	AllowedPerSecond float64 `toml:"allowed_per_s"`
-	DelaySeconds     float64 `toml:"delay_s"`
+	AllowedPerSecond float64 `toml:"allowed_per_s"` // calls a second, of all processes together
+	DelaySeconds     float64 `toml:"delay_s"`       // by which the list lags
 }
 
 var settingsSchema = schema.New("settings", schemaText)
