--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -117,7 +117,7 @@
 }
 
 // The states that a disk may come back in. One whose record has another digest than it was written with
-// counts as empty: see vault.Damaged.
+// counts as empty: see storage.Storage.Damaged.
 var disks = map[string]func(*replica.PersistentState){
 	"old":            nil,
 	"torn, or empty": func(r *replica.PersistentState) { *r = replica.PersistentState{} },
--- a/internal/controlplane/simulation/membership.go
+++ b/internal/controlplane/simulation/membership.go
@@ -15,12 +15,12 @@
 	id   uint64
 }
 
-// membershipHistory are all that were written on disks, by their generations.
+// membershipHistory are all that were written on disks, by their membership epochs.
 type membershipHistory struct {
 	written      map[uint64][]message.Node
 	removed      map[uint64][]message.Node // by operators, as it goes with the membership
 	completed    map[uint64][]message.Node // the change to it was told as complete
-	storedEpochs map[identity]uint64       // the highest generation that a disk has had
+	storedEpochs map[identity]uint64       // the highest membership epoch that a disk has had
 }
 
 func newMembershipHistory() membershipHistory {
@@ -28,7 +28,7 @@
 	return membershipHistory{empty(), empty(), empty(), map[identity]uint64{}}
 }
 
-// checkMemberships holds all machines to one sequence of memberships: those of one generation are the same;
+// checkMemberships holds all machines to one sequence of memberships: those of one epoch are the same;
 // and when a disk says that the change to one is complete, a majority of its members, and a majority of those
 // of the one before, have had it, or a later one, on their disks. So whoever goes by the one before, and asks
 // a majority of it, hears of the newer one; no two memberships are ever gone by at once.
@@ -38,10 +38,10 @@
 	}
 	history, g := &c.memberships, r.MembershipEpoch
 	if old, known := history.written[g]; known && !slices.Equal(old, r.Members) {
-		c.violate("%s is of the core %v by generation %d, others of %v", m.Name, r.Members, g, old)
+		c.violate("%s is of the core %v by membership epoch %d, others of %v", m.Name, r.Members, g, old)
 	}
 	if old, known := history.removed[g]; known && !slices.Equal(old, r.RemovedMembers) {
-		c.violate("%s has %v as removed by generation %d, others %v", m.Name, r.RemovedMembers, g, old)
+		c.violate("%s has %v as removed by membership epoch %d, others %v", m.Name, r.RemovedMembers, g, old)
 	}
 	history.written[g], history.removed[g] = r.Members, r.RemovedMembers
 	who := identity{m.node.Addr, r.StoreID}
@@ -61,16 +61,16 @@
 	}
 }
 
-// checkQuorum holds a majority of a membership to having had a generation, or a later one, on disk.
-func (c *Cluster) checkQuorum(registry []message.Node, generation uint64) {
+// checkQuorum holds a majority of a membership to having had a membership epoch, or a later one, on disk.
+func (c *Cluster) checkQuorum(registry []message.Node, epoch uint64) {
 	n := 0
 	for _, r := range registry {
-		if c.memberships.storedEpochs[identity{r.Addr, r.StoreID}] >= generation {
+		if c.memberships.storedEpochs[identity{r.Addr, r.StoreID}] >= epoch {
 			n++
 		}
 	}
-	if generation > 0 && n <= len(registry)/2 {
-		c.violate("generation %d is gone by, and %d of the %d members %v know it", generation, n,
+	if epoch > 0 && n <= len(registry)/2 {
+		c.violate("membership epoch %d is gone by, and %d of the %d members %v know it", epoch, n,
 			len(registry), registry)
 	}
 }
@@ -117,7 +117,7 @@
 	return o
 }
 
-// Members returns the addresses of the members by the newest generation that is complete on some disk.
+// Members returns the addresses of the members by the newest membership epoch that is complete on some disk.
 func (c *Cluster) Members() (list []string) {
 	newest := uint64(0)
 	for g := range c.memberships.completed {
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -322,7 +322,7 @@
 	left.PromisedEpoch += 1 << 20
 	left.Epoch, left.Chain = left.PromisedEpoch, nil
 	left.StoreID, left.MembershipEpoch, left.Members = 0, left.Epoch, slices.Clone(left.Members)
-	for i := range left.Members { // as vault.Found does: the document is the same for all
+	for i := range left.Members { // as storage.Restore does: the document is the same for all
 		left.Members[i].StoreID = left.Epoch
 	}
 	s.memberships = newMembershipHistory() // its memberships are of another sequence
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -21,7 +21,7 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// register is what operators are promised: one text a number, and the highest number is read. Its state lists
+// register is what operators are promised: one configuration per version, and the highest version is read. Its state lists
 // the numbers that were taken, each with its text, in rising order.
 var register = porcupine.Model{
 	Init: func() any { return "" },
