--- a/cmd/dunespoke-lab/scale.go
+++ b/cmd/dunespoke-lab/scale.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"strings"
 	"time"
 
@@ -20,7 +21,7 @@
 )
 
 type scaleCommand struct {
-	Only      []string      `help:"What is measured." default:"rehearsal,single,lines"`
+	Only      []string      `help:"What is measured." default:"simulation,operations,processes"`
 	Machines  []int         `help:"Sizes of clusters in virtual time." default:"15,84,300,1000"`
 	Core      int           `help:"Machines with a disk in these." default:"7"`
 	Part      float64       `help:"Of the whole routes, services and servers in these." default:"0.1"`
@@ -30,17 +31,21 @@
 	Services  int           `help:"The whole." default:"830"`
 	Servers   int           `help:"The whole." default:"47000"`
 	Tenants   int           `help:"The whole." default:"170000"`
-	Ingresses int           `help:"The whole, to which slopes are led on." default:"5400"`
+	Ingresses int           `help:"The whole, to which slopes are extrapolated." default:"5400"`
 	Rate      float64       `help:"Requests a second, the whole." default:"1100000"`
 	Zones     int           `help:"The whole." default:"6"`
-	Hollow    []int         `help:"Hollow processes on loopback lines, run by run." default:"200"`
-	Real      int           `help:"Real ones beside them, which are the core." default:"3"`
-	For       time.Duration `help:"That these are watched." default:"20s"`
+	Nodes     []int         `help:"Control nodes on loopback, run by run." default:"200" aliases:"hollow"`
+	Gateways  int           `help:"Gateways beside them, which are the core." default:"3" aliases:"real"`
+	For       time.Duration `help:"How long these are measured." default:"20s"`
 	Bin       string        `help:"dunespoke-gateway; none: it is built." type:"existingfile"`
 	Within    time.Duration `help:"By when all must have ended." default:"15m"`
 	Out       string        `help:"Folder for scale.json and plots; none: neither." type:"existingdir"`
 }
 
+// oldPartNames are the names that parts had; they go on for one version.
+var oldPartNames = map[string]string{"rehearsal": scale.PartSimulation, "single": scale.PartOperations,
+	"lines": scale.PartProcesses}
+
 // scaleResult is what scale.json holds.
 type scaleResult struct {
 	Shared bool          `json:"shared"` // the machine: others may have used its cores, too
@@ -52,45 +57,62 @@
 
 // Run measures, and prints a table of slopes.
 func (c *scaleCommand) Run(ctx context.Context) error {
-	ctx, end := context.WithTimeout(ctx, c.Within)
-	defer end()
-	began := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, c.Within)
+	defer cancel()
+	startedAt := time.Now()
 	var rows []scale.Row
-	tell := func(r scale.Row) { rows = append(rows, r) }
-	parts := map[string]func(context.Context, func(scale.Row)) error{
-		"rehearsal": c.rehearsal, "single": c.single, "lines": c.lines}
-	var problem error
-	for _, name := range c.Only {
-		if parts[name] == nil {
-			return fmt.Errorf("--only %s: want some of rehearsal, single, lines", name)
-		}
-		if problem = parts[name](ctx, tell); problem != nil {
-			problem = fmt.Errorf("%s: %w", name, problem)
-			break
-		}
+	err := c.measure(ctx, func(r scale.Row) { rows = append(rows, r) })
+	if errors.Is(err, errUnknownPart) {
+		return err
 	}
 	result := scaleResult{Shared: true, Cores: runtime.GOMAXPROCS(0),
-		Took: time.Since(began).Round(time.Second).String(), Slopes: scale.Slopes(rows)}
-	if problem != nil {
-		result.Failed = problem.Error()
+		Took: time.Since(startedAt).Round(time.Second).String(), Slopes: scale.Slopes(rows)}
+	if err != nil {
+		result.Failed = err.Error()
 	}
 	c.print(result)
 	if c.Out == "" {
-		return problem
-	}
-	b, err := json.Marshal(result)
-	if err != nil {
 		return err
 	}
-	b = bytes.ReplaceAll(b, []byte(`{"part"`), []byte("\n"+`{"part"`)) // a line each
-	if err := os.WriteFile(filepath.Join(c.Out, "scale.json"), append(b, '\n'), 0o644); err != nil {
+	return errors.Join(err, c.save(result), c.draw(result.Slopes))
+}
+
+var errUnknownPart = errors.New("want some of simulation, operations, processes")
+
+// measure measures the parts that are wanted, one after the other, up to the first that fails.
+func (c *scaleCommand) measure(ctx context.Context, report func(scale.Row)) error {
+	parts := map[string]func(context.Context, func(scale.Row)) error{
+		scale.PartSimulation: c.measureSimulation,
+		scale.PartOperations: c.measureOperations,
+		scale.PartProcesses:  c.measureProcesses,
+	}
+	for _, name := range c.Only {
+		if current := oldPartNames[name]; current != "" {
+			name = current
+		}
+		measure := parts[name]
+		if measure == nil {
+			return fmt.Errorf("--only %s: %w", name, errUnknownPart)
+		}
+		if err := measure(ctx, report); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	return nil
+}
+
+// save writes scale.json, a line for each slope.
+func (c *scaleCommand) save(result scaleResult) error {
+	text, err := json.Marshal(result)
+	if err != nil {
 		return err
 	}
-	return errors.Join(problem, c.draw(result.Slopes))
+	text = bytes.ReplaceAll(text, []byte(`{"part"`), []byte("\n"+`{"part"`))
+	return os.WriteFile(filepath.Join(c.Out, "scale.json"), append(text, '\n'), 0o644)
 }
 
-// half is half of this machine's memory, in MB.
-func half() float64 {
+// halfOfMemory is half of this machine's memory, in MB.
+func halfOfMemory() float64 {
 	var i unix.Sysinfo_t
 	if unix.Sysinfo(&i) != nil {
 		return 4 << 10
@@ -98,40 +120,43 @@
 	return float64(i.Totalram) * float64(i.Unit) / 2 / (1 << 20)
 }
 
-func (c *scaleCommand) made(part float64) scale.Made {
+// dataset is a part of the whole, without tenants.
+func (c *scaleCommand) dataset(part float64) scale.Dataset {
 	of := func(n int) int { return max(1, int(float64(n)*part)) }
-	return scale.Made{Routes: of(c.Routes), Services: of(c.Services), Servers: of(c.Servers), Zones: c.Zones}
+	return scale.Dataset{Routes: of(c.Routes), Services: of(c.Services), Servers: of(c.Servers), Zones: c.Zones}
 }
 
-func (c *scaleCommand) rehearsal(ctx context.Context, tell func(scale.Row)) error {
-	v := scale.Virtual{Core: c.Core, Machines: c.Machines, Made: c.made(c.Part), Seed: 1, Memory: half()}
-	if err := v.Run(ctx, tell); err != nil {
+func (c *scaleCommand) measureSimulation(ctx context.Context, report func(scale.Row)) error {
+	byMachines := scale.Simulated{Core: c.Core, Machines: c.Machines, Dataset: c.dataset(c.Part), Seed: 1,
+		Memory: halfOfMemory()}
+	if err := byMachines.Run(ctx, report); err != nil {
 		return err
 	}
 	for _, part := range c.Parts {
-		v := scale.Virtual{Core: c.Core, Machines: []int{c.Beside}, Made: c.made(part), By: "servers", Seed: 1,
-			Memory: half()}
-		if err := v.Run(ctx, tell); err != nil {
+		byServers := scale.Simulated{Core: c.Core, Machines: []int{c.Beside}, Dataset: c.dataset(part),
+			By: "servers", Seed: 1, Memory: halfOfMemory()}
+		if err := byServers.Run(ctx, report); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// seen is how many tenants an ingress sees in a minute, if all are alike.
-func (c *scaleCommand) seen() int {
-	calls := c.Rate / float64(c.Ingresses) * 60
-	return int(float64(c.Tenants) * (1 - math.Exp(-calls/float64(c.Tenants))))
+// tenantsSeen is how many tenants an ingress sees in a minute, if all are alike.
+func (c *scaleCommand) tenantsSeen() int {
+	requests := c.Rate / float64(c.Ingresses) * 60
+	return int(float64(c.Tenants) * (1 - math.Exp(-requests/float64(c.Tenants))))
 }
 
-func (c *scaleCommand) single(ctx context.Context, tell func(scale.Row)) error {
-	whole := c.made(1)
+func (c *scaleCommand) measureOperations(ctx context.Context, report func(scale.Row)) error {
+	whole := c.dataset(1)
 	whole.Tenants = c.Tenants
-	s := scale.Single{Made: whole, Ingresses: c.Ingresses, Seen: c.seen(), Sizes: c.Parts, Tries: 5}
-	return s.Run(ctx, tell)
+	operations := scale.Operations{Dataset: whole, Ingresses: c.Ingresses, TenantsSeen: c.tenantsSeen(),
+		Sizes: c.Parts, Repeats: 5}
+	return operations.Run(ctx, report)
 }
 
-func (c *scaleCommand) lines(ctx context.Context, tell func(scale.Row)) error {
+func (c *scaleCommand) measureProcesses(ctx context.Context, report func(scale.Row)) error {
 	dir, err := os.MkdirTemp("", "dunespoke-lab")
 	if err != nil {
 		return err
@@ -140,16 +165,16 @@
 	program := c.Bin
 	if program == "" {
 		if program, err = rig.Build(dir, "dunespoke-gateway"); err != nil {
-			return err
+			return fmt.Errorf("building the gateway: %w", err)
 		}
 	}
-	made := c.made(c.Part)
-	made.Tenants = int(float64(c.Tenants) * c.Part)
-	for i, n := range c.Hollow {
-		l := scale.Lines{Program: program, Dir: filepath.Join(dir, fmt.Sprint(i)), Hollow: n, Real: c.Real,
-			Made: made, For: c.For, Memory: half()}
-		if err := l.Run(ctx, tell); err != nil {
-			return fmt.Errorf("%d hollow processes: %w", n, err)
+	dataset := c.dataset(c.Part)
+	dataset.Tenants = int(float64(c.Tenants) * c.Part)
+	for i, nodes := range c.Nodes {
+		run := scale.Processes{Program: program, Dir: filepath.Join(dir, strconv.Itoa(i)), ControlNodes: nodes,
+			Gateways: c.Gateways, Dataset: dataset, Duration: c.For, Memory: halfOfMemory()}
+		if err := run.Run(ctx, report); err != nil {
+			return fmt.Errorf("%d control nodes: %w", nodes, err)
 		}
 	}
 	return nil
@@ -158,22 +183,22 @@
 // print prints a line for each slope.
 func (c *scaleCommand) print(r scaleResult) {
 	fmt.Printf("%s, %d cores of a machine that others may use, too\n\n", r.Took, r.Cores)
-	fmt.Println("| part | case | role | what | unit | by | at | measured | power | last | led on |")
+	fmt.Println("| part | case | role | what | unit | by | at | measured | power | last | extrapolated |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, s := range r.Slopes {
 		what := s.What
 		if s.Cause != "" {
 			what += ": " + s.Cause
 		}
-		power, last, on := "", "", ""
+		power, last, extrapolated := "", "", ""
 		if s.Power != 0 {
 			power, last = fmt.Sprintf("%.2f", s.Power), fmt.Sprintf("%.2f", s.Last)
 		}
 		if s.By == "machines" && s.Last != 0 {
-			on = fmt.Sprintf("%.3g", s.At(float64(c.Ingresses)))
+			extrapolated = fmt.Sprintf("%.3g", s.At(float64(c.Ingresses)))
 		}
 		fmt.Println("|", strings.Join([]string{s.Part, s.Case, s.Role, what, s.Unit, s.By, figures(s.Sizes),
-			figures(s.Values), power, last, on}, " | "), "|")
+			figures(s.Values), power, last, extrapolated}, " | "), "|")
 	}
 }
 
@@ -192,18 +217,20 @@
 }{
 	{"scale-rest.svg", "What a core machine sends at rest", "machines, 7 of them of the core", "bytes a second",
 		func(s scale.Slope) string {
-			return named(s.Case == "rest" && s.Role == scale.Middle && s.What == "sent" && s.By == "machines", s.Cause)
+			return named(s.Case == "rest" && s.Role == scale.RoleMiddle && s.What == "sent" && s.By == "machines",
+				s.Cause)
 		}},
 	{"scale-events.svg", "What a core machine sends for an event", "machines, 7 of them of the core", "bytes",
 		func(s scale.Slope) string {
-			main := map[string]string{"route": scale.Configuration, "restart": scale.Members, "list": scale.Servers}
-			return named(s.By == "machines" && s.Role == scale.Middle && s.What == "sent" && s.Cause != "" &&
-				main[s.Case] == s.Cause, s.Case+": "+s.Cause)
+			causeOfEvent := map[string]string{
+				"route": scale.CauseConfig, "restart": scale.CauseMembers, "list": scale.CauseServers}
+			return named(s.By == "machines" && s.Role == scale.RoleMiddle && s.What == "sent" && s.Cause != "" &&
+				causeOfEvent[s.Case] == s.Cause, s.Case+": "+s.Cause)
 		}},
 	{"scale-processor.svg", "Processor time for an event", "machines, 7 of them of the core", "ms",
 		func(s scale.Slope) string {
 			return named(s.By == "machines" && s.What == "processor" && s.Unit == "ms" && s.Case != "route" &&
-				(s.Role == scale.Middle || s.Role == scale.Ingress), s.Case+", "+s.Role)
+				(s.Role == scale.RoleMiddle || s.Role == scale.RoleIngress), s.Case+", "+s.Role)
 		}},
 	{"scale-configuration.svg", "A configuration of 14,000 routes", "tenants", "ms",
 		func(s scale.Slope) string {
@@ -211,11 +238,11 @@
 		}},
 	{"scale-servers.svg", "A change of the list, and of who is a member", "servers", "ms",
 		func(s scale.Slope) string {
-			return named(s.Part == "single" && s.By == "servers" && s.Unit == "ms", s.What)
+			return named(s.Part == scale.PartOperations && s.By == "servers" && s.Unit == "ms", s.What)
 		}},
-	{"scale-tolls.svg", "A question about tokens", "tenants", "ms",
+	{"scale-quotas.svg", "A request for tokens", "tenants", "ms",
 		func(s scale.Slope) string {
-			return named((s.Case == "desk" || s.Case == "meter") && s.Unit == "ms", s.Case+": "+s.What)
+			return named((s.Case == "allocator" || s.Case == "limiter") && s.Unit == "ms", s.Case+": "+s.What)
 		}},
 }
 
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,6 +1,6 @@
-// Package scale measures how what control costs grows with the size of an exchange: messages, bytes,
-// processor time and memory, by role and by cause. It plays exchanges in virtual time, times single
-// operations, and runs hollow processes, which have the control side alone, beside real ones.
+// Package scale measures how what the control plane costs grows with the size of a cluster: messages, bytes,
+// processor time and memory, by role and by cause. It simulates clusters in virtual time, times single
+// operations, and runs control nodes, which have a control plane and no data plane, beside real processes.
 package scale
 
 import (
@@ -10,9 +10,16 @@
 	"strings"
 )
 
+// The parts of a measurement.
+const (
+	PartSimulation = "simulation"
+	PartOperations = "operations"
+	PartProcesses  = "processes"
+)
+
 // Row is one figure.
 type Row struct {
-	Part  string  `json:"part"` // rehearsal, single or lines
+	Part  string  `json:"part"` // PartSimulation, PartOperations or PartProcesses
 	Case  string  `json:"case"`
 	Role  string  `json:"role"`
 	What  string  `json:"what"`
@@ -33,8 +40,8 @@
 	Each   float64   `json:"each"`  // what one more adds, between the two largest sizes
 }
 
-// key is what the rows of one slope have in common.
-func key(r Row) string {
+// slopeKey is what the rows of one slope have in common.
+func slopeKey(r Row) string {
 	return strings.Join([]string{r.Part, r.Case, r.Role, r.What, r.Cause, r.Unit, r.By}, "\x00")
 }
 
@@ -43,7 +50,7 @@
 	var order []string
 	byKey := map[string][]Row{}
 	for _, r := range rows {
-		k := key(r)
+		k := slopeKey(r)
 		if byKey[k] == nil {
 			order = append(order, k)
 		}
@@ -58,15 +65,15 @@
 			s.Sizes, s.Values = append(s.Sizes, r.Size), append(s.Values, r.Value)
 		}
 		two := max(0, len(list)-2)
-		s.Power, s.Last = power(s.Sizes, s.Values), power(s.Sizes[two:], s.Values[two:])
-		s.Each = each(s.Sizes, s.Values)
+		s.Power, s.Last = fitPower(s.Sizes, s.Values), fitPower(s.Sizes[two:], s.Values[two:])
+		s.Each = addedPerUnit(s.Sizes, s.Values)
 		all = append(all, s)
 	}
 	return all
 }
 
-// power fits value = c*size^power; 0 where fewer than two sizes have a value above 0.
-func power(sizes, values []float64) float64 {
+// fitPower fits value = c*size^power; 0 where fewer than two sizes have a value above 0.
+func fitPower(sizes, values []float64) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for i := range sizes {
 		if sizes[i] <= 0 || values[i] <= 0 {
@@ -81,7 +88,7 @@
 	return 0
 }
 
-func each(sizes, values []float64) float64 {
+func addedPerUnit(sizes, values []float64) float64 {
 	n := len(sizes)
 	if n < 2 || sizes[n-1] == sizes[n-2] {
 		return 0
