--- a/cmd/dunespoke-lab/streaming.go
+++ b/cmd/dunespoke-lab/streaming.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"dunespoke/internal/lab/origin"
-	"dunespoke/internal/lab/unlike"
+	"dunespoke/internal/lab/transfers"
 	"dunespoke/internal/lab/usage"
 )
 
@@ -70,16 +70,17 @@
 	Slow  string        `help:"Who sets the pace." enum:"client,server" default:"client"`
 }
 
-// Run makes unlike transfers and prints what became of them.
+// Run makes transfers of many speeds and prints what became of them.
 func (c *transfersCommand) Run(ctx context.Context) error {
-	r, err := unlike.Run(ctx, unlike.Options{URL: c.URL, Count: c.Count, For: c.For, Slow: c.Slow}, nil)
+	r, err := transfers.Run(ctx, transfers.Options{URL: c.URL, Count: c.Count, Duration: c.For,
+		SlowSide: transfers.Side(c.Slow)}, nil)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("done %d, refused %d, failed %d, wrong %d, %d MB\n", r.Done, r.Refused, r.Failed, r.Wrong,
 		r.Bytes>>20)
-	if r.First != nil {
-		fmt.Println("first fault:", r.First)
+	if r.FirstError != nil {
+		fmt.Println("first fault:", r.FirstError)
 	}
 	return nil
 }
@@ -231,8 +232,8 @@
 			}
 			fmt.Printf("| %s | %d | %.1f | %.1f | %.1f | %d | %d |\n", p.name, count, rest, most, most-rest, r.Done,
 				r.Failed+r.Wrong+r.Refused)
-			if r.First != nil {
-				fmt.Fprintln(os.Stderr, "first fault:", r.First)
+			if r.FirstError != nil {
+				fmt.Fprintln(os.Stderr, "first fault:", r.FirstError)
 			}
 			line.add(float64(count), most-rest)
 		}
@@ -242,15 +243,16 @@
 
 // watched makes transfers and follows the program's memory.
 func (c *streamingCommand) watched(ctx context.Context, p *process, count int, d time.Duration,
-	each func(at time.Duration, mb float64)) (rest, most float64, r *unlike.Report, err error) {
-	if _, err := unlike.Ask(ctx, p.url+"/small?bytes=100", 100, time.Second); err != nil {
+	each func(at time.Duration, mb float64)) (rest, most float64, r *transfers.Report, err error) {
+	if _, err := transfers.MeasureLatencies(ctx, p.url+"/small?bytes=100", 100, time.Second); err != nil {
 		return 0, 0, nil, err
 	}
 	rest = p.resident()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r, err = unlike.Run(ctx, unlike.Options{URL: p.url, Count: count, For: d, Slow: "client"}, nil)
+		r, err = transfers.Run(ctx, transfers.Options{URL: p.url, Count: count, Duration: d,
+			SlowSide: transfers.Client}, nil)
 	}()
 	begun, tick := time.Now(), time.NewTicker(100*time.Millisecond)
 	defer tick.Stop()
@@ -327,10 +329,10 @@
 			}
 			var used [3]float64
 			for i, work := range []func() error{
-				func() error { return bulk(ctx, p.url, true) },
-				func() error { return bulk(ctx, p.url, false) },
+				func() error { return bulk(ctx, p.url, transfers.Download) },
+				func() error { return bulk(ctx, p.url, transfers.Upload) },
 				func() error {
-					_, err := unlike.Ask(ctx, p.url+"/small?bytes=4096", 2000, 5*time.Second)
+					_, err := transfers.MeasureLatencies(ctx, p.url+"/small?bytes=4096", 2000, 5*time.Second)
 					return err
 				},
 			} {
@@ -357,15 +359,16 @@
 }
 
 // bulk moves a GB in 16 bodies of 64 MB, four at a time.
-func bulk(ctx context.Context, address string, down bool) error {
-	client := unlike.Client()
+func bulk(ctx context.Context, address string,
+	move func(ctx context.Context, client *http.Client, address string, total int64) error) error {
+	client := transfers.NewClient()
 	defer client.CloseIdleConnections()
 	errs := make(chan error, 4)
 	for range 4 {
 		go func() {
 			var err error
 			for range 4 {
-				err = errors.Join(err, unlike.Bulk(ctx, client, address, 64<<20, down))
+				err = errors.Join(err, move(ctx, client, address, 64<<20))
 			}
 			errs <- err
 		}()
@@ -390,7 +393,7 @@
 				return err
 			}
 			for _, rate := range []float64{600, 2500} {
-				s, err := unlike.Ask(ctx, p.url+"/small?bytes=200", rate, c.For/2)
+				s, err := transfers.MeasureLatencies(ctx, p.url+"/small?bytes=200", rate, c.For/2)
 				if err != nil {
 					return err
 				}
@@ -399,8 +402,8 @@
 					mb = p.resident()
 				}
 				fmt.Printf("| %s | %.0f | %.2f | %.2f | %d of %d | %.1f |\n", p.name, rate,
-					float64(s.Took.ValueAtQuantile(50))/1000, float64(s.Took.ValueAtQuantile(99))/1000, s.Served,
-					s.Asked, mb)
+					float64(s.Microseconds.ValueAtQuantile(50))/1000, float64(s.Microseconds.ValueAtQuantile(99))/1000, s.Served,
+					s.Sent, mb)
 				if round == 1 && rate == 2500 {
 					g.line(p.name).quantiles(s)
 				}
@@ -428,15 +431,15 @@
 			if beside > 0 {
 				begun := make(chan struct{})
 				go func() {
-					_, err := unlike.Run(ctx, unlike.Options{URL: p.url, Count: beside, For: 2 * c.For, Slow: "client"},
-						func() { close(begun) })
+					_, err := transfers.Run(ctx, transfers.Options{URL: p.url, Count: beside, Duration: 2 * c.For,
+						SlowSide: transfers.Client}, func() { close(begun) })
 					done <- err
 				}()
 				<-begun
 			} else {
 				done <- nil
 			}
-			s, err := unlike.Ask(ctx, p.url+"/small?bytes=200", 300, c.For)
+			s, err := transfers.MeasureLatencies(ctx, p.url+"/small?bytes=200", 300, c.For)
 			if err != nil {
 				return err
 			}
@@ -444,7 +447,7 @@
 				return err
 			}
 			fmt.Printf("| %s | %d transfers | %.2f | %.2f | %d of %d |\n", p.name, beside,
-				float64(s.Took.ValueAtQuantile(50))/1000, float64(s.Took.ValueAtQuantile(99))/1000, s.Served, s.Asked)
+				float64(s.Microseconds.ValueAtQuantile(50))/1000, float64(s.Microseconds.ValueAtQuantile(99))/1000, s.Served, s.Sent)
 			g.line(fmt.Sprintf("%s, %d transfers", p.name, beside)).quantiles(s)
 		}
 		p.end()
@@ -453,8 +456,8 @@
 }
 
 // quantiles draws how long small requests took.
-func (l *graphLine) quantiles(s *unlike.Small) {
+func (l *graphLine) quantiles(s *transfers.Latencies) {
 	for q := 1.0; q < 99.5; q++ {
-		l.add(q, float64(s.Took.ValueAtQuantile(q))/1000)
+		l.add(q, float64(s.Microseconds.ValueAtQuantile(q))/1000)
 	}
 }
--- a/internal/lab/origin/origin.go
+++ b/internal/lab/origin/origin.go
@@ -3,6 +3,7 @@
 package origin
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -168,6 +169,9 @@
 	return sent, nil
 }
 
+// ErrWrongBytes tells of a body that is not the pattern.
+var ErrWrongBytes = errors.New("wrong bytes")
+
 // Take reads a body to its end at a rate, and sees to it that it is the pattern.
 func Take(r io.Reader, rate float64) (int64, error) {
 	size := 64 << 10
@@ -179,7 +183,7 @@
 	for {
 		n, err := r.Read(buf)
 		if Wrong(buf[:n], taken) {
-			return taken, fmt.Errorf("wrong bytes near %d", taken)
+			return taken, fmt.Errorf("%w near %d", ErrWrongBytes, taken)
 		}
 		taken += int64(n)
 		switch {
