--- a/cmd/dunespoke-lab/decide.go
+++ b/cmd/dunespoke-lab/decide.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dunespoke/fleet/zones"
-	"dunespoke/internal/lab/many"
+	"dunespoke/internal/lab/simulatedfleet"
 )
 
 type decideCommand struct {
@@ -25,20 +25,20 @@
 	mostIn, tables, undecided, wrong := 0, 0, 0, 0
 	var bytes, seconds float64
 	for seed := range c.Seeds {
-		f := many.NewFleet(seed+1, c.Ingresses, c.Zones, 2*time.Second, 30*time.Second)
+		f := simulatedfleet.NewFleet(seed+1, c.Ingresses, c.Zones, 2*time.Second, 30*time.Second)
 		f.Net.Loss, f.Net.Delay = c.Loss, c.Delay
 		f.Run(8 * time.Second)
 		began := f.Net.Now()
 		zone := f.Ingresses[c.Zones-1].Zone
 		link := zones.Name(zone, zone)
 		gone := false
-		f.Fails = func(_ *many.Ingress, to string) bool {
+		f.Fails = func(_ *simulatedfleet.Ingress, to string) bool {
 			flap := c.Case == "flaps" && (f.Net.Now()-began)/(2*time.Second)%2 == 0
 			return to == zone && (gone || flap)
 		}
 		knows := func(down bool) func() bool {
 			return func() bool {
-				return f.All(func(in *many.Ingress) bool { return in.Knows(f.Net.Now(), link, down) })
+				return f.All(func(in *simulatedfleet.Ingress) bool { return in.Knows(f.Net.Now(), link, down) })
 			}
 		}
 		switch c.Case {
--- a/internal/lab/many/fleet.go
+++ b/internal/lab/simulatedfleet/fleet.go
@@ -1,5 +1,5 @@
-// Package many plays large fleets in virtual time, by the code that real ingresses run.
-package many
+// Package simulatedfleet simulates large fleets in virtual time, by the code that real ingresses run.
+package simulatedfleet
 
 import (
 	crypto "crypto/rand"
--- a/internal/lab/many/fleet_test.go
+++ b/internal/lab/simulatedfleet/fleet_test.go
@@ -1,4 +1,4 @@
-package many
+package simulatedfleet
 
 import (
 	"testing"
