--- a/cmd/dunespoke-lab/streaming.go
+++ b/cmd/dunespoke-lab/streaming.go
@@ -401,9 +401,8 @@
 				if p.cmd != nil {
 					mb = p.resident()
 				}
-				fmt.Printf("| %s | %.0f | %.2f | %.2f | %d of %d | %.1f |\n", p.name, rate,
-					float64(s.Microseconds.ValueAtQuantile(50))/1000, float64(s.Microseconds.ValueAtQuantile(99))/1000, s.Served,
-					s.Sent, mb)
+				fmt.Printf("| %s | %.0f | %.2f | %.2f | %d of %d | %.1f |\n", p.name, rate, s.Milliseconds(50),
+					s.Milliseconds(99), s.Served, s.Sent, mb)
 				if round == 1 && rate == 2500 {
 					g.line(p.name).quantiles(s)
 				}
@@ -447,7 +446,7 @@
 				return err
 			}
 			fmt.Printf("| %s | %d transfers | %.2f | %.2f | %d of %d |\n", p.name, beside,
-				float64(s.Microseconds.ValueAtQuantile(50))/1000, float64(s.Microseconds.ValueAtQuantile(99))/1000, s.Served, s.Sent)
+				s.Milliseconds(50), s.Milliseconds(99), s.Served, s.Sent)
 			g.line(fmt.Sprintf("%s, %d transfers", p.name, beside)).quantiles(s)
 		}
 		p.end()
@@ -458,6 +457,6 @@
 // quantiles draws how long small requests took.
 func (l *graphLine) quantiles(s *transfers.Latencies) {
 	for q := 1.0; q < 99.5; q++ {
-		l.add(q, float64(s.Microseconds.ValueAtQuantile(q))/1000)
+		l.add(q, s.Milliseconds(q))
 	}
 }
--- a/internal/lab/transfers/requests.go
+++ b/internal/lab/transfers/requests.go
@@ -50,6 +50,11 @@
 	Microseconds *hdrhistogram.Histogram // of those that were served
 }
 
+// Milliseconds is the time within which so many in a hundred were served.
+func (l *Latencies) Milliseconds(quantile float64) float64 {
+	return float64(l.Microseconds.ValueAtQuantile(quantile)) / 1000
+}
+
 // accounts is how many accounts small requests are spread over.
 const accounts = 100
 
