--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -21,8 +21,8 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// register is what operators are promised: one configuration per version, and the highest version is read. Its
-// state lists the versions that were accepted, each with its content, in rising order.
+// register is what operators are promised: one configuration per version, and the highest version is read.
+// Its state lists the versions that were accepted, each with its content, in rising order.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
