--- a/cmd/dunespoke-gateway/main_test.go
+++ b/cmd/dunespoke-gateway/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"os/exec"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -73,3 +74,11 @@
 		}
 	}
 }
+
+func TestRoleNames(t *testing.T) {
+	got := roleNames([]string{"read-servers", "keep-tolls", "one of a later version"})
+	want := []string{"endpoint reader", "quota allocator", "one of a later version"}
+	if !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
--- a/cmd/dunespoke-gateway/status.go
+++ b/cmd/dunespoke-gateway/status.go
@@ -13,6 +13,7 @@
 	"github.com/gravitational/trace"
 
 	"dunespoke/internal/controlplane/api"
+	"dunespoke/internal/controlplane/replica"
 	"dunespoke/internal/dataplane/slowlog"
 )
 
@@ -40,7 +41,22 @@
 	fmt.Printf("reaches %d of %d members: %s\n", len(r.Reachable), len(r.Members), strings.Join(r.Reachable,
 		", "))
 	printTolerance(r.MembershipEpoch, uint64(r.ToleratedFailures), r.ToleranceGap)
-	fmt.Printf("roles: %s\n", cmp.Or(strings.Join(r.Roles, ", "), "none"))
+	fmt.Printf("roles: %s\n", cmp.Or(strings.Join(roleNames(r.Roles), ", "), "none"))
+}
+
+// roleTerms are the field's terms for roles, by their names on the wire.
+var roleTerms = map[string]string{
+	replica.EndpointReader.String(): "endpoint reader",
+	replica.QuotaAllocator.String(): "quota allocator",
+}
+
+// roleNames returns what operators are shown of roles; of one that this version doesn't know, its name.
+func roleNames(roles []string) []string {
+	var names []string
+	for _, role := range roles {
+		names = append(names, cmp.Or(roleTerms[role], role))
+	}
+	return names
 }
 
 type slowRequests struct {
--- a/internal/controlplane/replica/roles.go
+++ b/internal/controlplane/replica/roles.go
@@ -11,6 +11,7 @@
 	QuotaAllocator             // allocates the tenants' tokens
 )
 
+// String is the name on the wire, which stays.
 func (role Role) String() string { return [...]string{"read-servers", "keep-tolls"}[role] }
 
 // RoleHolder returns which replica of a chain holds a role; empty without a chain.
