--- a/choice/api.go
+++ b/choice/api.go
@@ -84,24 +84,25 @@
 
 // Tuning are figures that depend on what kind of servers stand behind. Zero values read as the given ones.
 type Tuning struct {
-	RetryShare float64 // 0.3: attempts again, as a part of requests: more would feed an overload
-	RetrySave  float64 // 10.0: such attempts saved up at the most: a short trouble's worth
-	LimitStart float64 // 12.0: attempts out a backend, by all gateways, to start with
-	Roomy      float64 // 0.15: part of the aim under which an answer lets a backend have more out
-	Tight      float64 // 0.25: and over which it gets less: queues cost more than they serve
-	LevelLeast float64 // 3.0: attempts out a backend, by all gateways, at least: some cores' worth
-	ShedFrom   float64 // 0.5: part of the aim over which answers are late: being slow alone is not
-	WaitPart   float64 // 0.3: part of the aim to wait here for a backend with room
-	Far        float64 // 2.0: cost of a backend not in the gateway's part: for when that is busy
-	PartW      float64 // 0.35: weight of an answer in the lateness: a gateway hears few
-	Strict     bool    // attempts that were turned away draw from that budget, too
+	RetryBudgetRatio   float64 // 0.3: attempts again, as a part of requests: more would feed an overload
+	RetryBudgetMax     float64 // 10.0: such attempts saved up at the most: a short trouble's worth
+	InitialConcurrency float64 // 12.0: attempts out a backend, by all gateways, to start with
+	FastAnswerRatio    float64 // 0.15: part of the aim under which an answer lets a backend have more out
+	SlowAnswerRatio    float64 // 0.25: and over which it gets less: queues cost more than they serve
+	MinConcurrency     float64 // 3.0: attempts out a backend, by all gateways, at least: some cores' worth
+	ShedThreshold      float64 // 0.5: part of the aim over which answers are late: being slow alone is not
+	QueueWaitRatio     float64 // 0.3: part of the aim to wait here for a backend with room
+	OutsideSubsetCost  float64 // 2.0: cost of a backend not in the gateway's part: for when that is busy
+	LatencyWeight      float64 // 0.35: weight of an answer in the lateness: a gateway hears few
+	ChargeRejected     bool    // attempts that were turned away draw from that budget, too
 }
 
 // orDefaults fills in what is not set.
 func (t *Tuning) orDefaults() {
 	for at, value := range map[*float64]float64{
-		&t.RetryShare: 0.3, &t.RetrySave: 10, &t.LimitStart: 12, &t.Roomy: 0.15, &t.Tight: 0.25,
-		&t.LevelLeast: 3, &t.ShedFrom: 0.5, &t.WaitPart: 0.3, &t.PartW: 0.35, &t.Far: 2,
+		&t.RetryBudgetRatio: 0.3, &t.RetryBudgetMax: 10, &t.InitialConcurrency: 12,
+		&t.FastAnswerRatio: 0.15, &t.SlowAnswerRatio: 0.25, &t.MinConcurrency: 3, &t.ShedThreshold: 0.5,
+		&t.QueueWaitRatio: 0.3, &t.LatencyWeight: 0.35, &t.OutsideSubsetCost: 2,
 	} {
 		*at = cmp.Or(*at, value)
 	}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -71,7 +71,7 @@
 	a := g.account(r)
 	r.account = a
 	a.asked += r.Units
-	g.again = min(g.again+g.set.RetryShare, g.set.RetrySave)
+	g.again = min(g.again+g.set.RetryBudgetRatio, g.set.RetryBudgetMax)
 	g.admit(a, r)
 	a.often++
 	if r.plan.Rate > 0 && !a.unitCall && !a.blind && !a.fresh && a.lease < math.Floor(a.rate*early) {
@@ -220,7 +220,7 @@
 	if r.done || g.send(r) {
 		return
 	}
-	patient := min(r.since+time.Duration(g.set.WaitPart*float64(r.class.Aim)), r.Deadline-2*period)
+	patient := min(r.since+time.Duration(g.set.QueueWaitRatio*float64(r.class.Aim)), r.Deadline-2*period)
 	if v := g.verdict(r); g.now >= patient || !v.again() {
 		g.giveUp(r)
 		return
@@ -254,8 +254,8 @@
 func (g *Gate) pace(dt float64) {
 	g.fair.fade(dt)
 	// few answers come while much is refused
-	g.part -= max(0, g.part-g.set.ShedFrom) * min(1, dt/healTime.Seconds())
-	g.shed = min(shedMost, max(0, (g.part-g.set.ShedFrom)/(1-g.set.ShedFrom)))
+	g.part -= max(0, g.part-g.set.ShedThreshold) * min(1, dt/healTime.Seconds())
+	g.shed = min(shedMost, max(0, (g.part-g.set.ShedThreshold)/(1-g.set.ShedThreshold)))
 	// Guards against a fleet that starts cold all at once: what a warm one last bore is remembered.
 	g.warmRate = max(g.warmNow, g.warmRate*math.Exp(-dt/warmMemory.Seconds()))
 	g.sendRate, g.sends = g.sendRate+smooth*(g.sends/dt-g.sendRate), 0
@@ -313,7 +313,7 @@
 // next decides after an attempt that brought no answer.
 func (g *Gate) next(r *request, code Code) {
 	v := g.verdict(r)
-	if v.again() && (g.again >= 1 || code.NeverRan() && !(g.set.Strict && code == Busy)) {
+	if v.again() && (g.again >= 1 || code.NeverRan() && !(g.set.ChargeRejected && code == Busy)) {
 		g.again = max(0, g.again-1)
 		r.since = g.now
 		g.sendOrWait(r)
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -21,7 +21,7 @@
 				continue
 			}
 			b = &backend{slow: 1, bad: make([]float64, len(g.order)), seen: make([]float64, len(g.order)),
-				limit: max(2, g.set.LimitStart/float64(g.set.Gateways))}
+				limit: max(2, g.set.InitialConcurrency/float64(g.set.Gateways))}
 			g.backends[in.ID] = b
 			g.fleet = append(g.fleet, b)
 		}
@@ -73,7 +73,7 @@
 		if cold < 1 { // its budget is its share: among many idle warm ones it would never be spent
 			cost *= coldFirst
 		} else if !b.mine { // kept connections, and answers to tell slow ones by, are few
-			cost *= g.set.Far
+			cost *= g.set.OutsideSubsetCost
 		}
 		if cost < bestCost {
 			best, bestCost = b, cost
@@ -115,19 +115,19 @@
 		c.usual += slowW * (took - c.usual)
 		part := took / c.Aim.Seconds()
 		if !late {
-			g.part += g.set.PartW * (part - g.part)
+			g.part += g.set.LatencyWeight * (part - g.part)
 			w := 1 / (1 + g.room())
 			switch {
-			case part > g.set.Tight:
-				g.level = max(g.set.LevelLeast, g.level*(1-w*(1-cutback)))
-			case part < g.set.Roomy && float64(g.outs+1) > g.room()/2:
+			case part > g.set.SlowAnswerRatio:
+				g.level = max(g.set.MinConcurrency, g.level*(1-w*(1-cutback)))
+			case part < g.set.FastAnswerRatio && float64(g.outs+1) > g.room()/2:
 				g.level += w / g.level
 			}
 		}
 		switch {
-		case part > g.set.Tight:
+		case part > g.set.SlowAnswerRatio:
 			b.limit = max(1, b.limit*cutback)
-		case part < g.set.Roomy && float64(len(b.out)+1) > b.limit/2:
+		case part < g.set.FastAnswerRatio && float64(len(b.out)+1) > b.limit/2:
 			b.limit += 1 / b.limit
 		}
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -71,7 +71,7 @@
 		g.refused[kind{p, true}] = 0.5 // who is refused comes again
 		g.stake += p.Price * p.ExcessCost / float64(len(set.Plans))
 	}
-	g.stalled, g.level = -1, g.set.LevelLeast
+	g.stalled, g.level = -1, g.set.MinConcurrency
 	act.Wake(0)
 	return g, nil
 }
--- a/internal/server/wiring.go
+++ b/internal/server/wiring.go
@@ -34,8 +34,9 @@
 )
 
 // Tuning is how the gates of services are set for servers of few slots behind many gateways.
-var Tuning = choice.Tuning{RetryShare: 0.12, RetrySave: 3, LimitStart: 2, Roomy: 0.45, Tight: 0.9,
-	LevelLeast: 1.5, ShedFrom: 0.8, PartW: 0.05, WaitPart: 0.2, Strict: true}
+var Tuning = choice.Tuning{RetryBudgetRatio: 0.12, RetryBudgetMax: 3, InitialConcurrency: 2,
+	FastAnswerRatio: 0.45, SlowAnswerRatio: 0.9, MinConcurrency: 1.5, ShedThreshold: 0.8, LatencyWeight: 0.05,
+	QueueWaitRatio: 0.2, ChargeRejected: true}
 
 // Connections to servers.
 const (
