--- a/cmd/dunespoke/gateway_test.go
+++ b/cmd/dunespoke/gateway_test.go
@@ -34,7 +34,7 @@
 		Drain:     5 * second,
 		Wait:      3 * second,
 		KeepAlive: 60 * second,
-		Transfers: config.Transfers{Bytes: 16 << 10, Window: 4 << 10, Least: 1 << 10},
+		Transfers: config.Transfers{Bytes: 16 << 10, Window: 4 << 10, MinWindow: 1 << 10},
 		Pace:      config.Pace{ClientStall: 20 * second, ServerStall: 20 * second},
 		Pools: []config.Pool{{Name: "apps", Servers: []string{"app"}, Insecure: true, KeepAlive: 10 * second,
 			DialTimeout: second / 4, Attempts: 3}},
--- a/cmd/dunespoke/wiring.go
+++ b/cmd/dunespoke/wiring.go
@@ -286,7 +286,7 @@
 
 // transfers bound the memory of long bodies.
 func transfers(l config.Limits) flow.Options {
-	return flow.Options{Bytes: int(transfersPart * memory(l)), Window: 128 << 10, Least: 16 << 10}
+	return flow.Options{Bytes: int(transfersPart * memory(l)), Window: 128 << 10, MinWindow: 16 << 10}
 }
 
 // platform starts the platform's front and all that stands behind it.
--- a/front/platform/message.go
+++ b/front/platform/message.go
@@ -25,7 +25,7 @@
 // giving is not cut off: only one that stands still for long is given up.
 var terms = transfer.Terms{
 	ClientUp:   accept.Platform.Rest,
-	ClientDown: flow.Pace{Least: accept.Platform.Rest.Least, Grace: 5 * time.Second},
+	ClientDown: flow.Pace{MinRate: accept.Platform.Rest.MinRate, Grace: 5 * time.Second},
 	ServerUp:   flow.Pace{Stall: 5 * time.Second},
 	ServerDown: flow.Pace{Stall: 10 * time.Second},
 	Whole:      true,
@@ -41,7 +41,7 @@
 		length = longest
 	}
 	pace := terms.ClientUp
-	return pace.Grace + time.Duration(float64(length)/pace.Least*float64(time.Second))
+	return pace.Grace + time.Duration(float64(length)/pace.MinRate*float64(time.Second))
 }
 
 // Append writes the head.
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -43,9 +43,9 @@
 
 // Transfers bound the memory of long bodies.
 type Transfers struct {
-	Bytes  int `toml:"bytes"`  // of all
-	Window int `toml:"window"` // of one direction of one, at most
-	Least  int `toml:"least"`  // and at least
+	Bytes     int `toml:"bytes"`  // of all
+	Window    int `toml:"window"` // of one direction of one, at most
+	MinWindow int `toml:"least"`  // and at least
 }
 
 // Options are those of the budget.
@@ -110,7 +110,7 @@
 func (g *Gateway) defaults() {
 	g.Head, g.Short, g.Gateways = 16<<10, 4<<10, 1
 	g.Drain, g.Wait, g.KeepAlive = Duration(30*time.Second), Duration(10*time.Second), Duration(time.Minute)
-	g.Transfers = Transfers{Bytes: 16 << 20, Window: 64 << 10, Least: 4 << 10}
+	g.Transfers = Transfers{Bytes: 16 << 20, Window: 64 << 10, MinWindow: 4 << 10}
 	g.Pace = Pace{ClientStall: Duration(30 * time.Second), ServerStall: Duration(30 * time.Second),
 		Grace: Duration(10 * time.Second)}
 }
@@ -226,8 +226,8 @@
 
 // Terms are what exchanges are held to by it, and by their class's time for a head.
 func (p *Pace) Terms(head time.Duration) transfer.Terms {
-	client := flow.Pace{Least: p.Client, Grace: time.Duration(p.Grace), Stall: time.Duration(p.ClientStall)}
-	server := flow.Pace{Least: p.Server, Grace: time.Duration(p.Grace), Stall: time.Duration(p.ServerStall)}
+	client := flow.Pace{MinRate: p.Client, Grace: time.Duration(p.Grace), Stall: time.Duration(p.ClientStall)}
+	server := flow.Pace{MinRate: p.Server, Grace: time.Duration(p.Grace), Stall: time.Duration(p.ServerStall)}
 	return transfer.Terms{ClientUp: client, ClientDown: client, ServerUp: server, ServerDown: server, Head: head}
 }
 
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -470,7 +470,7 @@
 		start := time.Now()
 		f := New(Options{Zone: "a", SlowLog: &slowlog.Log{}, Log: func(events.Event, ...any) {},
 			Clock:      func() time.Duration { return time.Since(start) },
-			BodyBudget: flow.NewBudget(flow.Options{Bytes: 1 << 20, Least: 16 << 10, Window: 128 << 10}),
+			BodyBudget: flow.NewBudget(flow.Options{Bytes: 1 << 20, MinWindow: 16 << 10, Window: 128 << 10}),
 			NewCore: func(_ string, set choice.Settings) (*core.Core, error) {
 				c, err := core.New(core.Config{Settings: set, Seed: 1, Upstream: up,
 					FinishSent: true})
--- a/internal/dataplane/proxy/upstream_request.go
+++ b/internal/dataplane/proxy/upstream_request.go
@@ -94,8 +94,8 @@
 // that stands still for long is given up. Only Not-Run says that a request has not run: of one that has left
 // in part nothing is promised, too.
 var defaultTerms = transfer.Terms{
-	ClientUp:   flow.Pace{Least: 32 << 10, Grace: 3 * time.Second},
-	ClientDown: flow.Pace{Least: 32 << 10, Grace: 5 * time.Second},
+	ClientUp:   flow.Pace{MinRate: 32 << 10, Grace: 3 * time.Second},
+	ClientDown: flow.Pace{MinRate: 32 << 10, Grace: 5 * time.Second},
 	ServerUp:   flow.Pace{Stall: 5 * time.Second},
 	ServerDown: flow.Pace{Stall: 10 * time.Second},
 	Awaited:    true,
--- a/internal/flow/budget.go
+++ b/internal/flow/budget.go
@@ -27,9 +27,9 @@
 
 // Options bound a budget, in bytes.
 type Options struct {
-	Bytes  int // for all transfers
-	Window int // of one direction of one transfer, at most
-	Least  int // and at least: with Bytes, it says how many transfers there may be
+	Bytes     int // for all transfers
+	Window    int // of one direction of one transfer, at most
+	MinWindow int // and at least: with Bytes, it says how many transfers there may be
 }
 
 // What may be wrong with options.
@@ -41,16 +41,16 @@
 // Validate names the first option that makes no sense.
 func (o Options) Validate() error {
 	switch {
-	case o.Least <= 0 || o.Window < o.Least || o.Window > math.MaxInt32:
+	case o.MinWindow <= 0 || o.Window < o.MinWindow || o.Window > math.MaxInt32:
 		return errWindow
-	case o.Bytes < int(directions)*o.Least:
+	case o.Bytes < int(directions)*o.MinWindow:
 		return errBytes
 	}
 	return nil
 }
 
-// Most is how many transfers there may be at a time.
-func (o Options) Most() int { return o.Bytes / (int(directions) * o.Least) }
+// MaxTransfers is how many transfers there may be at a time.
+func (o Options) MaxTransfers() int { return o.Bytes / (int(directions) * o.MinWindow) }
 
 // pressed is the part of the budget from which windows shrink.
 const pressed = 0.8
@@ -84,22 +84,22 @@
 func (b *Budget) Admit(now time.Duration) (t *Transfer, after time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open >= b.set.Most() {
+	if b.open >= b.set.MaxTransfers() {
 		return nil, max(b.every, time.Second)
 	}
 	// What others hold beyond their least is never taken back: a new one has to wait until it is written.
-	if b.extra > b.set.Bytes-(b.open+1)*int(directions)*b.set.Least {
+	if b.extra > b.set.Bytes-(b.open+1)*int(directions)*b.set.MinWindow {
 		return nil, time.Second
 	}
 	b.open++
 	return &Transfer{budget: b}, 0
 }
 
-// Held tells how many bytes may be held at present, least windows counted whole.
-func (b *Budget) Held() int {
+// Reserved tells how many bytes may be held at present, least windows counted whole.
+func (b *Budget) Reserved() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.open*int(directions)*b.set.Least + b.extra
+	return b.open*int(directions)*b.set.MinWindow + b.extra
 }
 
 // Open tells how many transfers there are.
@@ -112,14 +112,14 @@
 // window is what one direction may hold now: all of it while there is plenty, and less and less, down to the
 // least, as the budget gets short. The lock is held.
 func (b *Budget) window() int {
-	used := float64(b.open*int(directions)*b.set.Least+b.extra) / float64(b.set.Bytes)
+	used := float64(b.open*int(directions)*b.set.MinWindow+b.extra) / float64(b.set.Bytes)
 	part := min(1, max(0, (1-used)/(1-pressed)))
-	return b.set.Least + int(part*float64(b.set.Window-b.set.Least))
+	return b.set.MinWindow + int(part*float64(b.set.Window-b.set.MinWindow))
 }
 
-// Take reserves room for up to so many bytes that are about to be read, and returns for how many. 0 means to
+// Reserve reserves room for up to so many bytes that are about to be read, and returns for how many. 0 means to
 // read nothing before some were given back.
-func (t *Transfer) Take(d Direction, want int) int {
+func (t *Transfer) Reserve(d Direction, want int) int {
 	b := t.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,8 +128,8 @@
 	}
 	n := max(0, min(want, b.window()-t.held[d]))
 	// What goes beyond the least window comes out of what is free of all.
-	free := b.set.Bytes - b.open*int(directions)*b.set.Least - b.extra
-	sure := max(0, b.set.Least-t.held[d])
+	free := b.set.Bytes - b.open*int(directions)*b.set.MinWindow - b.extra
+	sure := max(0, b.set.MinWindow-t.held[d])
 	if over := n - sure; over > 0 {
 		over = min(over, max(0, free))
 		n = sure + over
@@ -139,8 +139,8 @@
 	return n
 }
 
-// Give returns room that was taken: of bytes that were written, or not read after all.
-func (t *Transfer) Give(d Direction, n int) {
+// Release returns room that was taken: of bytes that were written, or not read after all.
+func (t *Transfer) Release(d Direction, n int) {
 	b := t.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +151,7 @@
 
 func (t *Transfer) give(d Direction, n int) {
 	n = min(n, t.held[d])
-	over := max(0, t.held[d]-t.budget.set.Least)
+	over := max(0, t.held[d]-t.budget.set.MinWindow)
 	t.budget.extra -= min(over, n)
 	t.held[d] -= n
 }
--- a/internal/flow/store.go
+++ b/internal/flow/store.go
@@ -18,8 +18,8 @@
 // Fits reports whether a body of a length may be held at all; one that doesn't tell its length (-1) may.
 func (s *Store) Fits(length int64) bool { return length <= int64(s.most) }
 
-// Take reserves so many bytes more for a body that has held bytes already, or reports that there is no room.
-func (s *Store) Take(held, more int) bool {
+// Reserve reserves so many bytes more for a body that has held bytes already, or reports that there is no room.
+func (s *Store) Reserve(held, more int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if held+more > s.most || more > s.free {
@@ -29,8 +29,8 @@
 	return true
 }
 
-// Give returns bytes.
-func (s *Store) Give(n int) {
+// Release returns bytes.
+func (s *Store) Release(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.free += n
--- a/internal/net/accept/streams.go
+++ b/internal/net/accept/streams.go
@@ -44,7 +44,7 @@
 
 // Platform is how the platform's clients are taken: heads within 2.5 s, and bodies at 32 kB a second or more.
 var Platform = Streams{Head: http1.DefaultLimits.Head, Short: http1.DefaultLimits.Body, Wait: requestWait,
-	Idle: idleWait, Rest: flow.Pace{Least: slowest, Grace: requestWait}}
+	Idle: idleWait, Rest: flow.Pace{MinRate: slowest, Grace: requestWait}}
 
 // NewStreams returns a server for a Streamer, as New does for a Handler.
 func NewStreams(l net.Listener, h Streamer, connections int, o Streams,
--- a/internal/net/transfer/side.go
+++ b/internal/net/transfer/side.go
@@ -25,7 +25,7 @@
 // Side is one side's connection in one direction, held to a pace. It is not safe for concurrent use.
 type Side struct {
 	Conn  net.Conn
-	watch *flow.Watch
+	watch *flow.Monitor
 	pace  flow.Pace
 	start time.Time
 	due   time.Duration // of the deadline that is set
@@ -34,11 +34,11 @@
 
 // NewSide returns a side that nobody waits for yet.
 func NewSide(nc net.Conn, p flow.Pace) *Side {
-	return &Side{Conn: nc, watch: flow.NewWatch(p), pace: p, start: time.Now()}
+	return &Side{Conn: nc, watch: flow.NewMonitor(p), pace: p, start: time.Now()}
 }
 
 // SlowError is the error of a side that was too slow.
-type SlowError struct{ flow.Blame }
+type SlowError struct{ flow.Violation }
 
 // Error says in what way.
 func (e *SlowError) Error() string { return e.String() }
@@ -51,9 +51,9 @@
 // comes nearer than it may.
 func (s *Side) wait() (due time.Time, ok bool) {
 	now := s.now()
-	s.watch.Wait(now)
-	at, _ := s.watch.Due()
-	if s.pace.Least == 0 {
+	s.watch.StartWait(now)
+	at, _ := s.watch.Deadline()
+	if s.pace.MinRate == 0 {
 		if s.due >= at {
 			return time.Time{}, false
 		}
@@ -79,7 +79,7 @@
 	n, err := s.Conn.Read(p)
 	now := s.now()
 	if n == 0 && timeout(err) {
-		if blame := s.watch.Judge(now); blame != flow.None {
+		if blame := s.watch.Check(now); blame != flow.None {
 			return 0, &SlowError{blame}
 		}
 	}
@@ -102,7 +102,7 @@
 		n, err := s.Conn.Write(p)
 		now := s.now()
 		if n == 0 && timeout(err) {
-			if blame := s.watch.Judge(now); blame != flow.None {
+			if blame := s.watch.Check(now); blame != flow.None {
 				return &SlowError{blame}
 			}
 		}
@@ -146,9 +146,9 @@
 	if w.room == nil || w.size <= len(w.base) {
 		return w.base
 	}
-	n := w.room.Take(w.dir, w.size)
+	n := w.room.Reserve(w.dir, w.size)
 	if n <= len(w.base) {
-		w.room.Give(w.dir, n)
+		w.room.Release(w.dir, n)
 		return w.base
 	}
 	w.buf = buffer(n)
@@ -162,7 +162,7 @@
 // pass it on.
 func (w *Window) Done(taken []byte, used int, took time.Duration) {
 	if w.buf != nil {
-		w.room.Give(w.dir, len(taken))
+		w.room.Release(w.dir, len(taken))
 		release(w.buf)
 		w.buf = nil
 	}
--- a/internal/net/transfer/store_test.go
+++ b/internal/net/transfer/store_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("lost: %v, %d bytes", u.Lost(), good.Len())
 	}
 	for range 4 {
-		if !store.Take(0, storeBlock) {
+		if !store.Reserve(0, storeBlock) {
 			t.Error("the store has not all of its bytes back")
 		}
 	}
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -85,7 +85,7 @@
 	have := len(u.blocks) * storeBlock
 	if need := u.stored + len(piece) - have; need > 0 {
 		blocks := (need + storeBlock - 1) / storeBlock
-		if !u.store.Take(have, blocks*storeBlock) {
+		if !u.store.Reserve(have, blocks*storeBlock) {
 			return false
 		}
 		for range blocks {
@@ -302,8 +302,8 @@
 		return false
 	}
 	if u.room != nil {
-		if n := u.room.Take(flow.Up, len(piece)); n < len(piece) {
-			u.room.Give(flow.Up, n)
+		if n := u.room.Reserve(flow.Up, len(piece)); n < len(piece) {
+			u.room.Release(flow.Up, n)
 			return false
 		}
 	}
@@ -318,11 +318,11 @@
 			b = b[:storeBlock]
 			release(&b)
 		}
-		u.store.Give(len(u.blocks) * storeBlock)
+		u.store.Release(len(u.blocks) * storeBlock)
 		u.blocks = nil
 	}
 	if u.room != nil && len(u.held) > 0 {
-		u.room.Give(flow.Up, len(u.held))
+		u.room.Release(flow.Up, len(u.held))
 	}
 	u.held = nil
 }
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -71,7 +71,7 @@
 			Head: limits.MaxHeaderBytes, Promises: true, Short: maxShortBody, Wait: limits.HeaderTimeout,
 			Idle: limits.IdleTimeout, Accept: acceptAfterTerm, Life: time.Duration(grace * float64(time.Second)),
 			Store: flow.NewStore(max(minBodyMemory, set.Limits.MemoryMB) << 20 / storedBodyMemoryShare),
-			Rest:  flow.Pace{Least: minClientRate, Grace: clientGrace},
+			Rest:  flow.Pace{MinRate: minClientRate, Grace: clientGrace},
 		}, zerolog.Nop())
 	go s.serve(s.listener)
 	s.Log(events.Ready)
--- a/internal/server/wiring.go
+++ b/internal/server/wiring.go
@@ -188,7 +188,7 @@
 // bodyBudget is that of long bodies: a small part of the memory.
 func (s *Server) bodyBudget() flow.Options {
 	memory := max(minBodyMemory, s.settings.Limits.MemoryMB) << 20
-	return flow.Options{Bytes: memory / bodyMemoryShare, Least: minBodyWindow, Window: maxBodyWindow}
+	return flow.Options{Bytes: memory / bodyMemoryShare, MinWindow: minBodyWindow, Window: maxBodyWindow}
 }
 
 func controlPort(set *settings.Settings) string {
--- a/middleware/stream.go
+++ b/middleware/stream.go
@@ -207,5 +207,5 @@
 
 // budget is that of so many streams. The memory is the server's own: what counts is their number.
 func budget(most int) *flow.Budget {
-	return flow.NewBudget(flow.Options{Bytes: 2 * most, Window: 1, Least: 1})
+	return flow.NewBudget(flow.Options{Bytes: 2 * most, Window: 1, MinWindow: 1})
 }
