--- a/cmd/dunespoke/fleet.go
+++ b/cmd/dunespoke/fleet.go
@@ -91,7 +91,7 @@
 
 // dump is the figures of DUMP; with a fleet, its record's as well.
 func (p *program) dump() any {
-	figures := p.main.Figures().Snapshot()
+	figures := p.main.Stats().Snapshot()
 	if p.fleet == nil {
 		return figures
 	}
--- a/cmd/dunespoke/gateway.go
+++ b/cmd/dunespoke/gateway.go
@@ -181,7 +181,7 @@
 	}
 	up := forward.New(forward.Config{Dial: dial, DialTimeout: set.DialTimeout, Log: p.log,
 		KeepAlive: time.Duration(conf.KeepAlive), Connections: max(1, t.share.servers/len(g.Pools)), Stall: stall,
-		Streams: gateway.Judge(conf.Errors), Limits: http1.Limits{Head: answerHead}})
+		Streams: gateway.ClassifyHead(conf.Errors), Limits: http1.Limits{Head: answerHead}})
 	c, err := core.New(core.Config{Settings: set, Seed: uint64(time.Now().UnixNano()), Upstream: up,
 		Counter: t.counts, Log: p.decision})
 	if err != nil {
--- a/cmd/dunespoke/wiring.go
+++ b/cmd/dunespoke/wiring.go
@@ -297,10 +297,10 @@
 			return fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	judge := platform.Judge{Fields: conf.Reports, Units: conf.Settings.MaxUnits}
+	judge := platform.ResponseClassifier{LoadFields: conf.Reports, MaxUnits: conf.Settings.MaxUnits}
 	c, err := p.core(conf.Settings, uint64(conf.Seed), conf.Counter, forward.Config{
 		DialTimeout: conf.Settings.DialTimeout, KeepAlive: conf.KeepAlive, Connections: share.servers,
-		Stall: stall, Judge: judge.Whole, Streams: judge.Head, Hold: holdMost})
+		Stall: stall, Judge: judge.Complete, Streams: judge.Head, Hold: holdMost})
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 	if names, err := readBans(bansFile(conf.Listen)); err != nil {
 		p.log.Warn().Str("code", "bans-unread").Err(err).Msg("no app server is kept out by an earlier word")
 	} else if len(names) > 0 {
-		c.Keep(names)
+		c.RestoreBans(names)
 		p.log.Info().Str("code", "bans-kept").Strs("servers", names).Msg("kept out since before this process")
 	}
 	p.watcher = discovery.NewWatcher(conf.Discovery, uint64(conf.Seed), conf.Settings.Gateways, c.Servers,
--- a/core/bans.go
+++ b/core/bans.go
@@ -31,8 +31,8 @@
 	c.count()
 }
 
-// Keep takes bans that were in force before this process began, as of names that were listed.
-func (c *Core) Keep(names []string) {
+// RestoreBans takes bans that were in force before this process began, as of names that were listed.
+func (c *Core) RestoreBans(names []string) {
 	c.queue.put(func() {
 		for _, n := range names {
 			c.see(n)
--- a/core/bans_test.go
+++ b/core/bans_test.go
@@ -28,8 +28,8 @@
 		b.ask("read", time.Second)
 		time.Sleep(2 * time.Second)
 		b.want(t, 0, "1 <nil>")
-		if b.Ready() || b.Figures().Snapshot().Out != 1 || b.up.dropped != 1 {
-			t.Errorf("ready %v, figures %+v, dropped %d", b.Ready(), b.Figures().Snapshot(), b.up.dropped)
+		if b.Ready() || b.Stats().Snapshot().OutOfRotation != 1 || b.up.dropped != 1 {
+			t.Errorf("ready %v, figures %+v, dropped %d", b.Ready(), b.Stats().Snapshot(), b.up.dropped)
 		}
 		b.Servers(false, []Server{{Name: "s", State: choice.Gone}}) // restarted
 		b.Servers(false, []Server{{Name: "s", State: choice.Live}})
@@ -47,7 +47,7 @@
 // Bans kept from an earlier process hold before the list names the server.
 func TestBansKeptFromBeforeHoldAtOnce(t *testing.T) {
 	withCore(t, false, func(t *testing.T, b *bench) {
-		b.Keep([]string{"t"})
+		b.RestoreBans([]string{"t"})
 		b.Servers(false, []Server{{Name: "t", State: choice.Live}})
 		b.Servers(false, []Server{{Name: "s", State: choice.Gone}})
 		b.ask("read", time.Second)
@@ -65,14 +65,14 @@
 func TestFiguresCountAnswersAndAttempts(t *testing.T) {
 	withCore(t, false, func(t *testing.T, b *bench) {
 		b.ask("read", time.Second)
-		if got := b.Figures().Snapshot(); got.Open != 1 || got.Listed != 1 || got.Out != 0 {
+		if got := b.Stats().Snapshot(); got.Open != 1 || got.Listed != 1 || got.OutOfRotation != 0 {
 			t.Errorf("%+v", got)
 		}
 		b.up.started[0].End(Result{Code: choice.OK, Body: "x"})
 		b.ask("pay", time.Second)
 		b.up.started[1].End(Result{Code: choice.Reset, Final: true})
 		synctest.Wait()
-		got := b.Figures().Snapshot()
+		got := b.Stats().Snapshot()
 		if got.Fulfilled["read"] != 1 || got.Faulted["pay"] != 1 || got.Relayed != 2 || got.Open != 0 {
 			t.Errorf("%+v", got)
 		}
@@ -85,15 +85,15 @@
 		for i, whole := range []bool{true, false} {
 			b.ask("read", time.Second)
 			b.up.started[i].End(Result{Code: choice.OK, Body: "x"})
-			ended := b.Passing("read")
+			ended := b.TrackResponse("read")
 			synctest.Wait()
-			if got := b.Figures().Snapshot(); got.Open != 1 || got.Fulfilled["read"] != int64(i+1) {
+			if got := b.Stats().Snapshot(); got.Open != 1 || got.Fulfilled["read"] != int64(i+1) {
 				t.Errorf("while it is passed on: %+v", got)
 			}
 			ended(whole)
 		}
 		synctest.Wait()
-		if got := b.Figures().Snapshot(); got.Open != 0 || got.Fulfilled["read"] != 1 || got.Faulted["read"] != 1 {
+		if got := b.Stats().Snapshot(); got.Open != 0 || got.Fulfilled["read"] != 1 || got.Faulted["read"] != 1 {
 			t.Errorf("want one whole and one failed: %+v", got)
 		}
 	})
--- a/core/core.go
+++ b/core/core.go
@@ -36,14 +36,14 @@
 
 // Request is what a front asks for.
 type Request struct {
-	Class    string
-	Plan     string
-	Customer uint64
-	Units    float64       // what it draws from its customer's quota
-	Again    bool          // a client's repeat, where clients tell
-	Spread   int           // gateways through which the customer's requests arrive
-	Deadline time.Duration // reading of Core.Now by which the final answer is due
-	Payload  any           // for the upstream
+	Class       string
+	Plan        string
+	Customer    uint64
+	Units       float64       // what it draws from its customer's quota
+	ClientRetry bool          // a client's repeat, where clients tell
+	Spread      int           // gateways through which the customer's requests arrive
+	Deadline    time.Duration // reading of Core.Now by which the final answer is due
+	Payload     any           // for the upstream
 	// Reply gets the final answer: once, on the core's goroutine, unless the client left before. It must
 	// not block.
 	Reply func(Answer)
@@ -51,14 +51,14 @@
 
 // Server is a server as the server list names it.
 type Server struct {
-	Name    string // the same at every gateway and after a restart
-	Addr    string
-	Zone    string
-	Cell    int
-	State   choice.State
-	Far     bool // not in this gateway's part
-	Weight  float64
-	Started time.Duration // Unix time of its last start; 0: long ago
+	Name          string // the same at every gateway and after a restart
+	Addr          string
+	Zone          string
+	Cell          int
+	State         choice.State
+	OutsideSubset bool // not in this gateway's part
+	Weight        float64
+	Started       time.Duration // Unix time of its last start; 0: long ago
 }
 
 // Result is how an attempt ended.
@@ -73,11 +73,11 @@
 
 // Attempt is one send of a request to a server.
 type Attempt struct {
-	Server  Server
-	Timeout time.Duration // the core aborts the attempt after it
-	Payload any           // of the request
-	Wary    bool          // not safe to repeat: not for a connection that may have gone stale
-	End     func(Result)  // to be called once, from any goroutine; late calls do no harm
+	Server        Server
+	Timeout       time.Duration // the core aborts the attempt after it
+	Payload       any           // of the request
+	NotRepeatable bool          // not safe to repeat: not for a connection that may have gone stale
+	End           func(Result)  // to be called once, from any goroutine; late calls do no harm
 }
 
 // Running is an attempt under way.
@@ -87,8 +87,8 @@
 	Abort() (mayHaveRun bool)
 }
 
-// Unsent is a Running that tells whether anything of its request has left.
-type Unsent interface {
+// UnsentAborter is a Running that tells whether anything of its request has left.
+type UnsentAborter interface {
 	// AbortUnsent ends the attempt as Abort does, if nothing of its request has left. It reports whether it did.
 	AbortUnsent() bool
 }
@@ -148,7 +148,7 @@
 
 	queue   queue
 	ready   atomic.Bool
-	figures *Figures
+	figures *Stats
 
 	// Owned by the goroutine of Run.
 	timers     timers
@@ -264,9 +264,9 @@
 // Leave says that the client has gone: it gets no answer any more, and its attempt is cancelled.
 func (t Ticket) Leave() { t.core.queue.put(func() { t.core.leave(t.r) }) }
 
-// Passing tells that a served request's answer is still on its way to the client: it stays open, and counts
-// as failed in the end if it could not be passed on whole. The end is to be told once, from any goroutine.
-func (c *Core) Passing(class string) (ended func(whole bool)) {
+// TrackResponse tells that a served request's answer is still on its way to the client: it stays open, and
+// counts as failed in the end if it could not be passed on whole. The end is to be told once, from any goroutine.
+func (c *Core) TrackResponse(class string) (ended func(whole bool)) {
 	c.queue.put(func() { c.figures.open.Add(1) })
 	return func(whole bool) { c.queue.put(func() { c.figures.passed(class, whole) }) }
 }
@@ -328,7 +328,8 @@
 	if state == choice.Live && !c.live(s) {
 		state = choice.Draining
 	}
-	return choice.Backend{ID: id, Key: key(s.Name), Zone: s.Zone, Cell: s.Cell, State: state, Far: s.Far,
+	return choice.Backend{ID: id, Key: key(s.Name), Zone: s.Zone, Cell: s.Cell, State: state,
+		Far:     s.OutsideSubset,
 		Weight:  s.Weight,
 		Started: s.Started}
 }
--- a/core/figures.go
+++ b/core/figures.go
@@ -2,9 +2,9 @@
 
 import "sync/atomic"
 
-// Figures are what the core has done since it began, as operators read them. The core's goroutine writes
+// Stats are what the core has done since it began, as operators read them. The core's goroutine writes
 // them; anyone may read them at any time.
-type Figures struct {
+type Stats struct {
 	classes map[string]*tally // made once, for the classes of the settings
 	relayed atomic.Int64
 	open    atomic.Int64
@@ -15,11 +15,11 @@
 // tally is one class's figures.
 type tally struct{ fulfilled, throttled, faulted atomic.Int64 }
 
-// Figures returns the core's figures.
-func (c *Core) Figures() *Figures { return c.figures }
+// Stats returns the core's figures.
+func (c *Core) Stats() *Stats { return c.figures }
 
-func newFigures(classes []string) *Figures {
-	f := &Figures{classes: map[string]*tally{}}
+func newFigures(classes []string) *Stats {
+	f := &Stats{classes: map[string]*tally{}}
 	for _, c := range classes {
 		f.classes[c] = &tally{}
 	}
@@ -28,19 +28,20 @@
 
 // Snapshot is the figures at one moment, in the form of the operators' DUMP.
 type Snapshot struct {
-	Fulfilled map[string]int64 `json:"fulfilled"`        // requests served, by class
-	Throttled map[string]int64 `json:"throttled"`        // refused
-	Faulted   map[string]int64 `json:"faulted"`          // failed
-	Relayed   int64            `json:"relayed"`          // attempts written whole to app servers
-	Open      int64            `json:"open_requests"`    // taken and not ended
-	Listed    int64            `json:"registry_entries"` // app servers in the list
-	Out       int64            `json:"out_of_rotation"`  // of those, the ones avoided now
+	Fulfilled     map[string]int64 `json:"fulfilled"`        // requests served, by class
+	Throttled     map[string]int64 `json:"throttled"`        // refused
+	Faulted       map[string]int64 `json:"faulted"`          // failed
+	Relayed       int64            `json:"relayed"`          // attempts written whole to app servers
+	Open          int64            `json:"open_requests"`    // taken and not ended
+	Listed        int64            `json:"registry_entries"` // app servers in the list
+	OutOfRotation int64            `json:"out_of_rotation"`  // of those, the ones avoided now
 }
 
 // Snapshot reads the figures.
-func (f *Figures) Snapshot() Snapshot {
+func (f *Stats) Snapshot() Snapshot {
 	s := Snapshot{Fulfilled: map[string]int64{}, Throttled: map[string]int64{}, Faulted: map[string]int64{},
-		Relayed: f.relayed.Load(), Open: max(0, f.open.Load()), Listed: f.listed.Load(), Out: f.out.Load()}
+		Relayed: f.relayed.Load(), Open: max(0, f.open.Load()), Listed: f.listed.Load(),
+		OutOfRotation: f.out.Load()}
 	for name, t := range f.classes {
 		s.Fulfilled[name], s.Throttled[name] = t.fulfilled.Load(), t.throttled.Load()
 		s.Faulted[name] = t.faulted.Load()
@@ -49,7 +50,7 @@
 }
 
 // answered counts a final answer.
-func (f *Figures) answered(class string, k Kind) {
+func (f *Stats) answered(class string, k Kind) {
 	f.open.Add(-1)
 	t := f.classes[class]
 	if t == nil {
@@ -66,7 +67,7 @@
 }
 
 // passed counts the end of an answer that was counted as served at its head.
-func (f *Figures) passed(class string, whole bool) {
+func (f *Stats) passed(class string, whole bool) {
 	f.open.Add(-1)
 	if t := f.classes[class]; t != nil && !whole {
 		t.fulfilled.Add(-1)
@@ -74,4 +75,4 @@
 	}
 }
 
-func (f *Figures) relay() { f.relayed.Add(1) }
+func (f *Stats) relay() { f.relayed.Add(1) }
--- a/core/request.go
+++ b/core/request.go
@@ -36,7 +36,7 @@
 	c.requests[r.id] = r
 	c.timers.add(r.Deadline+grace, &r.done, func() { c.overdue(r) })
 	c.gate.Request(c.Now(), choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		Units: r.Units, Again: r.Again, Spread: r.Spread, Deadline: r.Deadline})
+		Units: r.Units, Again: r.ClientRetry, Spread: r.Spread, Deadline: r.Deadline})
 }
 
 // answer gives the final answer, if none was given.
@@ -129,7 +129,7 @@
 
 // cancel withdraws an attempt whose client has left, unless it is to run to its end.
 func (c *Core) cancel(at *attempt) {
-	running, tells := at.running.(Unsent)
+	running, tells := at.running.(UnsentAborter)
 	switch {
 	case !c.finish || !c.wary[at.r.Class] || !tells:
 		c.abort(at, choice.Cancelled)
@@ -161,7 +161,7 @@
 		c.timers.add(now+aim, &at.ended, func() { c.watch.Hung(at.zone, c.Now()-at.sent) })
 	}
 	at.running = c.upstream.Start(Attempt{Server: server, Timeout: timeout, Payload: r.Payload,
-		Wary: c.wary[r.Class], End: func(res Result) { c.queue.put(func() { c.end(at, res) }) }})
+		NotRepeatable: c.wary[r.Class], End: func(res Result) { c.queue.put(func() { c.end(at, res) }) }})
 	c.timers.add(now+timeout, &at.ended, func() { c.abort(at, choice.TimedOut) })
 }
 
--- a/front/gateway/gateway.go
+++ b/front/gateway/gateway.go
@@ -159,7 +159,7 @@
 // guarded has the token checked first, and counts by what it claims where the route says so.
 func (f *plan) guarded(x *accept.Exchange, route *Route, in core.Request, who string) (leave func()) {
 	g := &relay.Relay{}
-	g.First(f.Guard.Require(&http1.Request{Request: x.Request, Peer: x.Peer}, in, route.Require,
+	g.Begin(f.Guard.Require(&http1.Request{Request: x.Request, Peer: x.Peer}, in, route.Require,
 		func(c bearer.Claims, a *http1.Answer) {
 			if a != nil {
 				x.Answer(a)
@@ -172,7 +172,7 @@
 				}
 			}
 			in.Customer = account(who)
-			g.Move(func() func() { return route.Core.Submit(in).Leave })
+			g.StartSecond(func() func() { return route.Core.Submit(in).Leave })
 		}))
 	return g.Leave
 }
--- a/front/gateway/message.go
+++ b/front/gateway/message.go
@@ -62,9 +62,9 @@
 	return all
 }
 
-// Judge returns what the head of an answer means. Those with one of the given statuses are errors, after
-// which another attempt may be made if the class allows it; any other is what the client asked for.
-func Judge(errors []int) func(*http.Response) core.Result {
+// ClassifyHead returns what the head of an answer means. Those with one of the given statuses are errors,
+// after which another attempt may be made if the class allows it; any other is what the client asked for.
+func ClassifyHead(errors []int) func(*http.Response) core.Result {
 	return func(r *http.Response) core.Result {
 		clean(r.Header)
 		if len(r.Trailer) > 0 && r.ContentLength < 0 {
--- a/front/introspect/callers.go
+++ b/front/introspect/callers.go
@@ -47,14 +47,14 @@
 		host = name
 	}
 	g := &relay.Relay{}
-	g.First(s.ask(core.Request{Plan: s.Callers.Plan, Customer: Customer(host) | callerBit, Spread: s.Gateways,
+	g.Begin(s.ask(core.Request{Plan: s.Callers.Plan, Customer: Customer(host) | callerBit, Spread: s.Gateways,
 		Deadline: deadline}, by.secret, "access_token", func(v verdict) {
 		client, problem := s.caller(by, v)
 		if problem != nil {
 			respond(problem)
 			return
 		}
-		g.Move(func() func() { return s.serve(r, form, client, deadline, respond) })
+		g.StartSecond(func() func() { return s.serve(r, form, client, deadline, respond) })
 	}))
 	return g.Leave
 }
--- a/front/platform/guard.go
+++ b/front/platform/guard.go
@@ -17,12 +17,12 @@
 // throughGuard has a request pass the guard, and then go on to the core.
 func (f *Front) throughGuard(r *http1.Request, in core.Request, respond func(*http1.Answer)) (leave func()) {
 	g := &relay.Relay{}
-	g.First(f.guard.Check(r, in, func(instead *http1.Answer) {
+	g.Begin(f.guard.Check(r, in, func(instead *http1.Answer) {
 		if instead != nil {
 			respond(instead)
 			return
 		}
-		g.Move(func() func() { return f.core.Submit(in).Leave })
+		g.StartSecond(func() func() { return f.core.Submit(in).Leave })
 	}))
 	return g.Leave
 }
--- a/front/platform/judge.go
+++ b/front/platform/judge.go
@@ -10,14 +10,14 @@
 	"dunespoke/internal/http1"
 )
 
-// Judge says what answers of app servers mean, and reads what they tell beside.
-type Judge struct {
-	Fields []string // of load reports, in the settings' order; none: answers hold none
-	Units  float64  // the most that a request counts; 0: any
+// ResponseClassifier says what answers of app servers mean, and reads what they tell beside.
+type ResponseClassifier struct {
+	LoadFields []string // of load reports, in the settings' order; none: answers hold none
+	MaxUnits   float64  // the most that a request counts; 0: any
 }
 
-// Whole judges a whole answer.
-func (j Judge) Whole(r *http1.Response) core.Result {
+// Complete judges a whole answer.
+func (j ResponseClassifier) Complete(r *http1.Response) core.Result {
 	result := j.read(r.Response)
 	if result.Code == choice.OK {
 		answer := &http1.Answer{Status: 200, Body: r.Content}
@@ -30,7 +30,7 @@
 }
 
 // Head judges an answer that is too long to be held, and leaves of its header what goes on.
-func (j Judge) Head(r *http.Response) core.Result {
+func (j ResponseClassifier) Head(r *http.Response) core.Result {
 	result, kind := j.read(r), r.Header["Content-Type"]
 	clear(r.Header)
 	if len(kind) > 0 {
@@ -39,7 +39,7 @@
 	return result
 }
 
-func (j Judge) read(r *http.Response) core.Result {
+func (j ResponseClassifier) read(r *http.Response) core.Result {
 	result := core.Result{Code: choice.Error, Load: j.load(r.Header)}
 	switch {
 	case r.StatusCode == http.StatusOK:
@@ -53,13 +53,13 @@
 
 // settled reads the true units of a request whose units were a guess; 0: not told, or told in no way that
 // can be true. A wrong number would be taken from the customer's quota, or given to it.
-func (j Judge) settled(h http.Header) float64 {
+func (j ResponseClassifier) settled(h http.Header) float64 {
 	lines := h["X-Settled"]
 	if len(lines) != 1 {
 		return 0
 	}
 	units, ok := http1.Decimal(lines[0])
-	if !ok || j.Units > 0 && units > j.Units {
+	if !ok || j.MaxUnits > 0 && units > j.MaxUnits {
 		return 0
 	}
 	return units
@@ -67,15 +67,15 @@
 
 // load reads a load report such as inflight=7,queue=2 into the settings' order. One that is not whole is
 // none: a figure taken for 0 would draw work.
-func (j Judge) load(h http.Header) []float64 {
+func (j ResponseClassifier) load(h http.Header) []float64 {
 	lines := h["X-Pressure"]
-	if len(j.Fields) == 0 || len(lines) != 1 {
+	if len(j.LoadFields) == 0 || len(lines) != 1 {
 		return nil
 	}
-	load, seen := make([]float64, len(j.Fields)), make([]bool, len(j.Fields))
+	load, seen := make([]float64, len(j.LoadFields)), make([]bool, len(j.LoadFields))
 	for part := range strings.SplitSeq(lines[0], ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		i := slices.Index(j.Fields, name)
+		i := slices.Index(j.LoadFields, name)
 		if i < 0 {
 			continue
 		}
--- a/front/platform/judge_test.go
+++ b/front/platform/judge_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestJudgeReadsWhatAnswersTell(t *testing.T) {
-	j := Judge{Fields: []string{"outstanding", "backlog"}, Units: 8}
+	j := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
 	for _, c := range []struct {
 		pressure, settled []string
 		load              []float64
@@ -26,7 +26,7 @@
 		{nil, nil, nil, 0},
 	} {
 		h := http.Header{"X-Pressure": c.pressure, "X-Settled": c.settled}
-		got := j.Whole(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK, Header: h}})
+		got := j.Complete(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK, Header: h}})
 		if got.Code != choice.OK || !slices.Equal(got.Load, c.load) || got.Units != c.units {
 			t.Errorf("%q, %q: load %v, units %v", c.pressure, c.settled, got.Load, got.Units)
 		}
@@ -42,7 +42,7 @@
 func FuzzJudge(f *testing.F) {
 	f.Add("outstanding=1,backlog=2", "3")
 	f.Add("backlog=1e300,outstanding=Inf", "0x8")
-	j := Judge{Fields: []string{"outstanding", "backlog"}, Units: 8}
+	j := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
 	f.Fuzz(func(t *testing.T, pressure, settled string) {
 		h := http.Header{"X-Pressure": {pressure}, "X-Settled": {settled}}
 		got := j.Head(&http.Response{StatusCode: http.StatusOK, Header: h})
--- a/front/platform/platform.go
+++ b/front/platform/platform.go
@@ -122,7 +122,7 @@
 
 // pass passes a long answer on. Without room it goes on all the same, in small pieces.
 func (f *Front) pass(x *accept.Exchange, class string, r *transfer.Reply) {
-	x.OnEnd(f.core.Passing(class))
+	x.OnEnd(f.core.TrackResponse(class))
 	if room, _ := f.budget.Admit(f.core.Now()); room != nil {
 		x.Widen(room, f.core.Now)
 	}
@@ -232,7 +232,7 @@
 		return bad("X-Remaining: want seconds")
 	}
 	in.Deadline = time.Duration(left*float64(time.Second)) - margin
-	in.Again = r.Header.Get("X-Resent") == "1"
+	in.ClientRetry = r.Header.Get("X-Resent") == "1"
 	if !f.meter(r.Header.Get("X-Metering"), &in) {
 		return bad("X-Metering: want units, spread and first")
 	}
--- a/front/platform/platform_test.go
+++ b/front/platform/platform_test.go
@@ -39,7 +39,7 @@
 	}
 	in, problem := front(t).read(r, 2)
 	if problem != nil || in.Class != "transfer" || in.Plan != "basic" || in.Customer != 7 || in.Units != 2 ||
-		in.Spread != 3 || !in.Again || in.Deadline != 1500*time.Millisecond-margin {
+		in.Spread != 3 || !in.ClientRetry || in.Deadline != 1500*time.Millisecond-margin {
 		t.Fatalf("%+v, %+v", in, problem)
 	}
 }
--- a/front/relay/relay.go
+++ b/front/relay/relay.go
@@ -12,9 +12,9 @@
 	leave func() // of the first, then of the second; may be nil
 }
 
-// First notes how the first hand learns that the client has left. It may come after Move: what was taken on
-// is left in the place where it is.
-func (r *Relay) First(leave func()) {
+// Begin notes how the first hand learns that the client has left. It may come after StartSecond: what was
+// taken on is left in the place where it is.
+func (r *Relay) Begin(leave func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.moved {
@@ -22,9 +22,9 @@
 	}
 }
 
-// Move hands the request on, unless the client has left or it was handed on before: a late word of the first
-// hand starts nothing. next returns how the second learns that the client has left; it must not call back.
-func (r *Relay) Move(next func() (leave func())) {
+// StartSecond hands the request on, unless the client has left or it was handed on before: a late word of the
+// first hand starts nothing. next returns how the second learns that the client has left; it must not call back.
+func (r *Relay) StartSecond(next func() (leave func())) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.left && !r.moved {
--- a/front/relay/relay_test.go
+++ b/front/relay/relay_test.go
@@ -21,11 +21,11 @@
 		for step := range strings.FieldsSeq(steps) {
 			switch step {
 			case "first":
-				r.First(say("first"))
+				r.Begin(say("first"))
 			case "nobody":
-				r.First(nil)
+				r.Begin(nil)
 			case "move":
-				r.Move(func() func() {
+				r.StartSecond(func() func() {
 					say("next")()
 					return say("second")
 				})
--- a/internal/dataplane/proxy/endpoints.go
+++ b/internal/dataplane/proxy/endpoints.go
@@ -53,7 +53,7 @@
 			state = choice.Draining
 		}
 		servers = append(servers, core.Server{Name: e.ID, Addr: e.Addr, Zone: e.Zone, State: state, Weight: 1,
-			Far: e.Zone == h.Zone && !slices.Contains(preferred, e.ID)})
+			OutsideSubset: e.Zone == h.Zone && !slices.Contains(preferred, e.ID)})
 	}
 	h.cores[service].Servers(true, servers)
 }
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -35,7 +35,7 @@
 	switch {
 	case a.Kind == core.Served:
 		if long, ok := a.Body.(*transfer.Reply); ok {
-			x.OnEnd(service.Passing(in.Class))
+			x.OnEnd(service.TrackResponse(in.Class))
 			if room, _ := h.BodyBudget.Admit(service.Now()); room != nil {
 				x.Widen(room, service.Now)
 			}
--- a/internal/net/forward/forwarder.go
+++ b/internal/net/forward/forwarder.go
@@ -42,8 +42,8 @@
 }
 
 var (
-	_ core.Upstream = (*Forwarder)(nil)
-	_ core.Unsent   = (*exchange)(nil)
+	_ core.Upstream      = (*Forwarder)(nil)
+	_ core.UnsentAborter = (*exchange)(nil)
 )
 
 // Forwarder sends attempts. It is a core.Upstream.
--- a/internal/net/forward/staleness.go
+++ b/internal/net/forward/staleness.go
@@ -26,7 +26,7 @@
 // if kept ones are not to be trusted with an attempt.
 func (f *Forwarder) avoidsReuse(a core.Attempt) bool {
 	f.mu.Lock()
-	pass := a.Wary && f.stale > staleMost
+	pass := a.NotRepeatable && f.stale > staleMost
 	var oldest *connection
 	if pool := f.idle[placeOf(a.Server)]; pass && len(pool) > 0 {
 		oldest = pool[0]
