--- a/core/avoid.go
+++ b/core/avoid.go
@@ -2,51 +2,53 @@
 
 import "dunespoke/choice"
 
-// Avoid has nothing new sent to the servers of some zones, in place of those named before: to the gate they
-// drain. Zones that are all there is are not avoided: a server that may be well is better than none.
+// Avoid stops sending new requests to the servers of the given zones, which replace those of the previous
+// call: the gate sees these servers as draining. If no other server is live and not banned, no zone
+// is avoided, since a server that may be healthy is better than none.
 func (c *Core) Avoid(zones []string) {
 	c.queue.put(func() { c.avoid(zones) })
 }
 
-// Zones sends the addresses of the servers that the list has as live, by zone, on the core's goroutine.
+// Zones sends the addresses of the servers that are live in the server list, grouped by zone. It sends on
+// the core's goroutine, so out should be buffered.
 func (c *Core) Zones(out chan<- map[string][]string) {
 	c.queue.put(func() {
-		all := map[string][]string{}
+		addrs := map[string][]string{}
 		for _, s := range c.servers {
 			if s.State == choice.Live {
-				all[s.Zone] = append(all[s.Zone], s.Addr)
+				addrs[s.Zone] = append(addrs[s.Zone], s.Addr)
 			}
 		}
-		out <- all
+		out <- addrs
 	})
 }
 
 func (c *Core) avoid(zones []string) {
-	before := map[uint64]bool{}
+	eligibleBefore := map[uint64]bool{}
 	for id, s := range c.servers {
-		before[id] = c.live(s)
+		eligibleBefore[id] = c.eligible(s)
 	}
-	c.avoided = map[string]bool{}
+	c.avoidedZones = map[string]bool{}
 	for _, z := range zones {
-		c.avoided[z] = true
+		c.avoidedZones[z] = true
 	}
-	some := false
+	anyEligible := false
 	for _, s := range c.servers {
-		some = some || c.live(s)
+		anyEligible = anyEligible || c.eligible(s)
 	}
-	if !some {
-		c.avoided = nil
+	if !anyEligible {
+		c.avoidedZones = nil
 	}
 	var changed []choice.Backend
 	for id, s := range c.servers {
-		if now := c.live(s); now != before[id] {
-			if !now {
+		if eligible := c.eligible(s); eligible != eligibleBefore[id] {
+			if !eligible {
 				c.upstream.Drop(s)
 			}
 			changed = append(changed, c.backend(id, s))
 		}
 	}
-	c.count()
+	c.updateServerStats()
 	if len(changed) > 0 {
 		c.gate.Backends(c.Now(), false, changed)
 	}
--- a/core/bans.go
+++ b/core/bans.go
@@ -2,9 +2,10 @@
 
 import "dunespoke/choice"
 
-// Ban takes a server out of rotation by name, or puts it back, whatever the list says of it: to the gate it
-// drains. The ban is kept while the server is gone from the list, and over its restarts. It is in force once
-// a later call of Bans is answered. A name that the list has never held is not banned: listed is false.
+// Ban takes a server out of rotation by name, or puts it back, regardless of its state in the server list:
+// the gate sees a banned server as draining. A ban remains while the server is absent from the list and
+// across its restarts. It is in force once a later call of Bans has been answered. A name that has never been
+// in the list is not banned, and listed is false. Ban is safe for concurrent use.
 func (c *Core) Ban(name string, on bool) (listed bool) {
 	if listed = c.Listed(name); listed {
 		c.queue.put(func() { c.ban(name, on) })
@@ -13,7 +14,7 @@
 }
 
 func (c *Core) ban(name string, on bool) {
-	id, listed := c.ids[name]
+	id, listed := c.serverIDs[name]
 	if on == c.banned[name] {
 		return
 	}
@@ -24,43 +25,45 @@
 	}
 	if s, ok := c.servers[id]; listed && ok {
 		if on {
-			c.upstream.Drop(s) // its idle connections: nothing new goes to it
+			c.upstream.Drop(s) // closes its idle connections; no new request is sent to it
 		}
 		c.gate.Backends(c.Now(), false, []choice.Backend{c.backend(id, s)})
 	}
-	c.count()
+	c.updateServerStats()
 }
 
-// RestoreBans takes bans that were in force before this process began, as of names that were listed.
+// RestoreBans bans the servers that were banned before this process started. The names are treated as if
+// they had been in the server list.
 func (c *Core) RestoreBans(names []string) {
 	c.queue.put(func() {
 		for _, n := range names {
-			c.see(n)
+			c.rememberName(n)
 			c.ban(n, true)
 		}
 	})
 }
 
-// seenMost bounds the names remembered as once listed; a fleet that comes and goes would fill the memory.
-const seenMost = 1 << 14
+// maxRememberedNames limits the names that are remembered as once listed. Without a limit, servers that are
+// replaced under ever new names would exhaust the memory.
+const maxRememberedNames = 1 << 14
 
-// see remembers that a name was listed.
-func (c *Core) see(name string) {
-	if _, known := c.seen.Load(name); !known && c.seenCount < seenMost {
-		c.seen.Store(name, nil)
-		c.seenCount++
+// rememberName records that a name has been in the server list. It must be called on the core's goroutine.
+func (c *Core) rememberName(name string) {
+	if _, known := c.rememberedNames.Load(name); !known && c.rememberedCount < maxRememberedNames {
+		c.rememberedNames.Store(name, nil)
+		c.rememberedCount++
 	}
 }
 
-// Listed reports whether the list has ever held a server of that name. Any goroutine may ask.
+// Listed reports whether a server of that name has ever been in the list. It is safe for concurrent use.
 func (c *Core) Listed(name string) bool {
-	_, ok := c.seen.Load(name)
+	_, ok := c.rememberedNames.Load(name)
 	return ok
 }
 
-// banList returns the names that are out of rotation by an operator's word, in no order. Only for the core's
-// goroutine: see Bans.
-func (c *Core) banList() []string {
+// bannedNames returns the names of the servers that an operator has banned, in no particular order. It must
+// be called on the core's goroutine; see Bans.
+func (c *Core) bannedNames() []string {
 	names := make([]string, 0, len(c.banned))
 	for n := range c.banned {
 		names = append(names, n)
@@ -68,5 +71,6 @@
 	return names
 }
 
-// Bans sends the names banned now, on the core's goroutine.
-func (c *Core) Bans(out chan<- []string) { c.queue.put(func() { out <- c.banList() }) }
+// Bans sends the names of the servers that are banned now. It sends on the core's goroutine, so out should be
+// buffered.
+func (c *Core) Bans(out chan<- []string) { c.queue.put(func() { out <- c.bannedNames() }) }
--- a/core/bans_test.go
+++ b/core/bans_test.go
@@ -8,51 +8,53 @@
 	"dunespoke/choice"
 )
 
-func (b *bench) ban(name string, on bool) bool {
+// ban bans a server or lifts its ban, and waits until that is in force.
+func (b *testCore) ban(name string, on bool) bool {
 	synctest.Wait()
 	defer synctest.Wait()
 	return b.Ban(name, on)
 }
 
-// A banned server gets nothing new, whatever the list says of it and over its restart, until it is put back.
-func TestABanHoldsUntilTheCallBack(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
+// A banned server gets no new requests, regardless of its state in the server list and after a restart, until
+// its ban is lifted.
+func TestBanLastsUntilLifted(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
 		if b.ban("never", true) {
-			t.Error("a server never listed was banned")
+			t.Error("a server that was never listed was banned")
 		}
-		for call := range 2 { // calls out may be repeated
+		for call := range 2 { // a ban may be repeated
 			if !b.ban("s", true) {
 				t.Fatalf("call %d: a listed server was not banned", call+1)
 			}
 		}
-		b.ask("read", time.Second)
+		b.submit("read", time.Second)
 		time.Sleep(2 * time.Second)
-		b.want(t, 0, "1 <nil>")
-		if b.Ready() || b.Stats().Snapshot().OutOfRotation != 1 || b.up.dropped != 1 {
-			t.Errorf("ready %v, figures %+v, dropped %d", b.Ready(), b.Stats().Snapshot(), b.up.dropped)
+		b.expect(t, 0, "1 <nil>")
+		if b.Ready() || b.Stats().Snapshot().OutOfRotation != 1 || b.upstream.dropped != 1 {
+			t.Errorf("ready %v, stats %+v, dropped %d", b.Ready(), b.Stats().Snapshot(), b.upstream.dropped)
 		}
 		b.Servers(false, []Server{{Name: "s", State: choice.Gone}}) // restarted
 		b.Servers(false, []Server{{Name: "s", State: choice.Live}})
-		b.ask("read", time.Second)
+		b.submit("read", time.Second)
 		time.Sleep(2 * time.Second)
-		b.want(t, 0, "1 <nil>", "1 <nil>")
+		b.expect(t, 0, "1 <nil>", "1 <nil>")
 		if !b.ban("s", false) {
-			t.Fatal("a banned server could not be put back")
+			t.Fatal("the ban could not be lifted")
 		}
-		b.ask("read", time.Second)
-		b.want(t, 1, "1 <nil>", "1 <nil>")
+		b.submit("read", time.Second)
+		b.expect(t, 1, "1 <nil>", "1 <nil>")
 	})
 }
 
-// Bans kept from an earlier process hold before the list names the server.
-func TestBansKeptFromBeforeHoldAtOnce(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
+// Bans of an earlier process are in force before the server is listed.
+func TestRestoredBansApplyBeforeServerIsListed(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
 		b.RestoreBans([]string{"t"})
 		b.Servers(false, []Server{{Name: "t", State: choice.Live}})
 		b.Servers(false, []Server{{Name: "s", State: choice.Gone}})
-		b.ask("read", time.Second)
+		b.submit("read", time.Second)
 		time.Sleep(2 * time.Second)
-		b.want(t, 0, "1 <nil>")
+		b.expect(t, 0, "1 <nil>")
 		names := make(chan []string, 1)
 		b.Bans(names)
 		synctest.Wait()
@@ -62,15 +64,15 @@
 	})
 }
 
-func TestFiguresCountAnswersAndAttempts(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
-		b.ask("read", time.Second)
+func TestStatsCountAnswersAndAttempts(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		b.submit("read", time.Second)
 		if got := b.Stats().Snapshot(); got.Open != 1 || got.Listed != 1 || got.OutOfRotation != 0 {
 			t.Errorf("%+v", got)
 		}
-		b.up.started[0].End(Result{Code: choice.OK, Body: "x"})
-		b.ask("pay", time.Second)
-		b.up.started[1].End(Result{Code: choice.Reset, Final: true})
+		b.upstream.started[0].End(Result{Code: choice.OK, Body: "x"})
+		b.submit("pay", time.Second)
+		b.upstream.started[1].End(Result{Code: choice.Reset, Final: true})
 		synctest.Wait()
 		got := b.Stats().Snapshot()
 		if got.Fulfilled["read"] != 1 || got.Faulted["pay"] != 1 || got.Relayed != 2 || got.Open != 0 {
@@ -79,22 +81,22 @@
 	})
 }
 
-// An answer that is passed on counts as open until its end, and as failed if it did not come whole.
-func TestFiguresFollowAnswersThatArePassedOn(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
-		for i, whole := range []bool{true, false} {
-			b.ask("read", time.Second)
-			b.up.started[i].End(Result{Code: choice.OK, Body: "x"})
+// A request counts as open until its response was sent, and as failed if the response was not complete.
+func TestStatsFollowTrackedResponses(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		for i, complete := range []bool{true, false} {
+			b.submit("read", time.Second)
+			b.upstream.started[i].End(Result{Code: choice.OK, Body: "x"})
 			ended := b.TrackResponse("read")
 			synctest.Wait()
 			if got := b.Stats().Snapshot(); got.Open != 1 || got.Fulfilled["read"] != int64(i+1) {
-				t.Errorf("while it is passed on: %+v", got)
+				t.Errorf("while the response is being sent: %+v", got)
 			}
-			ended(whole)
+			ended(complete)
 		}
 		synctest.Wait()
 		if got := b.Stats().Snapshot(); got.Open != 0 || got.Fulfilled["read"] != 1 || got.Faulted["read"] != 1 {
-			t.Errorf("want one whole and one failed: %+v", got)
+			t.Errorf("want one complete and one failed: %+v", got)
 		}
 	})
 }
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -11,7 +11,7 @@
 	"dunespoke/choice"
 )
 
-// fakeUpstream keeps what was started; the test ends it.
+// fakeUpstream records the attempts that were started. They end only when the test ends them.
 type fakeUpstream struct {
 	started []*fakeAttempt
 	dropped int
@@ -45,6 +45,7 @@
 	return !a.written
 }
 
+// fakeCounter records calls and does not answer them.
 type fakeCounter struct {
 	calls []func(choice.Code, float64)
 }
@@ -53,19 +54,20 @@
 	c.calls = append(c.calls, done)
 }
 
-// bench is a core with fakes around it, run in a bubble of synctest.
-type bench struct {
+// testCore is a core with a fake upstream and a fake counter, run in a synctest bubble.
+type testCore struct {
 	*Core
-	up      *fakeUpstream
-	counter *fakeCounter
-	mu      sync.Mutex
-	answers []string
+	upstream *fakeUpstream
+	counter  *fakeCounter
+	mu       sync.Mutex
+	answers  []string
 }
 
-func withCore(t *testing.T, counter bool, test func(t *testing.T, b *bench)) {
+// withTestCore runs a test on a running core that knows one live server, "s".
+func withTestCore(t *testing.T, counter bool, test func(t *testing.T, b *testCore)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{up: &fakeUpstream{}, counter: &fakeCounter{}}
-		c, err := New(Config{Upstream: b.up, Counter: b.counter, Settings: choice.Settings{Gateways: 1,
+		b := &testCore{upstream: &fakeUpstream{}, counter: &fakeCounter{}}
+		c, err := New(Config{Upstream: b.upstream, Counter: b.counter, Settings: choice.Settings{Gateways: 1,
 			Counter: counter, CounterTimeout: 50 * time.Millisecond, MaxAttempts: 2, Cancel: true, QueueField: -1,
 			MaxRetryAfter: time.Second, MaxUnits: 1,
 			Classes: []choice.Class{
@@ -85,9 +87,9 @@
 	})
 }
 
-func (b *bench) ask(class string, patience time.Duration) Ticket {
+func (b *testCore) submit(class string, timeout time.Duration) Ticket {
 	ticket := b.Submit(Request{Class: class, Plan: "p", Customer: 1, Units: 1, Spread: 1,
-		Deadline: b.Now() + patience,
+		Deadline: b.Now() + timeout,
 		Reply: func(a Answer) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -97,76 +99,78 @@
 	return ticket
 }
 
-func (b *bench) want(t *testing.T, started int, answers ...string) {
+// expect checks the number of attempts started and all answers given so far, each as its Kind and Body.
+func (b *testCore) expect(t *testing.T, started int, answers ...string) {
 	t.Helper()
 	synctest.Wait()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.up.started) != started || fmt.Sprint(b.answers) != fmt.Sprint(answers) {
-		t.Fatalf("%d attempts, answers %v; want %d, %v", len(b.up.started), b.answers, started, answers)
+	if len(b.upstream.started) != started || fmt.Sprint(b.answers) != fmt.Sprint(answers) {
+		t.Fatalf("%d attempts, answers %v; want %d, %v", len(b.upstream.started), b.answers, started, answers)
 	}
 }
 
-func TestOneFinalAnswerWhateverEndsLate(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
-		b.ask("pay", time.Second)
-		b.want(t, 1)
+func TestLateAttemptEndDoesNotChangeAnswer(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		b.submit("pay", time.Second)
+		b.expect(t, 1)
 		time.Sleep(time.Second)
-		b.want(t, 1, "2 <nil>")
-		if !b.up.started[0].aborted {
+		b.expect(t, 1, "2 <nil>")
+		if !b.upstream.started[0].aborted {
 			t.Error("the answer was given before the attempt's connection was closed")
 		}
-		b.up.started[0].End(Result{Code: choice.OK, Body: "late"})
-		b.up.started[0].End(Result{Code: choice.Reset})
+		b.upstream.started[0].End(Result{Code: choice.OK, Body: "late"})
+		b.upstream.started[0].End(Result{Code: choice.Reset})
 		time.Sleep(time.Minute)
-		b.want(t, 1, "2 <nil>")
+		b.expect(t, 1, "2 <nil>")
 	})
 }
 
-// An attempt whose request was never written can't have run, so that even an unsafe one may be refused.
-func TestAnAttemptNeverWrittenHasNotRun(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
-		b.ask("pay", time.Second)
-		b.up.started[0].mu.Lock()
-		b.up.started[0].written = false
-		b.up.started[0].mu.Unlock()
+// A request that was never completely written can't have run, so it is refused rather than failed, even if
+// it is not safe to repeat.
+func TestUnwrittenAttemptIsRefused(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		b.submit("pay", time.Second)
+		b.upstream.started[0].mu.Lock()
+		b.upstream.started[0].written = false
+		b.upstream.started[0].mu.Unlock()
 		time.Sleep(time.Second)
-		b.want(t, 1, "1 <nil>")
+		b.expect(t, 1, "1 <nil>")
 	})
 }
 
-func TestAClientThatLeavesEndsItsAttempt(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
-		b.ask("pay", time.Second).Leave()
-		b.want(t, 1)
-		if !b.up.started[0].aborted {
-			t.Error("its attempt goes on")
+func TestLeavingClientAbortsAttempt(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		b.submit("pay", time.Second).Leave()
+		b.expect(t, 1)
+		if !b.upstream.started[0].aborted {
+			t.Error("the attempt was not aborted")
 		}
 		time.Sleep(time.Minute)
-		b.want(t, 1)
+		b.expect(t, 1)
 		if len(b.requests) > 0 {
-			t.Error("the core remembers it")
+			t.Error("the core still stores the request")
 		}
 	})
 }
 
-// Where what is sent is to run to its end, a client that leaves ends the attempt of a request that may be
-// repeated, and one that has not been sent yet. What was sent and may not be repeated goes on, its answer
-// is dropped, and the core forgets it.
-func TestWhatIsSentAndNotRepeatableRunsToItsEnd(t *testing.T) {
+// With Config.FinishSent, an attempt is aborted when its client leaves if its request is safe to repeat or
+// was not sent yet. Otherwise the attempt continues to its end, its response is dropped, and the core removes
+// the request.
+func TestSentNonRepeatableAttemptContinuesAfterLeave(t *testing.T) {
 	for _, c := range []struct {
 		class         string
 		sent, aborted bool
 	}{{"read", true, true}, {"pay", true, false}, {"pay", false, true}} {
-		withCore(t, false, func(t *testing.T, b *bench) {
-			b.finish = true
-			ticket := b.ask(c.class, time.Second)
-			attempt := b.up.started[0]
+		withTestCore(t, false, func(t *testing.T, b *testCore) {
+			b.finishSent = true
+			ticket := b.submit(c.class, time.Second)
+			attempt := b.upstream.started[0]
 			attempt.mu.Lock()
 			attempt.written = c.sent
 			attempt.mu.Unlock()
 			ticket.Leave()
-			b.want(t, 1)
+			b.expect(t, 1)
 			if attempt.aborted != c.aborted {
 				t.Errorf("%s, sent %v: aborted %v", c.class, c.sent, attempt.aborted)
 			}
@@ -175,127 +179,128 @@
 				attempt.End(Result{Code: choice.OK, Body: "late", Drop: func() { dropped = true }})
 				synctest.Wait()
 				if !dropped {
-					t.Errorf("%s: nobody drops its answer", c.class)
+					t.Errorf("%s: the response was not dropped", c.class)
 				}
 			}
 			time.Sleep(time.Minute)
-			b.want(t, 1)
+			b.expect(t, 1)
 			if len(b.requests) > 0 {
-				t.Errorf("%s, sent %v: the core remembers it", c.class, c.sent)
+				t.Errorf("%s, sent %v: the core still stores the request", c.class, c.sent)
 			}
 		})
 	}
 }
 
-func TestASilentCounterHoldsNobodyUp(t *testing.T) {
-	withCore(t, true, func(t *testing.T, b *bench) {
-		b.ask("read", time.Second)
-		b.ask("read", time.Second)
+func TestUnansweredCounterCallDoesNotBlockRequests(t *testing.T) {
+	withTestCore(t, true, func(t *testing.T, b *testCore) {
+		b.submit("read", time.Second)
+		b.submit("read", time.Second)
 		if len(b.counter.calls) == 0 {
-			t.Fatal("the counter was not asked")
+			t.Fatal("the counter was not called")
 		}
 		time.Sleep(51 * time.Millisecond)
-		b.want(t, 2)
-		for _, answer := range b.counter.calls { // late: dropped
+		b.expect(t, 2)
+		for _, answer := range b.counter.calls { // after the time-out: ignored
 			answer(choice.OK, 1)
 		}
-		b.up.started[0].End(Result{Code: choice.OK, Body: "x"})
-		b.up.started[1].End(Result{Code: choice.OK, Body: "y"})
-		b.want(t, 2, "0x", "0y")
+		b.upstream.started[0].End(Result{Code: choice.OK, Body: "x"})
+		b.upstream.started[1].End(Result{Code: choice.OK, Body: "y"})
+		b.expect(t, 2, "0x", "0y")
 	})
 }
 
-func TestNothingIsSentToAServerThatDrains(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
+func TestDrainingServerGetsNoAttempts(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
 		b.Servers(false, []Server{{Name: "s", State: choice.Draining}})
-		b.ask("read", time.Second)
+		b.submit("read", time.Second)
 		time.Sleep(2 * time.Second)
-		b.want(t, 0, "1 <nil>")
-		if b.Ready() || b.up.dropped != 1 {
-			t.Errorf("ready %v, %d servers dropped", b.Ready(), b.up.dropped)
+		b.expect(t, 0, "1 <nil>")
+		if b.Ready() || b.upstream.dropped != 1 {
+			t.Errorf("ready %v, %d servers dropped", b.Ready(), b.upstream.dropped)
 		}
-		b.Servers(true, nil) // the server list anew, without it
+		b.Servers(true, nil) // the complete server list, without the server
 		synctest.Wait()
-		if len(b.servers) > 0 || len(b.ids) > 0 {
-			t.Error("a server that the whole list leaves out is still known")
+		if len(b.servers) > 0 || len(b.serverIDs) > 0 {
+			t.Error("a server absent from the complete list is still stored")
 		}
 		b.Servers(false, []Server{{Name: "s", State: choice.Live}})
-		b.ask("read", time.Second)
-		b.want(t, 1, "1 <nil>")
+		b.submit("read", time.Second)
+		b.expect(t, 1, "1 <nil>")
 	})
 }
 
-// What ended long before its limit must not wake the core: that was a third of all its wakes once.
-func TestNoTimerOutlivesItsPurpose(t *testing.T) {
+// Timers of attempts and calls that ended before their limits must not wake the core: they once caused a
+// third of its wakeups.
+func TestObsoleteTimerIsSkipped(t *testing.T) {
 	var timers timers
-	over := false
-	timers.add(10, &over, func() { t.Error("ran") })
+	obsolete := false
+	timers.add(10, &obsolete, func() { t.Error("ran") })
 	timers.add(20, nil, func() {})
 	if at, _ := timers.next(); at != 10 {
-		t.Errorf("next in %d, want 10", at)
+		t.Errorf("next at %d, want 10", at)
 	}
-	over = true
-	if at, _ := timers.next(); at != 20 || timers.due(15) != nil || timers.due(20) == nil {
-		t.Errorf("next in %d, want 20 and nothing before", at)
+	obsolete = true
+	if at, _ := timers.next(); at != 20 || timers.popDue(15) != nil || timers.popDue(20) == nil {
+		t.Errorf("next at %d, want 20 and none due before", at)
 	}
 }
 
-// After an attempt without which no other can be made, the request fails, though it may run again; it is
+// After a final result no further attempt is made: the request fails, although it is safe to repeat, or is
 // refused if it has never run.
-func TestNoFurtherAttemptAfterAFinalOne(t *testing.T) {
+func TestNoAttemptAfterFinalResult(t *testing.T) {
 	for code, want := range map[choice.Code]string{choice.Refused: "1 <nil>", choice.Busy: "1 <nil>",
 		choice.Reset: "2 <nil>", choice.Error: "2 <nil>"} {
-		withCore(t, false, func(t *testing.T, b *bench) {
-			b.ask("read", time.Second)
-			b.up.started[0].End(Result{Code: code, Final: true})
-			b.want(t, 1, want)
+		withTestCore(t, false, func(t *testing.T, b *testCore) {
+			b.submit("read", time.Second)
+			b.upstream.started[0].End(Result{Code: code, Final: true})
+			b.expect(t, 1, want)
 		})
 	}
-	withCore(t, false, func(t *testing.T, b *bench) {
-		b.ask("read", time.Second)
-		b.up.started[0].End(Result{Code: choice.Refused})
-		b.want(t, 2)
-		b.up.started[1].End(Result{Code: choice.Refused, Final: true})
-		b.want(t, 2, "1 <nil>")
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
+		b.submit("read", time.Second)
+		b.upstream.started[0].End(Result{Code: choice.Refused})
+		b.expect(t, 2)
+		b.upstream.started[1].End(Result{Code: choice.Refused, Final: true})
+		b.expect(t, 2, "1 <nil>")
 	})
 }
 
-// What nobody wants is dropped, once: an answer after the client has left, or after the attempt's time.
-func TestUnwantedAnswersAreDropped(t *testing.T) {
-	withCore(t, false, func(t *testing.T, b *bench) {
+// A response that arrives after its client has left or after its attempt has timed out is dropped once.
+func TestUnusedResponsesAreDropped(t *testing.T) {
+	withTestCore(t, false, func(t *testing.T, b *testCore) {
 		dropped := 0
 		ok := Result{Code: choice.OK, Body: "late", Drop: func() { dropped++ }}
-		ticket := b.ask("pay", time.Second)
+		ticket := b.submit("pay", time.Second)
 		ticket.Leave()
 		synctest.Wait()
-		b.up.started[0].End(ok)
-		b.want(t, 1)
-		b.ask("pay", time.Second)
+		b.upstream.started[0].End(ok)
+		b.expect(t, 1)
+		b.submit("pay", time.Second)
 		time.Sleep(1100 * time.Millisecond)
-		b.up.started[1].End(ok)
-		b.want(t, 2, "2 <nil>")
-		b.ask("pay", time.Second)
-		b.up.started[2].End(ok)
-		b.want(t, 3, "2 <nil>", "0late")
+		b.upstream.started[1].End(ok)
+		b.expect(t, 2, "2 <nil>")
+		b.submit("pay", time.Second)
+		b.upstream.started[2].End(ok)
+		b.expect(t, 3, "2 <nil>", "0late")
 		if dropped != 2 {
 			t.Errorf("%d dropped", dropped)
 		}
 	})
 }
 
-// Timers of what was answered don't wait for their time.
-func TestAnsweredRequestsAreForgotten(t *testing.T) {
-	var all timers
-	over := true
+// Obsolete timers are removed before they are due.
+func TestObsoleteTimersAreSwept(t *testing.T) {
+	var timers timers
+	obsolete := true
 	for i := range 10_000 {
-		all.add(time.Duration(i)*time.Hour, &over, func() {})
+		timers.add(time.Duration(i)*time.Hour, &obsolete, func() {})
 	}
-	live := false
-	all.add(time.Hour, &live, func() {})
-	if n := len(all.heap); n > 2*sweepLeast {
-		t.Errorf("%d timers are held", n)
+	pending := false
+	timers.add(time.Hour, &pending, func() {})
+	if n := len(timers.heap); n > 2*minSweepSize {
+		t.Errorf("%d timers are stored", n)
 	}
-	if at, ok := all.next(); at != time.Hour || !ok {
-		t.Errorf("the next at %v, %v", at, ok)
+	if at, ok := timers.next(); at != time.Hour || !ok {
+		t.Errorf("next at %v, %v", at, ok)
 	}
 }
--- a/core/request.go
+++ b/core/request.go
@@ -6,81 +6,86 @@
 	"dunespoke/choice"
 )
 
-// request is a request that the gate knows, or one that was answered and still has an attempt out.
+// request is a request that the gate has not finished, or that has its final answer while an attempt is still
+// in flight.
 type request struct {
 	Request
-	id       uint64
-	done     bool // it has its final answer, or the client left
-	ran      bool // an attempt may have run
-	attempts []*attempt
-	out      int
+	id         uint64
+	done       bool // the final answer was given, or the client left
+	mayHaveRun bool // an attempt may have run
+	attempts   []*attempt
+	inFlight   int // attempts that have not ended
 }
 
 type attempt struct {
 	r       *request
-	number  int
-	server  uint64
+	number  int    // index in r.attempts
+	server  uint64 // id in Core.servers
 	zone    string
-	sent    time.Duration
-	running Running
+	sent    time.Duration // reading of Core.Now
+	running Running       // nil if the attempt was not started
 	ended   bool
 }
 
-func (c *Core) take(r *request) {
-	if r.done { // the client left before its request was looked at
+// accept registers a submitted request and passes it to the gate.
+func (c *Core) accept(r *request) {
+	if r.done { // the client left before this event was handled
 		return
 	}
-	c.figures.open.Add(1)
-	c.lastID++
-	r.id = c.lastID
+	c.stats.open.Add(1)
+	c.lastRequestID++
+	r.id = c.lastRequestID
 	c.requests[r.id] = r
-	c.timers.add(r.Deadline+grace, &r.done, func() { c.overdue(r) })
+	c.timers.add(r.Deadline+overdueGrace, &r.done, func() { c.failOverdue(r) })
 	c.gate.Request(c.Now(), choice.Request{ID: r.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
 		Units: r.Units, Again: r.ClientRetry, Spread: r.Spread, Deadline: r.Deadline})
 }
 
-// answer gives the final answer, if none was given.
+// answer gives the final answer, unless the request is done already.
 func (c *Core) answer(r *request, a Answer) {
 	if r.done {
 		return
 	}
 	r.done = true
-	c.figures.answered(r.Class, a.Kind)
+	c.stats.countAnswer(r.Class, a.Kind)
 	r.Reply(a)
-	c.forget(r)
+	c.removeIfFinished(r)
 }
 
-// forget drops a request that needs nothing more.
-func (c *Core) forget(r *request) {
-	if r.done && r.out == 0 {
+// removeIfFinished removes a request that is done and has no attempt in flight.
+func (c *Core) removeIfFinished(r *request) {
+	if r.done && r.inFlight == 0 {
 		delete(c.requests, r.id)
 	}
 }
 
-func (c *Core) leave(r *request) {
+// clientLeft marks a request as done without an answer. The gate decides whether to cancel its attempt.
+func (c *Core) clientLeft(r *request) {
 	if r.done {
 		return
 	}
 	r.done = true
-	if r.id != 0 {
-		c.figures.open.Add(-1)
+	if r.id != 0 { // zero: accept has not seen the request yet, and will ignore it
+		c.stats.open.Add(-1)
 		c.gate.Left(c.Now(), r.id)
-		c.forget(r)
+		c.removeIfFinished(r)
 	}
 }
 
-// overdue is the net under the gate: whatever became of its decision, the client gets an answer in time.
-func (c *Core) overdue(r *request) {
+// failOverdue fails a request that the gate has not answered within overdueGrace after its deadline, so that
+// every client gets an answer in time.
+func (c *Core) failOverdue(r *request) {
 	if r.done {
 		return
 	}
-	c.log("request overdue: failed by the core")
+	c.log("request not answered by its deadline: failed by the core")
 	c.answer(r, Answer{Kind: Failed})
 	c.gate.Left(c.Now(), r.id)
 }
 
-// end takes the end of an attempt, from its upstream or from the core itself.
-func (c *Core) end(at *attempt, res Result) {
+// endAttempt handles the end of an attempt, reported by its upstream or by the core itself. Only the first
+// call for an attempt counts; the body of a response that is not needed is dropped.
+func (c *Core) endAttempt(at *attempt, res Result) {
 	r := at.r
 	if (at.ended || r.done) && res.Code == choice.OK && res.Drop != nil {
 		res.Drop()
@@ -89,85 +94,88 @@
 		return
 	}
 	at.ended = true
-	r.out--
-	r.ran = r.ran || !res.Code.NeverRan()
-	if res.Code != choice.Refused && res.Code != choice.Skipped { // written whole: the server has seen it
-		c.figures.relay()
+	r.inFlight--
+	r.mayHaveRun = r.mayHaveRun || !res.Code.NeverRan()
+	if res.Code != choice.Refused && res.Code != choice.Skipped { // the request was completely written
+		c.stats.countRelayed()
 	}
-	if c.watch != nil {
+	if c.watcher != nil {
 		switch res.Code {
 		case choice.OK, choice.Error, choice.Refused, choice.Reset, choice.TimedOut:
-			c.watch.Ended(at.zone, res.Code != choice.OK, c.Now()-at.sent)
+			c.watcher.Ended(at.zone, res.Code != choice.OK, c.Now()-at.sent)
 		}
 	}
 	switch {
 	case res.Code == choice.OK:
 		c.answer(r, Answer{Kind: Served, Body: res.Body})
-	case res.Final && !r.ran:
+	case res.Final && !r.mayHaveRun:
 		c.answer(r, Answer{Kind: Refused})
 	case res.Final:
 		c.answer(r, Answer{Kind: Failed})
 	}
-	ended := r.done
-	c.forget(r)
+	done := r.done
+	c.removeIfFinished(r)
 	now := c.Now()
 	c.gate.Outcome(now, choice.Outcome{Request: r.id, Attempt: at.number, Backend: at.server, Code: res.Code,
-		Took: now - at.sent, Ended: ended, Units: res.Units, Load: res.Load})
+		Took: now - at.sent, Ended: done, Units: res.Units, Load: res.Load})
 }
 
-// abort closes an attempt's connection and then reports its end. What was never written whole can't have
-// run, whatever the reason for giving it up.
-func (c *Core) abort(at *attempt, code choice.Code) {
+// abortAttempt closes an attempt's connection and then reports its end with the given code, or as refused if
+// the request was not completely written: it can't have run then, whatever the reason for the abort.
+func (c *Core) abortAttempt(at *attempt, code choice.Code) {
 	if at.ended {
 		return
 	}
 	if !at.running.Abort() {
 		code = choice.Refused
 	}
-	c.end(at, Result{Code: code})
+	c.endAttempt(at, Result{Code: code})
 }
 
-// cancel withdraws an attempt whose client has left, unless it is to run to its end.
-func (c *Core) cancel(at *attempt) {
-	running, tells := at.running.(UnsentAborter)
+// cancelAttempt aborts an attempt whose client has left. With Config.FinishSent, an attempt of a request that
+// is not safe to repeat is only aborted if nothing of it was sent; otherwise it continues to its end.
+func (c *Core) cancelAttempt(at *attempt) {
+	running, canAbortUnsent := at.running.(UnsentAborter)
 	switch {
-	case !c.finish || !c.wary[at.r.Class] || !tells:
-		c.abort(at, choice.Cancelled)
+	case !c.finishSent || !c.notRepeatable[at.r.Class] || !canAbortUnsent:
+		c.abortAttempt(at, choice.Cancelled)
 	case !at.ended && running.AbortUnsent():
-		c.end(at, Result{Code: choice.Refused})
+		c.endAttempt(at, Result{Code: choice.Refused})
 	}
 }
 
-// actions is what the gate sees of the core.
+// actions implements choice.Actions. The gate calls it from within its event methods and must not be called
+// back from there; work that would do so is appended to Core.deferred.
 type actions struct{ c *Core }
 
 func (a actions) Send(id, backend uint64, timeout time.Duration) {
 	c, now := a.c, a.c.Now()
 	r := c.requests[id]
 	if r == nil {
-		c.log("send for a request that has ended: not sent")
+		c.log("attempt not sent: its request has already ended")
 		return
 	}
 	at := &attempt{r: r, number: len(r.attempts), server: backend, sent: now}
 	r.attempts = append(r.attempts, at)
-	r.out++
+	r.inFlight++
 	server, known := c.servers[backend]
 	if !known || server.State != choice.Live || r.done || timeout <= 0 {
-		c.after = append(c.after, func() { c.end(at, Result{Code: choice.Skipped}) })
+		c.deferred = append(c.deferred, func() { c.endAttempt(at, Result{Code: choice.Skipped}) })
 		return
 	}
 	at.zone = server.Zone
-	if aim := c.aims[r.Class]; c.watch != nil && aim < timeout {
-		c.timers.add(now+aim, &at.ended, func() { c.watch.Hung(at.zone, c.Now()-at.sent) })
+	if target := c.targetLatencies[r.Class]; c.watcher != nil && target < timeout {
+		c.timers.add(now+target, &at.ended, func() { c.watcher.Hung(at.zone, c.Now()-at.sent) })
 	}
 	at.running = c.upstream.Start(Attempt{Server: server, Timeout: timeout, Payload: r.Payload,
-		NotRepeatable: c.wary[r.Class], End: func(res Result) { c.queue.put(func() { c.end(at, res) }) }})
-	c.timers.add(now+timeout, &at.ended, func() { c.abort(at, choice.TimedOut) })
+		NotRepeatable: c.notRepeatable[r.Class],
+		End:           func(res Result) { c.queue.put(func() { c.endAttempt(at, res) }) }})
+	c.timers.add(now+timeout, &at.ended, func() { c.abortAttempt(at, choice.TimedOut) })
 }
 
 func (a actions) Cancel(id uint64, number int) {
 	if r := a.c.requests[id]; r != nil && number < len(r.attempts) && r.attempts[number].running != nil {
-		a.c.after = append(a.c.after, func() { a.c.cancel(r.attempts[number]) })
+		a.c.deferred = append(a.c.deferred, func() { a.c.cancelAttempt(r.attempts[number]) })
 	}
 }
 
@@ -188,8 +196,8 @@
 	c.timers.add(c.Now()+delay, nil, func() { c.gate.Wake(c.Now()) })
 }
 
-// Add calls the counter. The core keeps the time: a call that is not answered within the limit ends as timed
-// out, and its answer, should it still come, is dropped.
+// Add calls the counter. A call that is not answered within Settings.CounterTimeout is reported to the gate
+// as timed out, and a later answer is ignored.
 func (a actions) Add(name string, amount float64, keep time.Duration) {
 	c, ended := a.c, false
 	end := func(code choice.Code, total float64) {
@@ -198,7 +206,7 @@
 			c.gate.Counted(c.Now(), name, code, total)
 		}
 	}
-	c.timers.add(c.Now()+c.set.CounterTimeout, &ended, func() { end(choice.TimedOut, 0) })
+	c.timers.add(c.Now()+c.settings.CounterTimeout, &ended, func() { end(choice.TimedOut, 0) })
 	c.counter.Add(name, amount, keep, func(code choice.Code, total float64) {
 		c.queue.put(func() { end(code, total) })
 	})
--- a/core/timers.go
+++ b/core/timers.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// timers are what is to be done later, soonest first.
+// timers is a queue of scheduled functions, ordered by due time. It is not safe for concurrent use.
 type timers struct {
-	heap  timerHeap
-	swept int // how many there were after the last sweep
+	heap           timerHeap
+	sizeAfterSweep int
 }
 
 type timer struct {
-	at   time.Duration
-	over *bool // set once there is nothing left to do; may be nil
-	act  func()
+	at       time.Duration // reading of Core.Now at which it is due
+	obsolete *bool         // becomes true when run is no longer needed; may be nil
+	run      func()
 }
 
-func (t *timers) add(at time.Duration, over *bool, act func()) {
-	if len(t.heap) > 2*t.swept+sweepLeast {
+func (t *timers) add(at time.Duration, obsolete *bool, run func()) {
+	if len(t.heap) > 2*t.sizeAfterSweep+minSweepSize {
 		t.sweep()
 	}
-	heap.Push(&t.heap, timer{at, over, act})
+	heap.Push(&t.heap, timer{at, obsolete, run})
 }
 
-// sweepLeast is how many timers are not worth a sweep.
-const sweepLeast = 64
+// minSweepSize is the number of timers up to which a sweep is not worth its cost.
+const minSweepSize = 64
 
-// sweep removes those that have nothing left to do. Guards against holding all that was answered long ago
-// until its deadline: at 2,500 requests a second with 10 s each, that was 37 MB of 56.
+// sweep removes obsolete timers. Without it, the timers of answered requests stay in memory until their
+// deadlines: at 2,500 requests per second with deadlines of 10 s, that was 37 MB of 56 MB.
 func (t *timers) sweep() {
-	t.heap = slices.DeleteFunc(t.heap, func(x timer) bool { return x.over != nil && *x.over })
+	t.heap = slices.DeleteFunc(t.heap, func(x timer) bool { return x.obsolete != nil && *x.obsolete })
 	heap.Init(&t.heap)
-	t.swept = len(t.heap)
+	t.sizeAfterSweep = len(t.heap)
 }
 
-// next tells when the first is due that still has something to do. Guards against waking up for nothing: most
-// requests, attempts and calls end long before their limits, and each wake costs as much as a read.
+// next returns the due time of the first timer that is not obsolete; ok is false if there is none. Obsolete
+// timers are skipped because most requests, attempts and calls end long before their limits, and each
+// needless wakeup costs as much as a read.
 func (t *timers) next() (at time.Duration, ok bool) {
-	for len(t.heap) > 0 && t.heap[0].over != nil && *t.heap[0].over {
+	for len(t.heap) > 0 && t.heap[0].obsolete != nil && *t.heap[0].obsolete {
 		heap.Pop(&t.heap)
 	}
 	if len(t.heap) == 0 {
@@ -48,14 +49,15 @@
 	return t.heap[0].at, true
 }
 
-// due takes out the first if its time has come.
-func (t *timers) due(now time.Duration) (act func()) {
+// popDue removes the first timer if it is due, and returns its function; it returns nil if none is due.
+func (t *timers) popDue(now time.Duration) (run func()) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return nil
 	}
-	return heap.Pop(&t.heap).(timer).act
+	return heap.Pop(&t.heap).(timer).run
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
