--- a/front/platform/judge.go
+++ b/front/platform/judge.go
@@ -10,40 +10,43 @@
 	"dunespoke/internal/http1"
 )
 
-// ResponseClassifier says what answers of app servers mean, and reads what they tell beside.
+// ResponseClassifier maps responses of app servers to results of attempts, and reads the load reports and
+// the actual units in their headers.
 type ResponseClassifier struct {
-	LoadFields []string // of load reports, in the settings' order; none: answers hold none
-	MaxUnits   float64  // the most that a request counts; 0: any
+	LoadFields []string // of load reports, in the order of the settings; empty: there are no load reports
+	MaxUnits   float64  // upper limit of the actual units of a request; 0: no limit
 }
 
-// Complete judges a whole answer.
-func (j ResponseClassifier) Complete(r *http1.Response) core.Result {
-	result := j.read(r.Response)
+// Complete classifies a response whose body is complete.
+func (c ResponseClassifier) Complete(r *http1.Response) core.Result {
+	result := c.classify(r.Response)
 	if result.Code == choice.OK {
 		answer := &http1.Answer{Status: 200, Body: r.Content}
-		if kind := r.Header.Get("Content-Type"); kind != "" {
-			answer.Header = [][2]string{{"Content-Type", kind}}
+		if contentType := r.Header.Get("Content-Type"); contentType != "" {
+			answer.Header = [][2]string{{"Content-Type", contentType}}
 		}
 		result.Body = answer
 	}
 	return result
 }
 
-// Head judges an answer that is too long to be held, and leaves of its header what goes on.
-func (j ResponseClassifier) Head(r *http.Response) core.Result {
-	result, kind := j.read(r), r.Header["Content-Type"]
+// Head classifies a response whose body is too long to be buffered. It removes all header fields except the
+// content type, which is passed to the client.
+func (c ResponseClassifier) Head(r *http.Response) core.Result {
+	result, contentType := c.classify(r), r.Header["Content-Type"]
 	clear(r.Header)
-	if len(kind) > 0 {
-		r.Header["Content-Type"] = kind[:1]
+	if len(contentType) > 0 {
+		r.Header["Content-Type"] = contentType[:1]
 	}
 	return result
 }
 
-func (j ResponseClassifier) read(r *http.Response) core.Result {
-	result := core.Result{Code: choice.Error, Load: j.load(r.Header)}
+// classify maps the status and the header of a response to a result without a body.
+func (c ResponseClassifier) classify(r *http.Response) core.Result {
+	result := core.Result{Code: choice.Error, Load: c.loadReport(r.Header)}
 	switch {
 	case r.StatusCode == http.StatusOK:
-		result.Code, result.Units = choice.OK, j.settled(r.Header)
+		result.Code, result.Units = choice.OK, c.actualUnits(r.Header)
 	case (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
 		r.Header.Get("X-Turned-Away") == "1":
 		result.Code = choice.Busy
@@ -51,31 +54,31 @@
 	return result
 }
 
-// settled reads the true units of a request whose units were a guess; 0: not told, or told in no way that
-// can be true. A wrong number would be taken from the customer's quota, or given to it.
-func (j ResponseClassifier) settled(h http.Header) float64 {
+// actualUnits returns the actual units of a request whose units were an estimate, or 0 if the header is
+// missing or invalid. A wrong number would be charged or credited to the customer's quota.
+func (c ResponseClassifier) actualUnits(h http.Header) float64 {
 	lines := h["X-Settled"]
 	if len(lines) != 1 {
 		return 0
 	}
 	units, ok := http1.Decimal(lines[0])
-	if !ok || j.MaxUnits > 0 && units > j.MaxUnits {
+	if !ok || c.MaxUnits > 0 && units > c.MaxUnits {
 		return 0
 	}
 	return units
 }
 
-// load reads a load report such as inflight=7,queue=2 into the settings' order. One that is not whole is
-// none: a figure taken for 0 would draw work.
-func (j ResponseClassifier) load(h http.Header) []float64 {
+// loadReport parses a load report such as inflight=7,queue=2 and returns its values in the order of the
+// settings. It returns nil if a field is missing or invalid: a value read as 0 would attract requests.
+func (c ResponseClassifier) loadReport(h http.Header) []float64 {
 	lines := h["X-Pressure"]
-	if len(j.LoadFields) == 0 || len(lines) != 1 {
+	if len(c.LoadFields) == 0 || len(lines) != 1 {
 		return nil
 	}
-	load, seen := make([]float64, len(j.LoadFields)), make([]bool, len(j.LoadFields))
-	for part := range strings.SplitSeq(lines[0], ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		i := slices.Index(j.LoadFields, name)
+	load, seen := make([]float64, len(c.LoadFields)), make([]bool, len(c.LoadFields))
+	for field := range strings.SplitSeq(lines[0], ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
+		i := slices.Index(c.LoadFields, name)
 		if i < 0 {
 			continue
 		}
--- a/front/platform/judge_test.go
+++ b/front/platform/judge_test.go
@@ -10,8 +10,8 @@
 	"dunespoke/internal/http1"
 )
 
-func TestJudgeReadsWhatAnswersTell(t *testing.T) {
-	j := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
+func TestClassifierReadsLoadAndUnits(t *testing.T) {
+	classifier := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
 	for _, c := range []struct {
 		pressure, settled []string
 		load              []float64
@@ -26,26 +26,27 @@
 		{nil, nil, nil, 0},
 	} {
 		h := http.Header{"X-Pressure": c.pressure, "X-Settled": c.settled}
-		got := j.Complete(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK, Header: h}})
+		got := classifier.Complete(&http1.Response{Response: &http.Response{StatusCode: http.StatusOK, Header: h}})
 		if got.Code != choice.OK || !slices.Equal(got.Load, c.load) || got.Units != c.units {
 			t.Errorf("%q, %q: load %v, units %v", c.pressure, c.settled, got.Load, got.Units)
 		}
 	}
 	busy := http.Header{"X-Turned-Away": {"1"}, "X-Pressure": {"outstanding=9,backlog=30"}, "X-Settled": {"2"}}
-	got := j.Head(&http.Response{StatusCode: http.StatusServiceUnavailable, Header: busy})
+	got := classifier.Head(&http.Response{StatusCode: http.StatusServiceUnavailable, Header: busy})
 	if got.Code != choice.Busy || !slices.Equal(got.Load, []float64{9, 30}) || got.Units != 0 {
 		t.Errorf("turned away: %+v", got)
 	}
 }
 
-// Whatever an answer tells, the gate hears figures of the settings' number and bounds, or none.
-func FuzzJudge(f *testing.F) {
+// Whatever a response contains, the gate gets either no values, or values whose number and range are those of
+// the settings.
+func FuzzClassifier(f *testing.F) {
 	f.Add("outstanding=1,backlog=2", "3")
 	f.Add("backlog=1e300,outstanding=Inf", "0x8")
-	j := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
+	classifier := ResponseClassifier{LoadFields: []string{"outstanding", "backlog"}, MaxUnits: 8}
 	f.Fuzz(func(t *testing.T, pressure, settled string) {
 		h := http.Header{"X-Pressure": {pressure}, "X-Settled": {settled}}
-		got := j.Head(&http.Response{StatusCode: http.StatusOK, Header: h})
+		got := classifier.Head(&http.Response{StatusCode: http.StatusOK, Header: h})
 		if got.Units < 0 || got.Units > 8 || len(got.Load) != 0 && len(got.Load) != 2 {
 			t.Errorf("%q, %q: %+v", pressure, settled, got)
 		}
--- a/front/platform/message.go
+++ b/front/platform/message.go
@@ -12,18 +12,19 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// message is a request as app servers get it: what identifies it passes on unchanged. It is a
-// forward.Streamed.
+// message is a request as it is sent to app servers, with the client's method, target, transaction id and
+// idempotency key. It implements forward.Streamed.
 type message struct {
-	id                             uint64 // that of txn
-	method, target, txn, key, kind string
-	upload                         *transfer.Upload
-	terms                          *transfer.Terms
+	id                                    uint64 // numeric value of txn
+	method, target, txn, key, contentType string
+	upload                                *transfer.Upload
+	terms                                 *transfer.Terms
 }
 
-// terms are what every exchange is held to. App servers begin once a request is whole. What one is still
-// giving is not cut off: only one that stands still for long is given up.
-var terms = transfer.Terms{
+// defaultTerms are the speed and time limits of an exchange. App servers start processing a request when it
+// is complete. A server that is still sending its response is not cut off; only a stall of the given length
+// ends the exchange.
+var defaultTerms = transfer.Terms{
 	ClientUp:   accept.Platform.Rest,
 	ClientDown: flow.Pace{MinRate: accept.Platform.Rest.MinRate, Grace: 5 * time.Second},
 	ServerUp:   flow.Pace{Stall: 5 * time.Second},
@@ -32,21 +33,22 @@
 	Awaited:    true,
 }
 
-// longest is the most that clients send.
-const longest = 32 << 20
+// maxBodyBytes is the largest body that clients send.
+const maxBodyBytes = 32 << 20
 
-// uploadTime is the most that a client may take for a body of so many bytes; -1: not told.
-func uploadTime(length int64) time.Duration {
+// maxUploadTime returns the time that a client may take to send a body of the given length in bytes; a length
+// of -1 means that it is unknown.
+func maxUploadTime(length int64) time.Duration {
 	if length < 0 {
-		length = longest
+		length = maxBodyBytes
 	}
-	pace := terms.ClientUp
+	pace := defaultTerms.ClientUp
 	return pace.Grace + time.Duration(float64(length)/pace.MinRate*float64(time.Second))
 }
 
-// Append writes the head.
+// Append appends the head of the request to buf. wait is the remaining time of the attempt.
 func (m *message) Append(buf []byte, _ core.Server, wait time.Duration) []byte {
-	if m.terms.Head > 0 { // the attempt's time holds that of sending the body
+	if m.terms.Head > 0 { // wait includes the time for the body; the header states only that for the response
 		wait = m.terms.Head
 	}
 	buf = append(buf, m.method...)
@@ -59,8 +61,8 @@
 	if m.key != "" {
 		buf = http1.AppendHeader(buf, "Idempotency-Key", m.key)
 	}
-	if m.kind != "" {
-		buf = http1.AppendHeader(buf, "Content-Type", m.kind)
+	if m.contentType != "" {
+		buf = http1.AppendHeader(buf, "Content-Type", m.contentType)
 	}
 	switch n := m.upload.Length(); {
 	case n < 0:
@@ -71,11 +73,11 @@
 	return append(buf, "\r\n"...)
 }
 
-// Upload is the body.
+// Upload returns the body.
 func (m *message) Upload() *transfer.Upload { return m.upload }
 
-// Terms are what the exchange is held to.
+// Terms returns the speed and time limits of the exchange.
 func (m *message) Terms() *transfer.Terms { return m.terms }
 
-// Method is the request's.
+// Method returns the HTTP method.
 func (m *message) Method() string { return m.method }
--- a/front/platform/platform.go
+++ b/front/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the front that speaks the platform's protocol: it turns clients' messages into
-// requests of the core, and the core's answers into messages.
+// Package platform is the front for the platform's protocol: it converts HTTP requests of clients into
+// requests of the core, and answers of the core into HTTP responses.
 package platform
 
 import (
@@ -20,47 +20,49 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// margin is how long before the client gives up its answer is due. The way from an answer to the client took
-// 0.5 ms at the 99th percentile on the bench, and the way there about 1 ms; the rest is for a late turn on a
-// core that other ingresses share.
-const margin = 20 * time.Millisecond
+// deadlineMargin is the time before the client's time-out at which its answer is due. The response takes
+// 0.5 ms to reach the client at the 99th percentile, and the request about 1 ms to arrive; the rest covers
+// scheduling delays on a CPU core that is shared with other ingresses.
+const deadlineMargin = 20 * time.Millisecond
 
-// customers is the number above all customers'. Larger ones would be mistaken for the accounts under which
-// other fronts count.
-const customers = 1 << 33
+// customerLimit is an exclusive upper limit of customer numbers. Larger numbers are the accounts that other
+// fronts use, and would be confused with them.
+const customerLimit = 1 << 33
 
-// Front answers the platform's clients. It is an accept.Streamer.
+// Front answers the platform's clients. It implements accept.Streamer.
 type Front struct {
 	core     *core.Core
 	classes  map[string]choice.Class
 	plans    map[string]bool
 	gateways int
-	units    float64 // the most a request counts
+	maxUnits float64 // of one request
 	draining func() bool
 	guard    Guard
 
 	budget *flow.Budget
 
-	mu   sync.Mutex
-	open map[uint64]struct{} // ids of the requests that are being answered
+	mu        sync.Mutex
+	activeIDs map[uint64]struct{} // ids of the requests without a final answer; guarded by mu
 }
 
-// New returns a front for a core with the given settings. The guard may be nil. Long bodies move within the
-// budget.
-func New(c *core.Core, set choice.Settings, draining func() bool, guard Guard, budget *flow.Budget) *Front {
+// New returns a front for a core with the given settings. The guard may be nil. The budget limits the memory
+// for long bodies.
+func New(c *core.Core, settings choice.Settings, draining func() bool, guard Guard,
+	budget *flow.Budget) *Front {
 	f := &Front{core: c, guard: guard, classes: map[string]choice.Class{}, plans: map[string]bool{},
-		gateways: set.Gateways, units: cmp.Or(set.MaxUnits, 1e9), draining: draining, open: map[uint64]struct{}{},
-		budget: budget}
-	for _, k := range set.Classes {
-		f.classes[k.Name] = k
+		gateways: settings.Gateways, maxUnits: cmp.Or(settings.MaxUnits, 1e9), draining: draining,
+		activeIDs: map[uint64]struct{}{}, budget: budget}
+	for _, class := range settings.Classes {
+		f.classes[class.Name] = class
 	}
-	for _, p := range set.Plans {
+	for _, p := range settings.Plans {
 		f.plans[p.Name] = true
 	}
 	return f
 }
 
-// Stream takes a request of a client.
+// Stream handles a request of a client. It returns the function to call when the client leaves, or nil if the
+// request has been answered.
 func (f *Front) Stream(x *accept.Exchange) (leave func()) {
 	r := &http1.Request{Request: x.Request, Peer: x.Peer}
 	if r.URL.Path == "/healthz" {
@@ -68,89 +70,91 @@
 		return nil
 	}
 	now := f.core.Now()
-	in, problem := f.read(r, x.Upload.Length())
+	in, problem := f.parseRequest(r, x.Upload.Length())
 	if problem != nil {
 		x.Answer(problem)
 		return nil
 	}
 	m := in.Payload.(*message)
-	m.terms = &terms
-	var room *flow.Transfer
+	m.terms = &defaultTerms
+	var admitted *flow.Transfer
 	if x.Long {
-		var after time.Duration
-		if room, after = f.budget.Admit(now); room == nil {
-			x.Answer(Translate(core.Answer{Kind: core.Refused, RetryAfter: after}))
+		var retryAfter time.Duration
+		if admitted, retryAfter = f.budget.Admit(now); admitted == nil {
+			x.Answer(Translate(core.Answer{Kind: core.Refused, RetryAfter: retryAfter}))
 			return nil
 		}
-		own := terms
-		own.Head, m.terms = in.Deadline, &own
-		in.Deadline += uploadTime(x.Upload.Length()) // the client's time counts from its last byte
+		longTerms := defaultTerms
+		longTerms.Head, m.terms = in.Deadline, &longTerms
+		in.Deadline += maxUploadTime(x.Upload.Length()) // the client's time-out starts at its last byte
 	}
-	x.Hold(m.terms, room, 0, f.core.Now)
+	x.Hold(m.terms, admitted, 0, f.core.Now)
 	m.upload = x.Upload
-	if !f.begin(m.id) {
+	if !f.register(m.id) {
 		x.Answer(http1.Plain(409, "X-Txn: that request is still being answered"))
 		return nil
 	}
-	if left, ends := x.Left(); ends { // an answer after the process's end is none
-		in.Deadline = min(in.Deadline, left-margin)
+	if remaining, stopping := x.Left(); stopping { // no answer can be sent once the process has stopped
+		in.Deadline = min(in.Deadline, remaining-deadlineMargin)
 	}
 	in.Deadline += now
 	answer := func(a *http1.Answer) {
-		f.end(m.id)
+		f.unregister(m.id)
 		x.Answer(a)
 	}
 	in.Reply = func(a core.Answer) {
-		if long, ok := a.Body.(*transfer.Reply); ok {
-			f.end(m.id)
-			f.pass(x, in.Class, long)
+		if reply, ok := a.Body.(*transfer.Reply); ok {
+			f.unregister(m.id)
+			f.passReply(x, in.Class, reply)
 			return
 		}
 		answer(Translate(a))
 	}
-	var left func()
+	var cancel func()
 	if f.guard != nil {
-		left = f.throughGuard(r, in, answer)
+		cancel = f.checkAndSubmit(r, in, answer)
 	} else {
-		left = f.core.Submit(in).Leave
+		cancel = f.core.Submit(in).Leave
 	}
 	return func() {
-		f.end(m.id)
-		left()
+		f.unregister(m.id)
+		cancel()
 	}
 }
 
-// pass passes a long answer on. Without room it goes on all the same, in small pieces.
-func (f *Front) pass(x *accept.Exchange, class string, r *transfer.Reply) {
+// passReply sends a long response to the client. If the budget does not admit it, it is still sent, in small
+// pieces.
+func (f *Front) passReply(x *accept.Exchange, class string, r *transfer.Reply) {
 	x.OnEnd(f.core.TrackResponse(class))
-	if room, _ := f.budget.Admit(f.core.Now()); room != nil {
-		x.Widen(room, f.core.Now)
+	if admitted, _ := f.budget.Admit(f.core.Now()); admitted != nil {
+		x.Widen(admitted, f.core.Now)
 	}
 	x.Pass(r)
 }
 
-// begin notes that a request is being answered. It reports false if one with the same id is: app servers know
-// requests by their ids, and would take the two for one.
-func (f *Front) begin(id uint64) bool {
+// register marks a request as active. It reports false if a request with the same id is active: app servers
+// identify requests by their ids and would treat the two as one.
+func (f *Front) register(id uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, taken := f.open[id]; taken {
+	if _, active := f.activeIDs[id]; active {
 		return false
 	}
-	f.open[id] = struct{}{}
+	f.activeIDs[id] = struct{}{}
 	return true
 }
 
-func (f *Front) end(id uint64) {
+func (f *Front) unregister(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.open, id)
+	delete(f.activeIDs, id)
 }
 
+// health answers a health check.
 func (f *Front) health(r *http1.Request) *http1.Answer {
 	switch {
 	case r.Method != http.MethodGet:
-		return notAllowed("GET")
+		return methodNotAllowed("GET")
 	case f.draining():
 		return http1.Plain(503, "draining")
 	case !f.core.Ready():
@@ -159,7 +163,8 @@
 	return http1.Plain(200, "ok")
 }
 
-// Translate words a final answer.
+// Translate converts a final answer to an HTTP response. The Body of a served answer must be an
+// *http1.Answer.
 func Translate(a core.Answer) *http1.Answer {
 	switch a.Kind {
 	case core.Served:
@@ -175,14 +180,16 @@
 	return http1.Plain(502, "failed")
 }
 
-func notAllowed(methods string) *http1.Answer {
+func methodNotAllowed(methods string) *http1.Answer {
 	a := http1.Plain(405, "method not allowed")
 	a.Header = append(a.Header, [2]string{"Allow", methods})
 	return a
 }
 
-// read checks a message and makes the core's request of it, with its deadline counted from the arrival.
-func (f *Front) read(r *http1.Request, length int64) (core.Request, *http1.Answer) {
+// parseRequest validates an HTTP request and converts it to a request of the core. The returned Deadline is
+// relative to the arrival. length is that of the body. If the request is invalid, the error response is
+// returned instead.
+func (f *Front) parseRequest(r *http1.Request, length int64) (core.Request, *http1.Answer) {
 	bad := func(what string) (core.Request, *http1.Answer) { return core.Request{}, http1.Plain(400, what) }
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, known := f.classes[name]
@@ -194,9 +201,9 @@
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return core.Request{}, notAllowed(method)
+		return core.Request{}, methodNotAllowed(method)
 	}
-	for _, header := range told {
+	for _, header := range singleHeaders {
 		if len(r.Header[header]) > 1 {
 			return bad(header + ": came more than once")
 		}
@@ -206,13 +213,13 @@
 	if err != nil {
 		return bad("malformed query")
 	}
-	account, ok := hex16(query.Get("account"))
-	if !ok || len(query["account"]) > 1 || account >= customers {
+	account, ok := parseHex16(query.Get("account"))
+	if !ok || len(query["account"]) > 1 || account >= customerLimit {
 		return bad("account: want 16 hex digits of a number below 2^33, once")
 	}
 	in.Customer = account
 	txn := r.Header.Get("X-Txn")
-	id, ok := hex16(txn)
+	id, ok := parseHex16(txn)
 	if !ok {
 		return bad("X-Txn: want 16 hex digits")
 	}
@@ -227,50 +234,53 @@
 	case class.Repeat == choice.Safe && length != 0:
 		return bad("a body where the class has none")
 	}
-	left, ok := http1.Decimal(r.Header.Get("X-Remaining"))
-	if !ok || left >= 3600 {
+	remaining, ok := http1.Decimal(r.Header.Get("X-Remaining"))
+	if !ok || remaining >= 3600 {
 		return bad("X-Remaining: want seconds")
 	}
-	in.Deadline = time.Duration(left*float64(time.Second)) - margin
+	in.Deadline = time.Duration(remaining*float64(time.Second)) - deadlineMargin
 	in.ClientRetry = r.Header.Get("X-Resent") == "1"
-	if !f.meter(r.Header.Get("X-Metering"), &in) {
+	if !f.parseMetering(r.Header.Get("X-Metering"), &in) {
 		return bad("X-Metering: want units, spread and first")
 	}
 	in.Payload = &message{id: id, method: r.Method, target: r.RequestURI, txn: txn, key: key,
-		kind: r.Header.Get("Content-Type")}
+		contentType: r.Header.Get("Content-Type")}
 	return in, nil
 }
 
-// told are the headers that say what a request is. One that came twice could be read in two ways.
-var told = []string{"X-Txn", "X-Lane", "X-Contract", "X-Remaining", "X-Metering", "Idempotency-Key"}
+// singleHeaders are the headers that define a request. They must not be repeated, as that would be ambiguous.
+var singleHeaders = []string{"X-Txn", "X-Lane", "X-Contract", "X-Remaining", "X-Metering", "Idempotency-Key"}
 
-// hex16 reads a number of 16 hex digits.
-func hex16(text string) (n uint64, ok bool) {
+// parseHex16 parses a number of exactly 16 hex digits.
+func parseHex16(text string) (n uint64, ok bool) {
 	n, err := strconv.ParseUint(text, 16, 64)
-	return n, err == nil && len(text) == 16 // which leaves no room for a sign
+	return n, err == nil && len(text) == 16 // ParseUint accepts no sign
 }
 
-// meter reads units=2,spread=3,first=1: what the request draws, and the set of ingresses that its customer's
-// requests come through. A set beyond the settings' ingresses would shift the quota's shares for others.
-func (f *Front) meter(text string, in *core.Request) bool {
+// parseMetering parses a metering header such as units=2,spread=3,first=1 and sets in.Units and in.Spread:
+// units is the use of the quota, spread and first define the set of ingresses that receive the customer's
+// requests. It reports false if the text is invalid. A set that exceeds the ingresses of the settings is
+// invalid, since it would shift the quota shares of others.
+func (f *Front) parseMetering(text string, in *core.Request) bool {
 	seen := map[string]float64{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		switch name {
 		case "units", "spread", "first":
 		default:
 			continue
 		}
 		n, ok := http1.Decimal(value)
-		if _, twice := seen[name]; !ok || twice {
+		if _, repeated := seen[name]; !ok || repeated {
 			return false
 		}
 		seen[name] = n
 	}
 	units, spread, first := seen["units"], seen["spread"], seen["first"]
-	whole := spread == math.Trunc(spread) && first == math.Trunc(first)
-	n := float64(f.gateways)
-	if len(seen) != 3 || !whole || units <= 0 || units > f.units || spread < 1 || spread > n || first >= n {
+	integers := spread == math.Trunc(spread) && first == math.Trunc(first)
+	gateways := float64(f.gateways)
+	if len(seen) != 3 || !integers || units <= 0 || units > f.maxUnits || spread < 1 || spread > gateways ||
+		first >= gateways {
 		return false
 	}
 	in.Units, in.Spread = units, int(spread)
--- a/front/relay/relay.go
+++ b/front/relay/relay.go
@@ -1,38 +1,40 @@
-// Package relay holds a request that goes through two hands, first one that decides whether it may go on,
-// then the one that answers it, while its client may leave at any moment.
+// Package relay passes a request through two stages, such as a guard that decides whether it may continue and
+// then the core that answers it, while its client may leave at any time.
 package relay
 
 import "sync"
 
-// Relay is such a request. The zero Relay is ready for use, and must not be copied.
+// Relay is a request that passes through two stages. The zero Relay is ready for use. It must not be copied,
+// and is safe for concurrent use.
 type Relay struct {
-	mu    sync.Mutex
-	left  bool
-	moved bool   // it is with the second
-	leave func() // of the first, then of the second; may be nil
+	mu            sync.Mutex
+	left          bool // the client has left
+	secondStarted bool
+	leave         func() // notifies the current stage that the client has left; may be nil
 }
 
-// Begin notes how the first hand learns that the client has left. It may come after StartSecond: what was
-// taken on is left in the place where it is.
+// Begin sets the function that notifies the first stage that the client has left. It may be called after
+// StartSecond, and then has no effect: Leave notifies the second stage.
 func (r *Relay) Begin(leave func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.moved {
+	if !r.secondStarted {
 		r.leave = leave
 	}
 }
 
-// StartSecond hands the request on, unless the client has left or it was handed on before: a late word of the
-// first hand starts nothing. next returns how the second learns that the client has left; it must not call back.
-func (r *Relay) StartSecond(next func() (leave func())) {
+// StartSecond calls start to begin the second stage, unless the client has left or the stage was started
+// before: a late call of the first stage has no effect. start returns the function that notifies the second
+// stage that the client has left. start must not call methods of the Relay, whose mutex is locked.
+func (r *Relay) StartSecond(start func() (leave func())) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.left && !r.moved {
-		r.moved, r.leave = true, next()
+	if !r.left && !r.secondStarted {
+		r.secondStarted, r.leave = true, start()
 	}
 }
 
-// Leave tells whoever has the request that its client has left.
+// Leave notifies the current stage that the client has left.
 func (r *Relay) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/front/relay/relay_test.go
+++ b/front/relay/relay_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-func TestLeavingFindsTheRequestWhereItIs(t *testing.T) {
+func TestLeaveReachesCurrentStage(t *testing.T) {
 	for steps, want := range map[string]string{
 		"first leave":           "first",
 		"first move leave":      "next second",
-		"move first leave":      "next second", // it moved on while the first was being asked
+		"move first leave":      "next second", // the second stage starts before Begin is called
 		"move move":             "next",
 		"first leave move":      "first",
 		"nobody leave move":     "",
 		"first move move leave": "next second",
 	} {
 		var got []string
-		say := func(what string) func() { return func() { got = append(got, what) } }
+		record := func(what string) func() { return func() { got = append(got, what) } }
 		r := &Relay{}
 		for step := range strings.FieldsSeq(steps) {
 			switch step {
 			case "first":
-				r.Begin(say("first"))
+				r.Begin(record("first"))
 			case "nobody":
 				r.Begin(nil)
 			case "move":
 				r.StartSecond(func() func() {
-					say("next")()
-					return say("second")
+					record("next")()
+					return record("second")
 				})
 			case "leave":
 				r.Leave()
