--- a/cmd/dunespoke/gateway.go
+++ b/cmd/dunespoke/gateway.go
@@ -106,13 +106,13 @@
 			return nil, pools, fmt.Errorf("gateway.pool[%s]: %w", name, err)
 		}
 	}
-	o := gateway.Options{Routes: g.Table(), Budget: t.budget, Trusted: g.Trust, Draining: t.p.draining,
+	o := gateway.Options{Routes: g.Table(), Budget: t.budget, TrustedProxies: g.Trust, Draining: t.p.draining,
 		Log: t.p.log}
 	for i := range o.Routes {
 		o.Routes[i].Core = pools[g.Routes[i].Pool].Core
 	}
 	if t.side != nil {
-		o.Trust = t.side.Trust
+		o.VerifyClient = t.side.Trust
 	}
 	if t.p.questions != nil {
 		o.Guard = t.p.questions.checks()
@@ -130,7 +130,7 @@
 		t.p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", kept).Msg("changed, and not taken")
 	}
 	old := t.pools.Swap(&pools)
-	t.front.Use(plan)
+	t.front.SetPlan(plan)
 	t.conf = g
 	t.release(*old, &pools, retire)
 }
--- a/front/gateway/customer.go
+++ b/front/gateway/customer.go
@@ -53,8 +53,8 @@
 	return Source{}, fmt.Errorf("%q: %w", text, errSource)
 }
 
-// Trust checks a client's chain of certificates.
-type Trust func([]*x509.Certificate) error
+// VerifyChain checks a client's chain of certificates.
+type VerifyChain func([]*x509.Certificate) error
 
 // What keeps a customer from being known.
 var (
@@ -73,8 +73,8 @@
 	case Path:
 		return vars[s.Name], nil
 	case Certificate:
-		if x.TLS == nil || len(x.TLS.PeerCertificates) == 0 || f.Trust == nil ||
-			f.Trust(x.TLS.PeerCertificates) != nil {
+		if x.TLS == nil || len(x.TLS.PeerCertificates) == 0 || f.VerifyClient == nil ||
+			f.VerifyClient(x.TLS.PeerCertificates) != nil {
 			return "", errNoCert
 		}
 		return x.TLS.PeerCertificates[0].Subject.String(), nil
--- a/front/gateway/gateway.go
+++ b/front/gateway/gateway.go
@@ -28,13 +28,13 @@
 
 // Options are what a plan is made of.
 type Options struct {
-	Routes   []Route
-	Budget   *flow.Budget   // of long bodies
-	Trusted  []netip.Prefix // of proxies whose word on whom they speak for is taken
-	Guard    Guard          // checks access tokens; nil: no route may ask for that
-	Trust    Trust          // checks clients' certificates; nil: none is believed
-	Draining func() bool
-	Log      zerolog.Logger
+	Routes         []Route
+	Budget         *flow.Budget   // of long bodies
+	TrustedProxies []netip.Prefix // of proxies whose word on whom they speak for is taken
+	Guard          Guard          // checks access tokens; nil: no route may ask for that
+	VerifyClient   VerifyChain    // checks clients' certificates; nil: none is believed
+	Draining       func() bool
+	Log            zerolog.Logger
 }
 
 // Guard checks the access token of a request before that goes on, and calls then once: with what is known of
@@ -72,12 +72,12 @@
 // New returns a front that goes by a plan.
 func New(p *Plan) *Front {
 	f := &Front{start: time.Now()}
-	f.Use(p)
+	f.SetPlan(p)
 	return f
 }
 
-// Use has the requests that come from now on go by another plan.
-func (f *Front) Use(p *Plan) { f.now.Store(&plan{p, f.start}) }
+// SetPlan has the requests that come from now on go by another plan.
+func (f *Front) SetPlan(p *Plan) { f.now.Store(&plan{p, f.start}) }
 
 // Stream takes a request of a client.
 func (f *Front) Stream(x *accept.Exchange) (leave func()) { return f.now.Load().stream(x) }
--- a/front/gateway/headers.go
+++ b/front/gateway/headers.go
@@ -24,7 +24,7 @@
 
 // trusted reports whether a peer's word on whom it speaks for is taken.
 func (f *plan) trusted(at netip.Addr) bool {
-	return slices.ContainsFunc(f.Trusted, func(p netip.Prefix) bool { return p.Contains(at) })
+	return slices.ContainsFunc(f.TrustedProxies, func(p netip.Prefix) bool { return p.Contains(at) })
 }
 
 // address is the client's: the peer's own, or, where that is a trusted proxy, the last one before all trusted
