--- a/front/gateway/customer.go
+++ b/front/gateway/customer.go
@@ -12,19 +12,19 @@
 	"dunespoke/internal/net/accept"
 )
 
-// Kind is where a customer's name is read from.
+// Kind is the part of a request that contains the customer's name.
 type Kind int
 
 // The kinds of sources.
 const (
-	Address     Kind = iota // the client's address
-	Header                  // a header line
+	Address     Kind = iota // the client's IP address
+	Header                  // a header field
 	Path                    // a variable of the route's path
 	Certificate             // the subject of the client's certificate
-	Claim                   // of the access token
+	Claim                   // a claim of the access token
 )
 
-// Source says whose quota a request draws on.
+// Source defines how the customer whose quota a request uses is determined.
 type Source struct {
 	Kind Kind
 	Name string // of the header, the variable or the claim
@@ -32,7 +32,7 @@
 
 var errSource = errors.New("want address, certificate, header:NAME, path:NAME or claim:NAME")
 
-// ParseSource reads a source as in "header:X-Account".
+// ParseSource parses a source such as "header:X-Account". An empty text means the client's address.
 func ParseSource(text string) (Source, error) {
 	kind, name, named := strings.Cut(text, ":")
 	switch {
@@ -53,21 +53,22 @@
 	return Source{}, fmt.Errorf("%q: %w", text, errSource)
 }
 
-// VerifyChain checks a client's chain of certificates.
+// VerifyChain verifies the certificate chain of a client.
 type VerifyChain func([]*x509.Certificate) error
 
-// What keeps a customer from being known.
+// Errors of requests whose customer cannot be determined. Clients get their texts.
 var (
 	errNoHeader = errors.New("the header that names the customer is missing, or there are several")
 	errNoCert   = errors.New("a client certificate is needed")
 )
 
-// read finds the customer's name. That of a claim is found later.
-func (s Source) read(f *plan, x *accept.Exchange, vars map[string]string) (string, error) {
+// customerName returns the customer's name. It is empty for Claim, whose value is known only after the token
+// was checked. vars are the values of the path variables.
+func (s Source) customerName(f *plan, x *accept.Exchange, vars map[string]string) (string, error) {
 	switch s.Kind {
 	case Header:
-		if all := x.Header.Values(s.Name); len(all) == 1 && all[0] != "" {
-			return all[0], nil
+		if values := x.Header.Values(s.Name); len(values) == 1 && values[0] != "" {
+			return values[0], nil
 		}
 		return "", errNoHeader
 	case Path:
@@ -81,25 +82,25 @@
 	case Claim:
 		return "", nil
 	}
-	return f.address(x.Request, x.Peer).String(), nil
+	return f.clientAddr(x.Request, x.Peer).String(), nil
 }
 
-// claim reads what a token says of its customer.
-func claim(c bearer.Claims, name string) string {
+// claimValue returns the client_id or the subject of a token.
+func claimValue(c bearer.Claims, name string) string {
 	if name == "client_id" {
 		return c.ClientID
 	}
 	return c.Subject
 }
 
-// addressOf is the address of a peer; the zero one if it has none.
-func addressOf(peer net.Addr) netip.Addr {
+// peerAddr returns the IP address of a peer, or the zero Addr if it has none.
+func peerAddr(peer net.Addr) netip.Addr {
 	if peer == nil {
 		return netip.Addr{}
 	}
-	at, err := netip.ParseAddrPort(peer.String())
+	addrPort, err := netip.ParseAddrPort(peer.String())
 	if err != nil {
 		return netip.Addr{}
 	}
-	return at.Addr().Unmap()
+	return addrPort.Addr().Unmap()
 }
--- a/front/gateway/gateway.go
+++ b/front/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway is the front for any HTTP traffic: it finds a request's route, says what it counts as, and
-// passes its body and its answer on as they come. The core decides on it as on any other request.
+// Package gateway is the front for general HTTP traffic: it determines a request's route and customer, and
+// streams its body to the server and the response to the client. The core decides on its requests as on those
+// of any other front.
 package gateway
 
 import (
@@ -26,81 +27,83 @@
 	"dunespoke/internal/routes"
 )
 
-// Options are what a plan is made of.
+// Options contains the parameters of NewPlan.
 type Options struct {
 	Routes         []Route
-	Budget         *flow.Budget   // of long bodies
-	TrustedProxies []netip.Prefix // of proxies whose word on whom they speak for is taken
-	Guard          Guard          // checks access tokens; nil: no route may ask for that
-	VerifyClient   VerifyChain    // checks clients' certificates; nil: none is believed
+	Budget         *flow.Budget   // limits the memory for long bodies
+	TrustedProxies []netip.Prefix // of proxies whose forwarding headers are accepted
+	Guard          Guard          // checks access tokens; nil: no route may require one
+	VerifyClient   VerifyChain    // verifies client certificates; nil: none is accepted
 	Draining       func() bool
 	Log            zerolog.Logger
 }
 
-// Guard checks the access token of a request before that goes on, and calls then once: with what is known of
-// the token, or with the answer that the client gets instead.
+// Guard checks the access token of a request before the request is submitted to a core.
 type Guard interface {
+	// Require calls then once: with the claims of the token and nil, or with the response that the client
+	// gets instead. The returned function reports that the client has left.
 	Require(r *http1.Request, in core.Request, required bearer.Requirement,
 		then func(bearer.Claims, *http1.Answer)) (leave func())
 }
 
-// Route is where some requests go, and what they count as.
+// Route defines where matching requests are sent and how they are charged.
 type Route struct {
 	routes.Route
 	Core     *core.Core
 	Class    string
-	Patience time.Duration // of the class: for an answer's head
+	Patience time.Duration // of the class: time limit for the head of a response
 	Plan     string
 	Customer Source
 	Units    float64
-	Spread   int           // ingresses through which a customer's requests arrive
-	Host     string        // told to the servers; empty: as asked
-	Long     bool          // answers are long: room is needed before any attempt
-	Replay   int           // bytes of a long body held to be sent again
-	Upload   time.Duration // more patience for a body that is held while it comes
+	Spread   int           // number of ingresses that receive a customer's requests
+	Host     string        // sent to the servers; empty: that of the request
+	Long     bool          // responses are long: a transfer must be admitted before any attempt
+	Replay   int           // bytes of a long body that are buffered for another attempt
+	Upload   time.Duration // added to Patience for a long body that is buffered while it arrives
 	Terms    transfer.Terms
-	Token    bool // an access token is needed
+	Token    bool // an access token is required
 	Require  bearer.Requirement
 }
 
-// Front answers clients. It is an accept.Streamer.
+// Front answers clients. It implements accept.Streamer.
 type Front struct {
-	now   atomic.Pointer[plan]
-	start time.Time
+	plan  atomic.Pointer[plan] // for new requests
+	start time.Time            // origin of the clock for transfers
 }
 
-// New returns a front that goes by a plan.
+// New returns a front that uses the given plan.
 func New(p *Plan) *Front {
 	f := &Front{start: time.Now()}
 	f.SetPlan(p)
 	return f
 }
 
-// SetPlan has the requests that come from now on go by another plan.
-func (f *Front) SetPlan(p *Plan) { f.now.Store(&plan{p, f.start}) }
+// SetPlan replaces the plan for new requests. It is safe for concurrent use.
+func (f *Front) SetPlan(p *Plan) { f.plan.Store(&plan{p, f.start}) }
 
-// Stream takes a request of a client.
-func (f *Front) Stream(x *accept.Exchange) (leave func()) { return f.now.Load().stream(x) }
+// Stream handles a request of a client. It returns the function to call when the client leaves, or nil if the
+// request has been answered.
+func (f *Front) Stream(x *accept.Exchange) (leave func()) { return f.plan.Load().stream(x) }
 
-// Plan is what a front goes by.
+// Plan is a validated set of routes and their options.
 type Plan struct {
 	Options
 	table *routes.Table
 }
 
-// plan is one in use.
+// plan is a Plan in use by a Front.
 type plan struct {
 	*Plan
 	start time.Time
 }
 
-// NewPlan returns a plan, or names the route that makes no sense.
+// NewPlan returns a plan, or an error that names the first invalid route.
 func NewPlan(o Options) (*Plan, error) {
 	list := make([]routes.Route, len(o.Routes))
 	for i, r := range o.Routes {
 		list[i] = r.Route
 		if r.Token && o.Guard == nil {
-			return nil, fmt.Errorf("route %d: nobody checks tokens", i+1)
+			return nil, fmt.Errorf("route %d: an access token is required, but no guard is configured", i+1)
 		}
 		if r.Units <= 0 || r.Patience <= 0 {
 			return nil, fmt.Errorf("route %d: units and patience must be above 0", i+1)
@@ -114,10 +117,12 @@
 	return &Plan{o, table}, nil
 }
 
+// clock returns the time since the start of the front.
 func (f *plan) clock() time.Duration { return time.Since(f.start) }
 
+// stream handles a request; see Front.Stream.
 func (f *plan) stream(x *accept.Exchange) (leave func()) {
-	route, vars, problem := f.route(x)
+	route, vars, problem := f.findRoute(x)
 	if problem != nil {
 		x.Answer(problem)
 		return nil
@@ -127,58 +132,61 @@
 	if x.Long && route.Replay > 0 {
 		in.Deadline += route.Upload
 	}
-	who, err := route.Customer.read(f, x, vars)
+	customer, err := route.Customer.customerName(f, x, vars)
 	if err != nil {
 		x.Answer(http1.Plain(http.StatusBadRequest, err.Error()))
 		return nil
 	}
-	var room *flow.Transfer
+	var admitted *flow.Transfer
 	if x.Long || route.Long {
-		after := time.Second
+		retryAfter := time.Second
 		if !f.Draining() {
-			room, after = f.Budget.Admit(f.clock())
+			admitted, retryAfter = f.Budget.Admit(f.clock())
 		}
-		if room == nil {
+		if admitted == nil {
 			f.Log.Warn().Str("code", "transfer-refused").Int("open", f.Budget.Open()).Str("path", route.Path).
-				Bool("draining", f.Draining()).Msg("no room for a long body")
-			x.Answer(f.later(http.StatusServiceUnavailable, "no room for a long body now", after))
+				Bool("draining", f.Draining()).Msg("long body refused: transfer budget exhausted or process draining")
+			x.Answer(f.retryLater(http.StatusServiceUnavailable, "no room for a long body now", retryAfter))
 			return nil
 		}
 	}
-	x.Hold(&route.Terms, room, route.Replay, f.clock)
-	in.Payload = f.message(x, route)
+	x.Hold(&route.Terms, admitted, route.Replay, f.clock)
+	in.Payload = f.newMessage(x, route)
 	in.Reply = func(a core.Answer) { f.reply(x, in.Deadline-route.Core.Now(), a) }
 	if !route.Token {
-		in.Customer = account(who)
+		in.Customer = account(customer)
 		return route.Core.Submit(in).Leave
 	}
-	in.Customer = account(f.address(x.Request, x.Peer).String())
-	return f.guarded(x, route, in, who)
+	in.Customer = account(f.clientAddr(x.Request, x.Peer).String())
+	return f.checkAndSubmit(x, route, in, customer)
 }
 
-// guarded has the token checked first, and counts by what it claims where the route says so.
-func (f *plan) guarded(x *accept.Exchange, route *Route, in core.Request, who string) (leave func()) {
-	g := &relay.Relay{}
-	g.Begin(f.Guard.Require(&http1.Request{Request: x.Request, Peer: x.Peer}, in, route.Require,
+// checkAndSubmit submits a request to the core after its token was accepted. If the route's customer is a
+// claim of the token, it replaces the given customer.
+func (f *plan) checkAndSubmit(x *accept.Exchange, route *Route, in core.Request,
+	customer string) (leave func()) {
+	stages := &relay.Relay{}
+	stages.Begin(f.Guard.Require(&http1.Request{Request: x.Request, Peer: x.Peer}, in, route.Require,
 		func(c bearer.Claims, a *http1.Answer) {
 			if a != nil {
 				x.Answer(a)
 				return
 			}
 			if route.Customer.Kind == Claim {
-				if who = claim(c, route.Customer.Name); who == "" {
+				if customer = claimValue(c, route.Customer.Name); customer == "" {
 					x.Answer(http1.Plain(http.StatusForbidden, "the token does not say whose it is"))
 					return
 				}
 			}
-			in.Customer = account(who)
-			g.StartSecond(func() func() { return route.Core.Submit(in).Leave })
+			in.Customer = account(customer)
+			stages.StartSecond(func() func() { return route.Core.Submit(in).Leave })
 		}))
-	return g.Leave
+	return stages.Leave
 }
 
-// route finds a request's route, or the answer of one that has none.
-func (f *plan) route(x *accept.Exchange) (*Route, map[string]string, *http1.Answer) {
+// findRoute returns a request's route and the values of its path variables, or the response to a request that
+// has no route.
+func (f *plan) findRoute(x *accept.Exchange) (*Route, map[string]string, *http1.Answer) {
 	switch x.Method {
 	case http.MethodConnect, http.MethodTrace:
 		return nil, nil, http1.Plain(http.StatusNotImplemented, "not a method for here")
@@ -186,18 +194,18 @@
 	if x.Host == "" && x.ProtoAtLeast(1, 1) {
 		return nil, nil, http1.Plain(http.StatusBadRequest, "a Host line is needed")
 	}
-	if e := x.Header.Get("Expect"); e != "" && !continues(e) {
+	if e := x.Header.Get("Expect"); e != "" && !isContinue(e) {
 		return nil, nil, http1.Plain(http.StatusExpectationFailed, "only 100-continue can be expected")
 	}
-	path, _, _ := strings.Cut(target(x.Request), "?")
-	to, err := f.table.Match(x.Host, path, x.Method)
-	var method *routes.MethodError
+	path, _, _ := strings.Cut(requestTarget(x.Request), "?")
+	match, err := f.table.Match(x.Host, path, x.Method)
+	var methodErr *routes.MethodError
 	switch {
 	case err == nil:
-		return &f.Routes[to.Route], to.Vars, nil
-	case errors.As(err, &method):
+		return &f.Routes[match.Route], match.Vars, nil
+	case errors.As(err, &methodErr):
 		a := http1.Plain(http.StatusMethodNotAllowed, "not a method for there")
-		a.Header = append(a.Header, [2]string{"Allow", join(method.Allow)})
+		a.Header = append(a.Header, [2]string{"Allow", joinValues(methodErr.Allow)})
 		return nil, nil, a
 	case errors.Is(err, routes.ErrNone):
 		return nil, nil, http1.Plain(http.StatusNotFound, "no such path")
@@ -205,30 +213,33 @@
 	return nil, nil, http1.Plain(http.StatusBadRequest, err.Error())
 }
 
-// target is the path and the query that were asked for, as they came where they came alone.
-func target(r *http.Request) string {
+// requestTarget returns the path and the query of a request: unchanged if the request line contains only
+// these, and otherwise taken from the absolute URL.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-// reply hands a final answer on. left is what the request had left of its time.
-func (f *plan) reply(x *accept.Exchange, left time.Duration, a core.Answer) {
+// reply sends a final answer to the client. remaining is the time until the request's deadline; it determines
+// whether a failure is reported as a time-out.
+func (f *plan) reply(x *accept.Exchange, remaining time.Duration, a core.Answer) {
 	switch {
 	case a.Kind == core.Served:
 		x.Pass(a.Body.(*transfer.Reply))
 	case a.Kind == core.Refused:
-		x.Answer(f.later(http.StatusTooManyRequests, "refused: try again later", a.RetryAfter))
-	case left <= 0:
+		x.Answer(f.retryLater(http.StatusTooManyRequests, "refused: try again later", a.RetryAfter))
+	case remaining <= 0:
 		x.Answer(http1.Plain(http.StatusGatewayTimeout, "no answer in time"))
 	default:
 		x.Answer(http1.Plain(http.StatusBadGateway, "no answer"))
 	}
 }
 
-// later is an answer that says when to come back, in whole seconds.
-func (f *plan) later(status int, text string, after time.Duration) *http1.Answer {
+// retryLater returns a response with a Retry-After header in seconds, rounded up. after is the time until a
+// retry may succeed; the header is omitted if it is 0.
+func (f *plan) retryLater(status int, text string, after time.Duration) *http1.Answer {
 	a := http1.Plain(status, text)
 	if after > 0 {
 		seconds := strconv.Itoa(int(math.Ceil(after.Seconds())))
@@ -237,5 +248,5 @@
 	return a
 }
 
-// account is the number under which a customer is counted.
-func account(who string) uint64 { return introspect.Customer(who) }
+// account returns the customer number of the core for a customer's name.
+func account(name string) uint64 { return introspect.Customer(name) }
--- a/front/gateway/headers.go
+++ b/front/gateway/headers.go
@@ -11,99 +11,104 @@
 	"dunespoke/internal/net/accept"
 )
 
-// Header lines that say for whom a proxy speaks. Clients may write what they like there.
-var ofProxies = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto",
+// forwardingHeaders are the header fields in which a proxy identifies its client. Only those of trusted
+// proxies are used, since any client can send them.
+var forwardingHeaders = []string{"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Proto",
 	"X-Forwarded-Port", "X-Forwarded-Server", "X-Real-Ip"}
 
-// clean drops what holds for one connection alone.
-func clean(h http.Header) { http1.DropHops(h, "Host") }
+// dropHopByHop removes the header fields that apply to a single connection only, and Host.
+func dropHopByHop(h http.Header) { http1.DropHops(h, "Host") }
 
-func continues(expect string) bool { return strings.EqualFold(expect, "100-continue") }
+// isContinue reports whether an Expect header asks for a 100 Continue response.
+func isContinue(expect string) bool { return strings.EqualFold(expect, "100-continue") }
 
-func join(all []string) string { return strings.Join(all, ", ") }
+func joinValues(values []string) string { return strings.Join(values, ", ") }
 
-// trusted reports whether a peer's word on whom it speaks for is taken.
-func (f *plan) trusted(at netip.Addr) bool {
-	return slices.ContainsFunc(f.TrustedProxies, func(p netip.Prefix) bool { return p.Contains(at) })
+// trustedProxy reports whether an address belongs to a proxy whose forwarding headers are accepted.
+func (f *plan) trustedProxy(addr netip.Addr) bool {
+	return slices.ContainsFunc(f.TrustedProxies, func(p netip.Prefix) bool { return p.Contains(addr) })
 }
 
-// address is the client's: the peer's own, or, where that is a trusted proxy, the last one before all trusted
-// ones that X-Forwarded-For names.
-func (f *plan) address(r *http.Request, peer net.Addr) netip.Addr {
-	at := addressOf(peer)
-	if !f.trusted(at) {
-		return at
+// clientAddr returns the address of the client: that of the peer or, if the peer is a trusted proxy, the last
+// address in X-Forwarded-For that is not one of a trusted proxy. If all are trusted, it is the first of them.
+// Entries before an invalid one are ignored.
+func (f *plan) clientAddr(r *http.Request, peer net.Addr) netip.Addr {
+	addr := peerAddr(peer)
+	if !f.trustedProxy(addr) {
+		return addr
 	}
-	hops := strings.Split(join(r.Header["X-Forwarded-For"]), ",")
+	hops := strings.Split(joinValues(r.Header["X-Forwarded-For"]), ",")
 	for _, hop := range slices.Backward(hops) {
-		before, err := netip.ParseAddr(strings.TrimSpace(hop))
+		hopAddr, err := netip.ParseAddr(strings.TrimSpace(hop))
 		if err != nil {
 			break
 		}
-		if at = before.Unmap(); !f.trusted(at) {
+		if addr = hopAddr.Unmap(); !f.trustedProxy(addr) {
 			break
 		}
 	}
-	return at
+	return addr
 }
 
-// forwarded tells the servers for whom this program speaks, by RFC 7239 and by the names used before it.
-func (f *plan) forwarded(x *accept.Exchange, h http.Header) {
-	at := addressOf(x.Peer)
+// setForwarded sets the header fields that identify the client to the servers: Forwarded of RFC 7239, and the
+// X-Forwarded fields that preceded it. Values from the client are kept only if it is a trusted proxy.
+func (f *plan) setForwarded(x *accept.Exchange, h http.Header) {
+	addr := peerAddr(x.Peer)
 	proto := "http"
 	if x.TLS != nil {
 		proto = "https"
 	}
-	var list, before []string
-	if f.trusted(at) {
-		list, before = h["X-Forwarded-For"], h["Forwarded"]
+	var forwardedFor, forwarded []string
+	if f.trustedProxy(addr) {
+		forwardedFor, forwarded = h["X-Forwarded-For"], h["Forwarded"]
 		if p := h.Get("X-Forwarded-Proto"); p == "http" || p == "https" {
 			proto = p
 		}
 	}
-	for _, name := range ofProxies {
+	for _, name := range forwardingHeaders {
 		delete(h, name)
 	}
 	node := "unknown"
-	if at.IsValid() {
-		list = append(slices.Clip(list), at.String())
-		if node = at.String(); at.Is6() {
+	if addr.IsValid() {
+		forwardedFor = append(slices.Clip(forwardedFor), addr.String())
+		if node = addr.String(); addr.Is6() {
 			node = `"[` + node + `]"`
 		}
 	}
-	if len(list) > 0 {
-		h["X-Forwarded-For"] = []string{join(list)}
+	if len(forwardedFor) > 0 {
+		h["X-Forwarded-For"] = []string{joinValues(forwardedFor)}
 	}
 	h["X-Forwarded-Proto"] = []string{proto}
 	if strings.ContainsAny(x.Host, "\"\\") {
-		h["Forwarded"] = []string{join(append(slices.Clip(before), "for="+node+";proto="+proto))}
+		h["Forwarded"] = []string{joinValues(append(slices.Clip(forwarded), "for="+node+";proto="+proto))}
 		return
 	}
 	h["X-Forwarded-Host"] = []string{x.Host}
-	h["Forwarded"] = []string{join(append(slices.Clip(before), "for="+node+`;host="`+x.Host+`";proto=`+proto))}
+	h["Forwarded"] = []string{joinValues(append(slices.Clip(forwarded),
+		"for="+node+`;host="`+x.Host+`";proto=`+proto))}
 }
 
-// via is this program's line in Via.
-const via = "1.1 dunespoke"
+// viaValue is the value that this program adds to Via.
+const viaValue = "1.1 dunespoke"
 
-// head writes a request's head as the servers are to get it.
-func (f *plan) head(x *accept.Exchange, r *Route) []byte {
+// requestHead returns the head of a request as it is sent to the servers.
+func (f *plan) requestHead(x *accept.Exchange, r *Route) []byte {
 	h := x.Header
 	trailers := false
 	for _, line := range h["Te"] {
 		trailers = trailers || strings.EqualFold(strings.TrimSpace(line), "trailers")
 	}
-	clean(h)
-	delete(h, "Expect") // it is between the client and this program
-	f.forwarded(x, h)
-	h["Via"] = append(slices.Clip(h["Via"]), via)
+	dropHopByHop(h)
+	delete(h, "Expect") // applies between the client and this program only
+	f.setForwarded(x, h)
+	h["Via"] = append(slices.Clip(h["Via"]), viaValue)
 	host := r.Host
 	if host == "" {
 		host = x.Host
 	}
 	b := make([]byte, 0, 512)
 	b = append(append(b, x.Method...), ' ')
-	b = append(append(b, target(x.Request)...), " HTTP/1.1\r\n"...)
+	b = append(append(b, requestTarget(x.Request)...), " HTTP/1.1\r\n"...)
 	b = http1.AppendHeader(b, "Host", host)
 	b = http1.AppendHeaders(b, h)
 	if trailers {
--- a/front/gateway/message.go
+++ b/front/gateway/message.go
@@ -13,36 +13,36 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// message is a request as the servers get it. It is a forward.Streamed.
+// message is a request as it is sent to servers. It implements forward.Streamed.
 type message struct {
 	head   []byte
 	method string
-	up     *transfer.Upload
+	upload *transfer.Upload
 	terms  *transfer.Terms
 }
 
-func (f *plan) message(x *accept.Exchange, r *Route) *message {
-	return &message{f.head(x, r), x.Method, x.Upload, &r.Terms}
+func (f *plan) newMessage(x *accept.Exchange, r *Route) *message {
+	return &message{f.requestHead(x, r), x.Method, x.Upload, &r.Terms}
 }
 
-// Append writes the head.
+// Append appends the head of the request to buf.
 func (m *message) Append(buf []byte, _ core.Server, _ time.Duration) []byte {
 	return append(buf, m.head...)
 }
 
-// Upload is the body.
-func (m *message) Upload() *transfer.Upload { return m.up }
+// Upload returns the body.
+func (m *message) Upload() *transfer.Upload { return m.upload }
 
-// Terms are what the exchange is held to.
+// Terms returns the speed and time limits of the exchange.
 func (m *message) Terms() *transfer.Terms { return m.terms }
 
-// Method is the request's.
+// Method returns the HTTP method.
 func (m *message) Method() string { return m.method }
 
-// appendFraming writes how the body is framed, and the end of the head.
+// appendFraming appends the header fields that define the framing of the body, and the end of the head.
 func appendFraming(b []byte, x *accept.Exchange) []byte {
 	if len(x.Trailer) > 0 {
-		b = http1.AppendHeader(b, "Trailer", join(names(x.Trailer)))
+		b = http1.AppendHeader(b, "Trailer", joinValues(sortedNames(x.Trailer)))
 	}
 	switch n := x.Upload.Length(); {
 	case n < 0:
@@ -53,25 +53,26 @@
 	return append(b, "\r\n"...)
 }
 
-func names(h http.Header) []string {
-	var all []string
+func sortedNames(h http.Header) []string {
+	var names []string
 	for name := range h {
-		all = append(all, name)
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// ClassifyHead returns what the head of an answer means. Those with one of the given statuses are errors,
-// after which another attempt may be made if the class allows it; any other is what the client asked for.
-func ClassifyHead(errors []int) func(*http.Response) core.Result {
+// ClassifyHead returns a function that classifies the head of a response and prepares its header for the
+// client. Responses with one of the given status codes are errors, after which another attempt may be made if
+// the class allows it; all others are successful.
+func ClassifyHead(errorStatuses []int) func(*http.Response) core.Result {
 	return func(r *http.Response) core.Result {
-		clean(r.Header)
+		dropHopByHop(r.Header)
 		if len(r.Trailer) > 0 && r.ContentLength < 0 {
-			r.Header["Trailer"] = []string{join(names(r.Trailer))}
+			r.Header["Trailer"] = []string{joinValues(sortedNames(r.Trailer))}
 		}
-		r.Header["Via"] = append(slices.Clip(r.Header["Via"]), via)
-		if slices.Contains(errors, r.StatusCode) {
+		r.Header["Via"] = append(slices.Clip(r.Header["Via"]), viaValue)
+		if slices.Contains(errorStatuses, r.StatusCode) {
 			return core.Result{Code: choice.Error}
 		}
 		return core.Result{Code: choice.OK}
