--- a/quota/ledger/ledger.go
+++ b/quota/ledger/ledger.go
@@ -1,7 +1,8 @@
-// Package ledger keeps what an ingress knows of shared counts while their counter is lost, slow, or replaced
-// by an empty one. It stands between a gate, which asks for totals, and the counter: it says what to add,
-// what to tell the gate, and how to put a count right. It knows neither clock nor wire.
-// docs/design/quota-state.md tells why it does what it does, and how large the error may be.
+// Package ledger keeps one ingress's state of shared counts while their counter is unreachable, slow, or
+// replaced by an empty one. It sits between a gate, which requests totals, and the counter: it decides what
+// to add to a count, which total to report to the gate, and how to repair a count. It depends on neither a
+// clock nor a protocol. The reasons for its rules and the limits of its error are in
+// docs/design/quota-state.md.
 package ledger
 
 import (
@@ -10,50 +11,50 @@
 	"time"
 )
 
-// Plan is a customer's quota.
+// Plan is a customer's quota, a token bucket.
 type Plan struct {
-	Rate   float64 // units a second
-	Burst  float64 // units at once
-	Spread int     // ingresses that its requests come by
+	Rate   float64 // units per second
+	Burst  float64 // units; size of the bucket
+	Spread int     // number of ingresses that receive the customer's requests
 }
 
-// Options are the same at all ingresses that share a counter.
+// Options must be the same at all ingresses that share a counter.
 type Options struct {
-	Smooth time.Duration // over which use is smoothed
-	Floor  float64       // of an even share, for an ingress that had no part in the use
-	Kept   float64       // part of the store that is kept back in a silence
-	Lost   int           // calls in a row without an answer, over all names, that tell of a lost counter
-	Trial  time.Duration // between trials of a name that is not answered
-	Back   float64       // units that a total may say less than the one before: gates take more for a fault
+	SmoothingTime time.Duration // time constant of the average use
+	MinShare      float64       // share of an ingress without use of its own, as a fraction of an even share
+	Reserve       float64       // fraction of the bucket that is not used during an outage of the counter
+	LostAfter     int           // unanswered calls in a row, over all names, after which the counter is lost
+	ProbeInterval time.Duration // between probes of a name that is not answered
+	MaxDecrease   float64       // units by which a reported total may decrease; gates reject a larger decrease
 }
 
-// DefaultOptions hold the sum of four ingresses' shares under 1.12.
+// DefaultOptions returns options with which the shares of four ingresses add up to less than 1.12.
 func DefaultOptions() Options {
-	return Options{Smooth: 5 * time.Second, Floor: 0.15, Kept: 0.1, Lost: 3, Trial: 250 * time.Millisecond,
-		Back: 2}
+	return Options{SmoothingTime: 5 * time.Second, MinShare: 0.15, Reserve: 0.1, LostAfter: 3,
+		ProbeInterval: 250 * time.Millisecond, MaxDecrease: 2}
 }
 
-// Validate names the first option that makes no sense.
+// Validate returns an error that names the first invalid options.
 func (o Options) Validate() error {
 	switch {
-	case o.Smooth <= 0 || o.Trial <= 0:
+	case o.SmoothingTime <= 0 || o.ProbeInterval <= 0:
 		return errTimes
-	case !(o.Floor >= 0 && o.Floor <= 1) || !(o.Kept >= 0 && o.Kept < 1):
-		return errParts
-	case o.Lost < 1:
-		return errLost
+	case !(o.MinShare >= 0 && o.MinShare <= 1) || !(o.Reserve >= 0 && o.Reserve < 1):
+		return errFractions
+	case o.LostAfter < 1:
+		return errLostAfter
 	}
 	return nil
 }
 
-// What may be wrong with options.
+// Errors of Validate.
 var (
-	errTimes = errors.New("ledger: smooth and trial must be above 0")
-	errParts = errors.New("ledger: floor is from 0 to 1, kept from 0 to below 1")
-	errLost  = errors.New("ledger: lost must be 1 or more")
+	errTimes     = errors.New("ledger: SmoothingTime and ProbeInterval must be above 0")
+	errFractions = errors.New("ledger: MinShare must be from 0 to 1, and Reserve from 0 to below 1")
+	errLostAfter = errors.New("ledger: LostAfter must be 1 or more")
 )
 
-// Key names a count: a customer's units in one window.
+// Key identifies a count: a customer's units in one time window.
 type Key struct {
 	Customer uint64
 	Window   int64
@@ -61,187 +62,191 @@
 
 // Ledger is the state of one ingress. It is not safe for concurrent use.
 type Ledger struct {
-	set       Options
-	customers map[uint64]*customer
-	unheard   int           // calls in a row without an answer
-	tried     time.Duration // when the last call to a lost counter was made
+	options    Options
+	customers  map[uint64]*customer
+	unanswered int           // calls in a row without an answer
+	lastProbe  time.Duration // time of the last probe of any name
 }
 
-// customer is what is known of one.
+// customer is the state of one customer.
 type customer struct {
 	Plan
-	at       time.Duration // when what follows was true
-	left     float64       // of the store, as far as totals tell
-	own, all float64       // smoothed use, units a second
-	owed     float64       // told to the gate as added, and not to the counter
-	credit   float64       // told to the gate as used by others in a silence, and not confirmed since
+	updated           time.Duration // time to which the following fields apply
+	remaining         float64       // units in the bucket, according to the totals
+	ownRate, allRate  float64       // average use by this ingress and by all, in units per second
+	unposted          float64       // units reported to the gate as added, but not sent to the counter
+	assumedFromOthers float64       // units reported to the gate as used by others in an outage, unconfirmed
 
-	key    Key     // of the count at hand
-	mine   float64 // own units in it that the counter has confirmed
-	maybe  float64 // own units in it of lost calls
-	total  float64 // that the counter told last
-	told   float64 // that the gate was told last
-	silent bool    // its last call had no answer
-	tried  time.Duration
+	key           Key     // the current count
+	confirmed     float64 // own units in it that the counter has confirmed
+	unconfirmed   float64 // own units in it of unanswered calls
+	counterTotal  float64 // last total received from the counter
+	reportedTotal float64 // last total reported to the gate
+	outage        bool    // the last call had no answer
+	lastProbe     time.Duration
 }
 
 // New returns an empty ledger. The options must be valid.
-func New(o Options) *Ledger { return &Ledger{set: o, customers: map[uint64]*customer{}} }
+func New(o Options) *Ledger { return &Ledger{options: o, customers: map[uint64]*customer{}} }
 
-// Know tells whose counts are to come. What is known of a customer stays.
-func (l *Ledger) Know(now time.Duration, id uint64, p Plan) {
+// SetPlan adds a customer or updates the plan of a known one, whose other state does not change. Calls for
+// unknown customers are passed to the counter unchanged.
+func (l *Ledger) SetPlan(now time.Duration, id uint64, p Plan) {
 	if c := l.customers[id]; c != nil {
 		c.Plan = p
 		return
 	}
 	p.Spread = max(1, p.Spread)
-	l.customers[id] = &customer{Plan: p, at: now, left: p.Burst, tried: -1 << 62}
+	l.customers[id] = &customer{Plan: p, updated: now, remaining: p.Burst, lastProbe: -1 << 62}
 }
 
-// Forget drops customers that nothing was heard of since a moment and that owe nothing.
-func (l *Ledger) Forget(before time.Duration) {
+// DeleteIdle removes customers that were not updated since the given time and have no unposted units.
+func (l *Ledger) DeleteIdle(before time.Duration) {
 	for id, c := range l.customers {
-		if c.at < before && c.owed == 0 {
+		if c.updated < before && c.unposted == 0 {
 			delete(l.customers, id)
 		}
 	}
 }
 
-// Customers tells how many are known.
+// Customers returns the number of customers.
 func (l *Ledger) Customers() int { return len(l.customers) }
 
-// Owed tells what a customer was let use that the counter was not told of.
-func (l *Ledger) Owed(id uint64) float64 {
+// Unposted returns the units that a customer was allowed to use and that were not sent to the counter.
+func (l *Ledger) Unposted(id uint64) float64 {
 	if c := l.customers[id]; c != nil {
-		return c.owed
+		return c.unposted
 	}
 	return 0
 }
 
-// Step is what to do about a call of the gate.
+// Step is what the caller must do for a call of the gate.
 type Step struct {
-	Call  bool    // the counter is to be asked
-	Add   float64 // that it is to add
-	Tell  bool    // the gate is to be answered at once, and what the call brings is for the ledger alone
-	Total float64 // with this
+	Call      bool    // call the counter
+	Add       float64 // with Call: units to add to the count
+	AnswerNow bool    // answer the gate with Total; the answer to a call is then for the ledger only
+	Total     float64 // with AnswerNow
 }
 
-// Add takes a call of the gate.
+// Add handles a call of the gate that adds to a count.
 func (l *Ledger) Add(now time.Duration, k Key, amount float64) Step {
 	c := l.customers[k.Customer]
 	if c == nil {
 		return Step{Call: true, Add: amount}
 	}
-	c.turn(k)
-	if !c.silent && l.unheard < l.set.Lost {
-		return Step{Call: true, Add: amount + c.owed}
+	c.setCount(k)
+	if !c.outage && l.unanswered < l.options.LostAfter {
+		return Step{Call: true, Add: amount + c.unposted}
 	}
-	s := Step{Tell: true, Total: l.stand(now, c, amount)}
-	c.owed += amount
-	// Trials add nothing, so that a lost one changes nothing. While the counter is lost as a whole, one
-	// customer's trial does for all.
-	lost := l.unheard >= l.set.Lost
-	if now-c.tried >= l.set.Trial && (!lost || now-l.tried >= l.set.Trial) {
-		c.tried, l.tried = now, now
+	s := Step{AnswerNow: true, Total: l.estimateTotal(now, c, amount)}
+	c.unposted += amount
+	// Probes add nothing, so an unanswered probe has no effect on the count. While the counter is lost for all
+	// names, a probe for one customer is enough.
+	lost := l.unanswered >= l.options.LostAfter
+	if now-c.lastProbe >= l.options.ProbeInterval && (!lost || now-l.lastProbe >= l.options.ProbeInterval) {
+		c.lastProbe, l.lastProbe = now, now
 		s.Call = true
 	}
 	return s
 }
 
-// turn begins a new count if the window is another.
-func (c *customer) turn(k Key) {
+// setCount makes k the current count, which is empty if k differs from the previous one.
+func (c *customer) setCount(k Key) {
 	if c.key == k {
 		return
 	}
-	if k.Window > c.key.Window+1 { // a whole window has refilled the store
-		c.credit = 0
+	if k.Window > c.key.Window+1 { // the bucket was refilled during a complete window
+		c.assumedFromOthers = 0
 	}
-	c.key, c.mine, c.maybe, c.total, c.told = k, 0, 0, 0, 0
+	c.key, c.confirmed, c.unconfirmed, c.counterTotal, c.reportedTotal = k, 0, 0, 0, 0
 }
 
-// stand works out a total in the counter's place, in which the others have used all but this ingress's share
-// of what has come in since the last one, and of what was left at the beginning of the silence.
-func (l *Ledger) stand(now time.Duration, c *customer, amount float64) float64 {
-	dt := max(0, now-c.at).Seconds()
+// estimateTotal returns the total to report to the gate in place of the counter's. It assumes that the other
+// ingresses have used everything except this ingress's share of the refill since the last call and, at the
+// beginning of an outage, of the units in the bucket.
+func (l *Ledger) estimateTotal(now time.Duration, c *customer, amount float64) float64 {
+	dt := max(0, now-c.updated).Seconds()
 	share := l.share(now, c)
-	full := min(c.Burst, c.left+c.Rate*dt) // as the gate refills its store
-	others := (1 - share) * (full - c.left)
-	if !c.silent { // from here on it is; what was left is divided once
-		c.silent = true
-		others = (1 - share*(1-l.set.Kept)) * max(0, full)
+	refilled := min(c.Burst, c.remaining+c.Rate*dt) // as the gate refills its bucket
+	others := (1 - share) * (refilled - c.remaining)
+	if !c.outage { // an outage begins: divide the units in the bucket once
+		c.outage = true
+		others = (1 - share*(1-l.options.Reserve)) * max(0, refilled)
 	}
-	c.use(now, amount, c.all*dt, l.set.Smooth) // the use of all goes on as it was
-	c.left = full - others - amount
-	c.credit += others
-	c.told += others + amount
-	return c.told
+	c.updateRates(now, amount, c.allRate*dt, l.options.SmoothingTime) // assumes that the use by all is unchanged
+	c.remaining = refilled - others - amount
+	c.assumedFromOthers += others
+	c.reportedTotal += others + amount
+	return c.reportedTotal
 }
 
-// share is the part of a customer's use that is this ingress's own.
+// share returns this ingress's fraction of a customer's use.
 func (l *Ledger) share(now time.Duration, c *customer) float64 {
 	even := 1 / float64(c.Spread)
-	if c.all <= 1e-9 {
-		return even // unseen: all may be seeing it for the first time
+	if c.allRate <= 1e-9 {
+		return even // no use yet: all ingresses may be receiving the customer's first requests
 	}
-	return min(1, max(l.set.Floor*even, c.own/max(c.all, c.own)))
+	return min(1, max(l.options.MinShare*even, c.ownRate/max(c.allRate, c.ownRate)))
 }
 
-// use smooths what was used up to now, by this ingress and by all.
-func (c *customer) use(now time.Duration, own, all float64, smooth time.Duration) {
-	dt := max(0, now-c.at).Seconds()
-	c.at = now
-	keep := math.Exp(-dt / smooth.Seconds())
-	c.own = c.own*keep + own/smooth.Seconds() // also below 0: what a gate was not granted it gives back
-	c.all = c.all*keep + all/smooth.Seconds()
+// updateRates adds units used by this ingress and by all to the averages.
+func (c *customer) updateRates(now time.Duration, own, all float64, smoothing time.Duration) {
+	dt := max(0, now-c.updated).Seconds()
+	c.updated = now
+	decay := math.Exp(-dt / smoothing.Seconds())
+	// own is negative if the gate returns units that it did not grant.
+	c.ownRate = c.ownRate*decay + own/smoothing.Seconds()
+	c.allRate = c.allRate*decay + all/smoothing.Seconds()
 }
 
-// Total takes the counter's answer to a call that was to add so much. told is the total for the gate, whose
-// own amount was in the call; 0 of it after a trial, of which the gate hears nothing. repair is what is to be
-// added to the count again, since the counter has lost it; 0: nothing.
-func (l *Ledger) Total(now time.Duration, k Key, amount, add, total float64) (told, repair float64) {
-	l.unheard = 0
+// Answered handles the counter's answer to a call that added the units add, of which amount were the gate's;
+// after a probe both are 0. reported is the total for the gate, to be ignored after a probe. repair is the
+// number of units to add to the count again since the counter has lost them, or 0.
+func (l *Ledger) Answered(now time.Duration, k Key, amount, add, total float64) (reported, repair float64) {
+	l.unanswered = 0
 	c := l.customers[k.Customer]
 	if c == nil || c.key != k {
 		return total, 0
 	}
-	// What this ingress alone has had confirmed is there, unless the counter has lost it.
-	if total < c.mine+add-slack(c) {
-		repair = c.mine
+	// The total must include the confirmed units of this ingress, unless the counter has lost them.
+	if total < c.confirmed+add-tolerance(c) {
+		repair = c.confirmed
 		total += repair
-		c.total = c.mine
+		c.counterTotal = c.confirmed
 	}
-	others := max(0, total-c.total-add-c.maybe) // lost calls have most likely been added
-	dt := max(0, now-c.at).Seconds()
-	c.silent, c.maybe = false, 0
-	c.owed -= add - amount
-	c.use(now, amount, others+amount, l.set.Smooth)
-	c.mine += add
-	c.total = total
-	tell := max(others-c.credit, -l.set.Back)
-	c.credit -= others - tell
-	c.left = min(c.Burst, c.left+c.Rate*dt) - tell - amount
-	c.told += tell + amount
-	return c.told, repair
-}
-
-// slack is how far a total may be below what was confirmed for no worse reason than rounding: totals are
-// exact to seven digits.
-func slack(c *customer) float64 { return 1e-6 * (1 + c.mine) }
-
-// Lost takes the end of a call that had no answer: it may have been added. The gate is told a total that has
-// it, and is answered here from then on.
-func (l *Ledger) Lost(now time.Duration, k Key, amount, add float64) (tell float64) {
-	l.unheard++
+	others := max(0, total-c.counterTotal-add-c.unconfirmed) // unanswered calls were most likely added
+	dt := max(0, now-c.updated).Seconds()
+	c.outage, c.unconfirmed = false, 0
+	c.unposted -= add - amount
+	c.updateRates(now, amount, others+amount, l.options.SmoothingTime)
+	c.confirmed += add
+	c.counterTotal = total
+	reportedFromOthers := max(others-c.assumedFromOthers, -l.options.MaxDecrease)
+	c.assumedFromOthers -= others - reportedFromOthers
+	c.remaining = min(c.Burst, c.remaining+c.Rate*dt) - reportedFromOthers - amount
+	c.reportedTotal += reportedFromOthers + amount
+	return c.reportedTotal, repair
+}
+
+// tolerance is the amount by which a total may be below the confirmed units due to rounding: totals are exact
+// to seven digits.
+func tolerance(c *customer) float64 { return 1e-6 * (1 + c.confirmed) }
+
+// Unanswered handles a call without an answer, whose units may have been added. It returns the total for the
+// gate, which includes the gate's amount. Later calls of the gate for this customer are answered by Add until
+// the counter answers a probe.
+func (l *Ledger) Unanswered(now time.Duration, k Key, amount, add float64) (reported float64) {
+	l.unanswered++
 	c := l.customers[k.Customer]
 	if c == nil || c.key != k {
 		return amount
 	}
-	c.owed -= add - amount // as if added: not to be asked for twice
-	c.maybe += add
-	c.tried = now
-	return l.stand(now, c, amount)
+	c.unposted -= add - amount // regarded as added, so that it is not posted twice
+	c.unconfirmed += add
+	c.lastProbe = now
+	return l.estimateTotal(now, c, amount)
 }
 
-// Turned takes the end of a call that the counter turned away: it is there, and has added nothing. The gate
-// is to hear so, and makes fewer calls.
-func (l *Ledger) Turned() { l.unheard = 0 }
+// Rejected handles a call that the counter rejected: the counter is reachable and has added nothing. The
+// caller must report the rejection to the gate, which then makes fewer calls.
+func (l *Ledger) Rejected() { l.unanswered = 0 }
