--- a/choice/fairness.go
+++ b/choice/fairness.go
@@ -7,79 +7,83 @@
 )
 
 const (
-	// fairnessMemory is how long requests count in the shares of their flows: an overload of a few seconds goes
-	// by worth alone.
+	// fairnessMemory is the decay time of the request counts of flows. In an overload of a few seconds only the
+	// value of requests decides.
 	fairnessMemory = 30 * time.Second
-	// leastShare is the part of the share of all requests that are sent, to which each flow is entitled. It is
-	// above the quarter that a deployment is held to, since a part of what is sent isn't served.
-	leastShare = 0.33
-	// fewestRequests is the decayed count of requests under which a flow is forgotten.
-	fewestRequests = 0.01
+	// minShareRatio is the minimum share of a flow's requests that is sent, as a fraction of the share over all
+	// flows. It is above the quarter that deployments guarantee, since some of the requests sent aren't served.
+	minShareRatio = 0.33
+	// minFlowRequests is the decayed count of requests below which a flow is removed.
+	minFlowRequests = 0.01
 )
 
-// flow is the requests of one class and one plan: what is worth the same by the settings.
+// flow identifies the requests of one class and one plan, which have the same worth according to the
+// settings.
 type flow struct {
 	class *class
 	plan  *Plan
 }
 
-// admissions counts requests, each less as time goes by.
-type admissions struct {
-	asked, sent float64
+// requestCounts are exponentially decaying counts of requests.
+type requestCounts struct {
+	arrived, sent float64
 }
 
-// fairness keeps the flows that are worth least from being refused for good while servers are short.
+// fairness keeps the flows of the lowest value from starving while backend capacity is short.
 type fairness struct {
-	all   admissions
-	flows map[flow]*admissions
+	all   requestCounts
+	flows map[flow]*requestCounts
 }
 
-// noteAsked counts a request that may be sent, once.
-func (f *fairness) noteAsked(r *request) {
-	if r.flow != nil {
+// noteArrival counts a request when it is admitted for the first time; further calls have no effect.
+func (f *fairness) noteArrival(r *request) {
+	if r.flowCounts != nil {
 		return
 	}
 	key := flow{r.class, r.plan}
-	r.flow = f.flows[key]
-	if r.flow == nil {
-		r.flow = &admissions{}
-		f.flows[key] = r.flow
+	r.flowCounts = f.flows[key]
+	if r.flowCounts == nil {
+		r.flowCounts = &requestCounts{}
+		f.flows[key] = r.flowCounts
 	}
-	r.flow.asked++
-	f.all.asked++
+	r.flowCounts.arrived++
+	f.all.arrived++
 }
 
-// noteSent counts a request whose first attempt is sent.
+// noteSent counts a request. It must be called only for its first attempt.
 func (f *fairness) noteSent(r *request) {
-	r.flow.sent++
+	r.flowCounts.sent++
 	f.all.sent++
 }
 
-// starves says that fewer of the requests of its flow before this one were sent than it is entitled to. The
-// first one for long doesn't starve: behind many gateways most are.
+// starves reports whether fewer of the flow's earlier requests were sent than its minimum share. The first
+// request after a long time does not starve: behind many gateways most requests are the first.
 func (f *fairness) starves(r *request) bool {
-	return r.flow.sent < leastShare*f.all.share()*(r.flow.asked-1)
+	return r.flowCounts.sent < minShareRatio*f.all.share()*(r.flowCounts.arrived-1)
 }
 
-// fade lets dt seconds go by, and forgets flows that are not asked for any more.
-func (f *fairness) fade(dt float64) {
-	part := math.Exp(-dt / fairnessMemory.Seconds())
-	f.all.fade(part)
+// decay decays all counts by dt seconds, and removes flows without recent requests.
+func (f *fairness) decay(dt float64) {
+	factor := math.Exp(-dt / fairnessMemory.Seconds())
+	f.all.decay(factor)
 	for _, flow := range f.flows {
-		flow.fade(part)
+		flow.decay(factor)
 	}
-	maps.DeleteFunc(f.flows, func(_ flow, counts *admissions) bool { return counts.asked < fewestRequests })
+	maps.DeleteFunc(f.flows, func(_ flow, counts *requestCounts) bool {
+		return counts.arrived < minFlowRequests
+	})
 }
 
-// share is the part of the requests that were sent.
-func (a *admissions) share() float64 {
-	if a.asked == 0 {
+// share returns the fraction of the requests that were sent, or 1 if there were none.
+func (c *requestCounts) share() float64 {
+	if c.arrived == 0 {
 		return 1
 	}
-	return a.sent / a.asked
+	return c.sent / c.arrived
 }
 
-func (a *admissions) fade(part float64) {
-	a.asked *= part
-	a.sent *= part
+// decay multiplies the counts by a factor.
+func (c *requestCounts) decay(factor float64) {
+	c.arrived *= factor
+	c.sent *= factor
 }
--- a/choice/gate_test.go
+++ b/choice/gate_test.go
@@ -13,52 +13,54 @@
 
 const ms = time.Millisecond
 
-// embedder plays the world around one or more gates: it keeps what they ask for.
-type embedder struct {
+// recorder implements Actions and records the calls.
+type recorder struct {
 	lines   []string
-	sends   []sent
-	adds    []add
+	sends   []sendCall
+	adds    []addCall
 	refused map[uint64]time.Duration
 	failed  map[uint64]bool
 }
 
-type sent struct {
+// sendCall is a call of Actions.Send.
+type sendCall struct {
 	request, backend uint64
 	timeout          time.Duration
 }
 
-type add struct {
+// addCall is a call of Actions.Add.
+type addCall struct {
 	name   string
 	amount float64
 }
 
-func newEmbedder() *embedder {
-	return &embedder{refused: map[uint64]time.Duration{}, failed: map[uint64]bool{}}
+func newRecorder() *recorder {
+	return &recorder{refused: map[uint64]time.Duration{}, failed: map[uint64]bool{}}
 }
 
-func (e *embedder) note(format string, args ...any) {
+func (e *recorder) record(format string, args ...any) {
 	e.lines = append(e.lines, fmt.Sprintf(format, args...))
 }
 
-func (e *embedder) Send(r, b uint64, t time.Duration) {
-	e.sends = append(e.sends, sent{r, b, t})
-	e.note("send %d %d %v", r, b, t)
+func (e *recorder) Send(r, b uint64, t time.Duration) {
+	e.sends = append(e.sends, sendCall{r, b, t})
+	e.record("send %d %d %v", r, b, t)
 }
-func (e *embedder) Cancel(r uint64, n int) { e.note("cancel %d %d", r, n) }
-func (e *embedder) Refuse(r uint64, w time.Duration) {
+func (e *recorder) Cancel(r uint64, n int) { e.record("cancel %d %d", r, n) }
+func (e *recorder) Refuse(r uint64, w time.Duration) {
 	e.refused[r] = w
-	e.note("refuse %d %v", r, w)
+	e.record("refuse %d %v", r, w)
 }
-func (e *embedder) Fail(r uint64) {
+func (e *recorder) Fail(r uint64) {
 	e.failed[r] = true
-	e.note("fail %d", r)
+	e.record("fail %d", r)
 }
-func (e *embedder) Wake(d time.Duration) { e.note("wake %v", d) }
-func (e *embedder) Add(n string, x float64, k time.Duration) {
-	e.adds = append(e.adds, add{n, x})
-	e.note("add %s %v %v", n, x, k)
+func (e *recorder) Wake(d time.Duration) { e.record("wake %v", d) }
+func (e *recorder) Add(n string, x float64, k time.Duration) {
+	e.adds = append(e.adds, addCall{n, x})
+	e.record("add %s %v %v", n, x, k)
 }
-func (e *embedder) Log(l string) { e.note("log %s", l) }
+func (e *recorder) Log(l string) { e.record("log %s", l) }
 
 func settings() choice.Settings {
 	return choice.Settings{
@@ -79,7 +81,7 @@
 	}
 }
 
-func newGate(t testing.TB, e *embedder, backends ...choice.Backend) *choice.Gate {
+func newGate(t testing.TB, e *recorder, backends ...choice.Backend) *choice.Gate {
 	t.Helper()
 	g, err := choice.New(settings(), 7, e)
 	if err != nil {
@@ -97,27 +99,29 @@
 		Deadline: now + 2*time.Second}
 }
 
-func ok(g *choice.Gate, e *embedder, now time.Duration, i int) {
+// answerOK reports that the i-th send succeeded.
+func answerOK(g *choice.Gate, e *recorder, now time.Duration, i int) {
 	s := e.sends[i]
 	g.Outcome(now, choice.Outcome{Request: s.request, Backend: s.backend, Code: choice.OK, Ended: true})
 }
 
-func TestFirstLeaseIsSpentAtOnceAndPosted(t *testing.T) {
-	e := newEmbedder()
+func TestFirstRequestDoesNotWaitForTheCounter(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	g.Request(0, request(1, "read", "hard", 4, 0))
 	if len(e.sends) != 1 || len(e.adds) != 1 || e.adds[0].amount != 4 {
 		t.Fatalf("sends %v adds %v, want one of each, 4 units added", e.sends, e.adds)
 	}
-	g.Counted(2*ms, e.adds[0].name, choice.OK, 64) // the others took 60, the store's 30 and a window's refill
+	// The other gateways drew 60: the burst of 30 and the refill of a window.
+	g.Counted(2*ms, e.adds[0].name, choice.OK, 64)
 	g.Request(3*ms, request(2, "read", "hard", 4, 0))
 	if _, refused := e.refused[2]; !refused {
-		t.Fatal("let in 4 units from a store that holds none")
+		t.Fatal("admitted 4 units from an empty bucket")
 	}
 }
 
-func TestRenewalIsHeldForAndLeasesAhead(t *testing.T) {
-	e := newEmbedder()
+func TestRequestWaitsForRenewalThatLeasesAhead(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	g.Request(0, request(1, "read", "hard", 2, 0))
 	g.Counted(2*ms, e.adds[0].name, choice.OK, 2)
@@ -127,17 +131,18 @@
 	now := 1100 * ms
 	g.Request(now, request(2, "read", "hard", 2, now))
 	if len(e.sends) != 1 || len(e.adds) != 2 {
-		t.Fatalf("sends %d adds %d: want the second request held for the counter", len(e.sends), len(e.adds))
+		t.Fatalf("sends %d adds %d: want the second request to wait for the counter", len(e.sends), len(e.adds))
 	}
 	g.Counted(now+2*ms, e.adds[1].name, choice.OK, 2+e.adds[1].amount)
 	if len(e.sends) != 2 || e.adds[1].amount <= 2 {
-		t.Fatalf("sends %d, added %v: want it sent, and demand leased ahead", len(e.sends), e.adds[1].amount)
+		t.Fatalf("sends %d, added %v: want the request sent, and future demand leased", len(e.sends),
+			e.adds[1].amount)
 	}
 }
 
-// A request that came with next to no time left was once held for the counter and lost.
-func TestNoHoldingWithoutTimeLeft(t *testing.T) {
-	e := newEmbedder()
+// Guards against a request with almost no time left that waits for the counter and gets no answer.
+func TestNoWaitWithoutTimeLeft(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	r := request(1, "read", "open", 1, 0)
 	r.Deadline = 1 * ms
@@ -147,9 +152,9 @@
 	}
 }
 
-// An account that could not ask for a renewal while calls were held back was once refused.
-func TestCounterDownFallsBackOnAShare(t *testing.T) {
-	e := newEmbedder()
+// Guards against refusing an account because its lease can't be renewed while few calls are made.
+func TestCounterDownFallsBackToShare(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	for i := uint64(1); i <= 4; i++ { // other customers find the counter down
 		r := request(i, "read", "hard", 1, 0)
@@ -163,33 +168,33 @@
 		g.Counted(30*ms, a.name, choice.TimedOut, 0)
 	}
 	for i := range e.sends {
-		ok(g, e, 35*ms, i)
+		answerOK(g, e, 35*ms, i)
 	}
 	before := len(e.sends)
-	inside, now := 0, 40*ms
+	admitted, now := 0, 40*ms
 	for id := uint64(10); now < 20*time.Second; id++ {
 		g.Request(now, request(id, "read", "hard", 1, now))
 		if len(e.sends) > before {
-			inside += len(e.sends) - before
+			admitted += len(e.sends) - before
 			before = len(e.sends)
-			ok(g, e, now, before-1)
+			answerOK(g, e, now, before-1)
 		}
 		for _, a := range e.adds[5:] {
 			g.Counted(now, a.name, choice.Busy, 0)
 		}
 		now += 20 * ms
 	}
-	// A third of 10 units a second for 20 s, and what was known to be in the store of 30.
-	if inside < 60 || inside > 100 {
-		t.Fatalf("%d units let in while the counter was down, want about 30 and 67", inside)
+	// A third of 10 units per second for 20 s, and the units that were known to be in the bucket of 30.
+	if admitted < 60 || admitted > 100 {
+		t.Fatalf("%d units admitted while the counter was down, want about 30 and 67", admitted)
 	}
 }
 
-// Requests were once sent to dead backends again and again while the others were only full.
-func TestBusyFleetDoesNotWakeRestingBackends(t *testing.T) {
-	e := newEmbedder()
+// Guards against sending requests to backends in backoff when the others are only at their limits.
+func TestBusyBackendsDoNotEndBackoffOfOthers(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
-	to2 := 0
+	refusedAttempts := 0
 	for id := uint64(1); id <= 30; id++ {
 		r := request(id, "read", "hard", 0.5, 0)
 		r.Customer = id
@@ -198,26 +203,26 @@
 			s := e.sends[0]
 			e.sends = e.sends[1:]
 			if s.backend == 2 {
-				to2++
+				refusedAttempts++
 				g.Outcome(0, choice.Outcome{Request: s.request, Backend: 2, Code: choice.Refused})
 			}
 		}
 	}
-	if to2 > 2 {
-		t.Fatalf("%d attempts on a backend that refuses connections", to2)
+	if refusedAttempts > 2 {
+		t.Fatalf("%d attempts on a backend that refuses connections", refusedAttempts)
 	}
 }
 
 func TestUnsafeIsRepeatedOnlyIfItNeverRan(t *testing.T) {
 	for _, code := range []choice.Code{choice.Error, choice.Busy, choice.TimedOut, choice.Refused, choice.Reset,
 		choice.Cancelled} {
-		e := newEmbedder()
+		e := newRecorder()
 		g := newGate(t, e)
 		g.Request(0, request(1, "pay", "hard", 1, 0))
 		s := e.sends[0]
 		g.Outcome(5*ms, choice.Outcome{Request: 1, Backend: s.backend, Code: code})
 		if again := len(e.sends) == 2; again != code.NeverRan() {
-			t.Errorf("code %d: sent again %v", code, again)
+			t.Errorf("code %d: retried: %v", code, again)
 		}
 		if _, refused := e.refused[1]; refused || e.failed[1] == code.NeverRan() {
 			t.Errorf("code %d: refused %v failed %v", code, refused, e.failed[1])
@@ -225,22 +230,22 @@
 	}
 }
 
-func TestDrainingAndGoneBackendsGetNothing(t *testing.T) {
+func TestDrainingAndGoneBackendsGetNoAttempts(t *testing.T) {
 	for _, state := range []choice.State{choice.Draining, choice.Gone} {
-		e := newEmbedder()
+		e := newRecorder()
 		g := newGate(t, e)
 		g.Backends(0, false, []choice.Backend{{ID: 1, Zone: "a", State: state}})
 		for id := uint64(1); id <= 6; id++ {
 			g.Request(0, request(id, "read", "soft", 0.5, 0))
 		}
-		if slices.ContainsFunc(e.sends, func(s sent) bool { return s.backend == 1 }) || len(e.sends) == 0 {
+		if slices.ContainsFunc(e.sends, func(s sendCall) bool { return s.backend == 1 }) || len(e.sends) == 0 {
 			t.Errorf("state %d: sends %v", state, e.sends)
 		}
 	}
 }
 
-func TestColdBackendIsHeldToItsBudget(t *testing.T) {
-	e := newEmbedder()
+func TestColdBackendIsLimitedToItsBudget(t *testing.T) {
+	e := newRecorder()
 	warm := []choice.Backend{{ID: 1, Zone: "a"}, {ID: 2, Zone: "a"}}
 	g := newGate(t, e, warm...)
 	g.Backends(0, false, []choice.Backend{{ID: 3, Zone: "a", Started: 1}})
@@ -253,8 +258,8 @@
 		r := request(id, "read", "hard", 1, now)
 		r.Customer = id
 		g.Request(now, r)
-		if len(e.sends) > 1 { // each is answered after 20 ms
-			ok(g, e, now, 0)
+		if len(e.sends) > 1 { // each attempt is answered after 20 ms
+			answerOK(g, e, now, 0)
 			all++
 			if e.sends[0].backend == 3 {
 				cold++
@@ -262,16 +267,16 @@
 			e.sends = e.sends[1:]
 		}
 	}
-	// At 0.2 to 0.36 of a warm backend's 80 or so a second it may get some 25 a second at the most.
+	// At 0.2 to 0.36 of a warm backend's rate of about 80 per second it may get at most about 25 per second.
 	if cold == 0 || cold > 60 || all < 150 {
-		t.Fatalf("%d of %d attempts to a backend just started", cold, all)
+		t.Fatalf("%d of %d attempts to a cold backend", cold, all)
 	}
 }
 
-func TestOpenCapCountsAttemptsOutAndReturnsThem(t *testing.T) {
-	e := newEmbedder()
+func TestOpenLimitCountsAttemptsInFlight(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
-	total := 2.0 // other gateways have two of three out
+	total := 2.0 // other gateways use two of three slots
 	answer := func(now time.Duration) {
 		for len(e.adds) > 0 {
 			a := e.adds[0]
@@ -286,22 +291,22 @@
 	if _, refused := e.refused[2]; len(e.sends) != 1 || !refused {
 		t.Fatalf("sends %v refused %v, want one slot granted", e.sends, e.refused)
 	}
-	ok(g, e, 50*ms, 0)
+	answerOK(g, e, 50*ms, 0)
 	answer(52 * ms)
 	if total != 2 {
-		t.Fatalf("count stands at %v after the end, want the 2 of the others", total)
+		t.Fatalf("count is %v after the end, want the 2 of the other gateways", total)
 	}
 }
 
-// A call that broke off has most likely been added: its slot was once never given back, and kept others out
-// until the count's life was over.
-func TestASlotOfALostCallIsGivenBack(t *testing.T) {
+// A call whose connection broke was most likely counted. Guards against never returning its slot, which would
+// then be missing until the count expires.
+func TestSlotOfALostCallIsReturned(t *testing.T) {
 	for code, total := range map[choice.Code]float64{choice.Reset: 1, choice.TimedOut: 1, choice.Busy: 0} {
-		e := newEmbedder()
+		e := newRecorder()
 		g := newGate(t, e)
 		g.Request(0, request(1, "read", "open", 1, 0))
 		g.Counted(2*ms, e.adds[0].name, code, 0)
-		ok(g, e, 50*ms, 0) // let in by an even share
+		answerOK(g, e, 50*ms, 0) // admitted by the even share
 		for now, done := 100*ms, 1; now < 4*time.Second; now += 100 * ms {
 			for g.Wake(now); done < len(e.adds); done++ {
 				total += e.adds[done].amount
@@ -309,29 +314,29 @@
 			}
 		}
 		if total != 0 {
-			t.Errorf("after code %d the count stands at %v, with nothing out", code, total)
+			t.Errorf("after code %d the count is %v, with nothing in flight", code, total)
 		}
 	}
 }
 
-// The ceiling's store is played against gates whose counter always answers that
-// nobody else took anything, and which are restarted now and then.
-func TestCeilingHoldsThroughLiesAndRestarts(t *testing.T) {
+// The ceiling is not exceeded by gates whose counter always answers that no other gateway has drawn units,
+// and which restart from time to time.
+func TestCeilingWithWrongTotalsAndRestarts(t *testing.T) {
 	p := settings().Plans[3]
 	type gateway struct {
 		g *choice.Gate
-		e *embedder
+		e *recorder
 	}
 	start := func(now time.Duration) gateway {
-		e := newEmbedder()
+		e := newRecorder()
 		g := newGate(t, e)
 		g.Backends(now, true, []choice.Backend{{ID: 1, Zone: "a"}, {ID: 2, Zone: "a"}})
 		return gateway{g, e}
 	}
 	gates := []gateway{start(0), start(0), start(0)}
-	store, lowest, sent := p.CeilingBurst, math.Inf(1), 0.0
+	bucket, lowest, sent := p.CeilingBurst, math.Inf(1), 0.0
 	for now := time.Duration(0); now < 30*time.Second; now += 10 * ms {
-		store = min(p.CeilingBurst, store+p.CeilingRate*0.01)
+		bucket = min(p.CeilingBurst, bucket+p.CeilingRate*0.01)
 		for i := range gates {
 			if now%(4*time.Second) == time.Duration(i)*500*ms {
 				gates[i] = start(now)
@@ -341,7 +346,7 @@
 				v.g.Wake(now)
 			}
 			if now > 10*time.Second && now < 14*time.Second {
-				continue // a lull that fills every store
+				continue // a pause that fills every bucket
 			}
 			r := request(uint64(now/ms)*4+uint64(i)+1, "read", "roof", 4, now)
 			v.g.Request(now, r)
@@ -351,21 +356,21 @@
 				v.g.Counted(now, a.name, choice.OK, max(a.amount, 0))
 			}
 			for j := range v.e.sends {
-				store -= 4
+				bucket -= 4
 				sent += 4
-				ok(v.g, v.e, now, j)
+				answerOK(v.g, v.e, now, j)
 			}
 			v.e.sends = nil
-			lowest = min(lowest, store)
+			lowest = min(lowest, bucket)
 		}
 	}
 	if lowest < -p.CeilingSlack || sent < 400 {
-		t.Fatalf("store fell to %.1f (slack %v) with %.0f units sent", lowest, p.CeilingSlack, sent)
+		t.Fatalf("bucket fell to %.1f (slack %v) with %.0f units sent", lowest, p.CeilingSlack, sent)
 	}
 }
 
 func TestUnknownNamesAndEventsAreSafe(t *testing.T) {
-	e := newEmbedder()
+	e := newRecorder()
 	g := newGate(t, e)
 	g.Request(0, request(1, "nosuch", "hard", 1, 0))
 	g.Request(0, request(2, "read", "nosuch", 1, 0))
@@ -389,19 +394,19 @@
 	} {
 		s := settings()
 		change(&s)
-		if _, err := choice.New(s, 1, newEmbedder()); err == nil {
+		if _, err := choice.New(s, 1, newRecorder()); err == nil {
 			t.Errorf("accepted %+v", s)
 		}
 	}
 	s := settings()
 	s.Plans, s.Gateways = nil, 1
-	if _, err := choice.New(s, 1, newEmbedder()); err != nil {
+	if _, err := choice.New(s, 1, newRecorder()); err != nil {
 		t.Errorf("no plans, one gateway: %v", err)
 	}
 }
 
 func TestLogLineIsRateLimited(t *testing.T) {
-	e := newEmbedder()
+	e := newRecorder()
 	g := newGate(t, e)
 	for i := range uint64(40) {
 		now := time.Duration(i) * 300 * ms
@@ -424,17 +429,18 @@
 		}
 	}
 	if logs < 1 || logs > 2 {
-		t.Fatalf("%d lines in 12 s of a failing counter, want one in 10 s", logs)
+		t.Fatalf("%d lines in 12 s of a failing counter, want one per 10 s", logs)
 	}
 }
 
-// play feeds a gate events made from bytes, in any order, and checks what must always hold.
-func play(t *testing.T, data []byte) []string {
-	e := newEmbedder()
+// replayEvents sends a gate events made from bytes, in any order, and checks the invariants of final answers.
+// It returns the recorded actions.
+func replayEvents(t *testing.T, data []byte) []string {
+	e := newRecorder()
 	g := newGate(t, e)
 	now := time.Duration(0)
 	s := settings()
-	taken := map[uint64]bool{}
+	requested := map[uint64]bool{}
 	for i, b := range data {
 		k := int(b)
 		switch k % 8 {
@@ -442,7 +448,7 @@
 			id := uint64(i + 1)
 			r := request(id, s.Classes[k/8%2].Name, s.Plans[k/16%4].Name, float64(k%5), now)
 			r.Customer = uint64(k / 64)
-			taken[id] = true
+			requested[id] = true
 			g.Request(now, r)
 		case 2, 3:
 			if len(e.sends) > 0 {
@@ -464,13 +470,13 @@
 		case 7:
 			now += time.Duration(k) * ms
 		}
-		if len(e.refused)+len(e.failed) > len(taken) {
+		if len(e.refused)+len(e.failed) > len(requested) {
 			t.Fatal("more final answers than requests")
 		}
 	}
 	for id := range e.refused {
-		if e.failed[id] || !taken[id] {
-			t.Fatalf("request %d: two final answers, or one too many", id)
+		if e.failed[id] || !requested[id] {
+			t.Fatalf("request %d: two final answers, or one for an unknown request", id)
 		}
 	}
 	return e.lines
@@ -480,15 +486,15 @@
 	f.Add([]byte("\x00\x10\x04\x02\x05\x0f\x12\x07\x05\x06\x20\x30"))
 	f.Add([]byte("qrstuvwxyz0123456789abcdefghijklmnop"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if a, b := play(t, data), play(t, data); !slices.Equal(a, b) {
-			t.Fatal("the same events gave other actions")
+		if a, b := replayEvents(t, data), replayEvents(t, data); !slices.Equal(a, b) {
+			t.Fatal("the same events gave different actions")
 		}
 	})
 }
 
-// Example drives a gate by hand: one request, let in at once and served.
+// Example sends a gate the events of one request, which is admitted immediately and served.
 func Example() {
-	e := newEmbedder()
+	e := newRecorder()
 	g, err := choice.New(settings(), 1, e)
 	if err != nil {
 		fmt.Println(err)
@@ -502,29 +508,30 @@
 	// Output: [add u5.0 2 7s send 1 1 2.99s]
 }
 
-// What peers give back of what they were not granted was once taken for lost counts.
-func TestPeersGivingBackRefillsTheStore(t *testing.T) {
-	e := newEmbedder()
+// Guards against taking units that peers return, because they were not granted, for counts that the counter
+// lost.
+func TestUnitsReturnedByPeersRefillTheBucket(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	g.Request(0, request(1, "read", "hard", 4, 0))
 	g.Counted(2*ms, e.adds[0].name, choice.OK, 4)
 	g.Request(4*ms, request(2, "read", "hard", 4, 0))
-	g.Counted(6*ms, e.adds[1].name, choice.OK, 8+26) // peers took all that was left
+	g.Counted(6*ms, e.adds[1].name, choice.OK, 8+26) // peers drew all that was left
 	if _, refused := e.refused[2]; !refused || e.adds[2].amount != -4 {
-		t.Fatalf("refused %v, adds %v: want it refused and its units given back", e.refused, e.adds)
+		t.Fatalf("refused %v, adds %v: want it refused and its units returned", e.refused, e.adds)
 	}
-	g.Counted(8*ms, e.adds[2].name, choice.OK, 30-8) // a peer gives back 8
+	g.Counted(8*ms, e.adds[2].name, choice.OK, 30-8) // a peer returns 8
 	g.Request(10*ms, request(3, "read", "hard", 4, 0))
 	g.Counted(12*ms, e.adds[3].name, choice.OK, 22+e.adds[3].amount)
 	if len(e.sends) != 2 {
-		t.Fatalf("sends %v, want the third request let in", e.sends)
+		t.Fatalf("sends %v, want the third request admitted", e.sends)
 	}
 }
 
-// All that was spent in an outage was once posted at its end, and emptied the
-// store in the eyes of peers although it had been refilled long since.
-func TestOldBlindSpendingIsNotPosted(t *testing.T) {
-	e := newEmbedder()
+// Guards against posting all units spent during an outage of the counter when it ends: for the peers that
+// would empty the bucket, although it was refilled meanwhile.
+func TestOldSpendingDuringAnOutageIsNotPosted(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	for i := range uint64(200) {
 		now := time.Duration(i) * 100 * ms
@@ -534,7 +541,7 @@
 			e.adds = e.adds[1:]
 		}
 		for j := range e.sends {
-			ok(g, e, now, j)
+			answerOK(g, e, now, j)
 		}
 		e.sends = nil
 	}
@@ -548,9 +555,9 @@
 	}
 }
 
-// A fleet that was cold all at once once got nothing, by gateways that forgot what a warm backend bears.
-func TestAllColdFleetIsStillUsed(t *testing.T) {
-	e := newEmbedder()
+// Guards against sending nothing when all backends are cold, because no rate of warm backends is known.
+func TestColdBackendsAreUsedWithoutWarmOnes(t *testing.T) {
+	e := newRecorder()
 	cold := choice.Backend{ID: 1, Zone: "a", Started: 1}
 	g := newGate(t, e, cold)
 	for now := time.Duration(0); now < 4*time.Second; now += 100 * ms {
@@ -567,9 +574,9 @@
 	t.Fatal("nothing was sent in four seconds")
 }
 
-// A backend that failed one class and served another was once used for both, or for neither.
-func TestErrorsAreKeptByClass(t *testing.T) {
-	e := newEmbedder()
+// Guards against using a backend that fails one class and serves another for both classes, or for neither.
+func TestErrorsAreCountedByClass(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	last := map[string]int{}
 	for id := uint64(1); id <= 200; id++ {
@@ -595,10 +602,11 @@
 	}
 }
 
-// Units of a call that broke off after it was written were once posted again, and counted twice.
+// Guards against counting units twice by posting them again after the connection of a call broke, which may
+// have been counted.
 func TestOnlyCallsThatNeverRanArePostedAgain(t *testing.T) {
 	posted := func(code choice.Code) (units float64) {
-		e := newEmbedder()
+		e := newRecorder()
 		g := newGate(t, e)
 		for i := range uint64(30) {
 			now := time.Duration(i) * 10 * ms
@@ -624,10 +632,11 @@
 	}
 }
 
-// What a lost call asked for ahead stayed in the count though nobody had leased it, and its gateway then took
-// its own units for others'. A slow counter so emptied the stores of customers who used next to nothing.
-func TestALostCallIsOwnAndItsLeaseGivenBack(t *testing.T) {
-	e := newEmbedder()
+// Guards against units of a lost call that stay counted although nobody leased them, and that the gateway
+// then takes for units of other gateways: a slow counter would empty the buckets of customers with little
+// use.
+func TestLostCallIsOwnAndItsLeaseIsReturned(t *testing.T) {
+	e := newRecorder()
 	g := newGate(t, e)
 	counted, lost, sent := 0.0, 0.0, 0
 	for i := range uint64(20) {
@@ -640,17 +649,17 @@
 			if i > 2 && lost == 0 && a.amount > 1 {
 				lost, code = a.amount, choice.TimedOut
 			}
-			counted += a.amount // every call reaches the counter, however late
+			counted += a.amount // the counter counts every call, even a late one
 			g.Counted(now+2*ms, a.name, code, counted)
 		}
 		for j := range e.sends {
-			ok(g, e, now+2*ms, j)
+			answerOK(g, e, now+2*ms, j)
 		}
 		sent += len(e.sends)
 		e.sends = nil
 	}
-	ahead := counted - float64(sent) // what is leased and not spent
-	if sent != 20 || lost == 0 || ahead > 4 {
-		t.Fatalf("%d requests let in, a call of %v units lost; %v units counted", sent, lost, counted)
+	unspent := counted - float64(sent) // units leased and not spent
+	if sent != 20 || lost == 0 || unspent > 4 {
+		t.Fatalf("%d requests admitted, a call of %v units lost; %v units counted", sent, lost, counted)
 	}
 }
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -9,71 +9,77 @@
 	"dunespoke/internal/subset"
 )
 
-// Backends takes news from the server list: all of it, or the entries that changed.
+// Backends applies an update of the server list: the complete list if full is set, else the changed entries.
 func (g *Gate) Backends(now time.Duration, full bool, list []Backend) {
-	g.tick(now)
-	named := map[uint64]bool{}
-	for _, in := range list {
-		named[in.ID] = true
-		b := g.backends[in.ID]
+	g.advanceClock(now)
+	listed := map[uint64]bool{}
+	for _, entry := range list {
+		listed[entry.ID] = true
+		b := g.backends[entry.ID]
 		if b == nil {
-			if in.State != Live {
+			if entry.State != Live {
 				continue
 			}
-			b = &backend{slow: 1, bad: make([]float64, len(g.order)), seen: make([]float64, len(g.order)),
-				limit: max(2, g.set.InitialConcurrency/float64(g.set.Gateways))}
-			g.backends[in.ID] = b
-			g.fleet = append(g.fleet, b)
+			b = &backend{latencyRatio: 1,
+				errors: make([]float64, len(g.classOrder)), attempts: make([]float64, len(g.classOrder)),
+				inFlightLimit: max(2, g.settings.InitialConcurrency/float64(g.settings.Gateways))}
+			g.backends[entry.ID] = b
+			g.backendList = append(g.backendList, b)
 		}
-		if in.Started != b.Started {
-			b.slow, b.rest, b.restTo, b.queue, b.budget = 1, 0, 0, 0, 0
-			clear(b.bad)
-			clear(b.seen)
+		if entry.Started != b.Started {
+			b.latencyRatio, b.backoff, b.backoffUntil, b.queueLength, b.coldBudget = 1, 0, 0, 0, 0
+			clear(b.errors)
+			clear(b.attempts)
 		}
-		b.Backend = in
+		b.Backend = entry
 		b.Weight = cmp.Or(max(0, b.Weight), 1)
 	}
-	g.fleet = slices.DeleteFunc(g.fleet, func(b *backend) bool {
-		if b.State == Live && (!full || named[b.ID]) {
+	g.backendList = slices.DeleteFunc(g.backendList, func(b *backend) bool {
+		if b.State == Live && (!full || listed[b.ID]) {
 			return false
 		}
 		delete(g.backends, b.ID)
 		return true
 	})
-	slices.SortFunc(g.fleet, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
-	g.warm = float64(len(g.fleet)) // until the next period looks
-	g.holders = subset.Holders(g.set.Gateways, len(g.fleet), g.set.Number > 0)
-	for _, b := range g.fleet {
-		b.mine = !b.Far && subset.Holds(b.Key, g.set.Number-1, g.set.Gateways, g.holders)
+	slices.SortFunc(g.backendList, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
+	g.warmBackends = float64(len(g.backendList)) // until the next call of updateRates
+	g.gatewaysPerBackend = subset.Holders(g.settings.Gateways, len(g.backendList), g.settings.Number > 0)
+	for _, b := range g.backendList {
+		b.inSubset = !b.Far && subset.Holds(b.Key, g.settings.Number-1, g.settings.Gateways, g.gatewaysPerBackend)
 	}
 }
 
-// coldness is the part of its capacity that a backend surely has: 1 when warm.
-func (g *Gate) coldness(b *backend) float64 {
-	if b.Started <= 0 || g.set.ColdTime <= 0 || g.now >= b.Started+g.set.ColdTime {
+// capacityRatio returns the fraction of its capacity that a backend has at least: 1 when it is warm.
+func (g *Gate) capacityRatio(b *backend) float64 {
+	if b.Started <= 0 || g.settings.ColdTime <= 0 || g.now >= b.Started+g.settings.ColdTime {
 		return 1
 	}
-	age := max(0, g.now-b.Started).Seconds() / g.set.ColdTime.Seconds()
-	return g.set.ColdCapacity + (1-g.set.ColdCapacity)*age
+	age := max(0, g.now-b.Started).Seconds() / g.settings.ColdTime.Seconds()
+	return g.settings.ColdCapacity + (1-g.settings.ColdCapacity)*age
 }
 
-// pick chooses the allowed backend that is least loaded for its speed. Cold ones are held to their budget,
-// and resting ones passed over unless all rest: a busy fleet is no reason to try dead backends.
-func (g *Gate) pick(c *class, coldOnly bool, allowed func(*backend) bool) *backend {
+// pickBackend returns the allowed backend of the lowest cost, or nil if none has capacity. With coldOnly set
+// it returns only cold backends. Cold backends are limited to their budgets. Backends in backoff are skipped
+// unless all are in backoff: that the others are at their limits is no reason to try backends that don't
+// answer.
+func (g *Gate) pickBackend(c *class, coldOnly bool, allowed func(*backend) bool) *backend {
 	var best *backend
 	bestCost := math.Inf(1)
-	all := !slices.ContainsFunc(g.fleet, func(b *backend) bool { return allowed(b) && b.restTo <= g.now })
-	for _, b := range g.fleet {
-		cold := g.coldness(b)
-		full := float64(len(b.out)) >= b.limit || cold < 1 && (!b.mine || b.budget < 1) || cold == 1 && coldOnly
-		if full || !allowed(b) || b.restTo > g.now && !all {
+	allBackingOff := !slices.ContainsFunc(g.backendList, func(b *backend) bool {
+		return allowed(b) && b.backoffUntil <= g.now
+	})
+	for _, b := range g.backendList {
+		capacity := g.capacityRatio(b)
+		full := float64(len(b.inFlight)) >= b.inFlightLimit ||
+			capacity < 1 && (!b.inSubset || b.coldBudget < 1) || capacity == 1 && coldOnly
+		if full || !allowed(b) || b.backoffUntil > g.now && !allBackingOff {
 			continue
 		}
-		cost := g.cost(b, c) * (1 + 0.01*g.rng.Float64())
-		if cold < 1 { // its budget is its share: among many idle warm ones it would never be spent
-			cost *= coldFirst
-		} else if !b.mine { // kept connections, and answers to tell slow ones by, are few
-			cost *= g.set.OutsideSubsetCost
+		cost := g.backendCost(b, c) * (1 + 0.01*g.rng.Float64())
+		if capacity < 1 { // its budget limits it: at full cost, many idle warm backends would leave that unspent
+			cost *= coldCostFactor
+		} else if !b.inSubset { // it has few open connections, and few answers that would show it is slow
+			cost *= g.settings.OutsideSubsetCost
 		}
 		if cost < bestCost {
 			best, bestCost = b, cost
@@ -82,95 +88,104 @@
 	return best
 }
 
-// cost weighs a backend by what is out to it, its latency against the fleet's (of answers, and of attempts
-// still out) and its errors. A fast failer gains nothing from being fast: only answers count as latency.
-// Errors are kept by class, for a backend may fail one class and serve the others.
-func (g *Gate) cost(b *backend, c *class) float64 {
-	slow := b.slow
-	if len(b.out) > 0 {
-		slow = max(slow, (g.now-b.out[0].sent).Seconds()/b.out[0].request.class.typical()/oldFactor)
+// backendCost returns the cost of sending a request of a class to a backend. It grows with the attempts in
+// flight to the backend, its reported queue, its latency relative to that of all backends (of answers and of
+// the oldest attempt in flight) and its errors. It is higher in another zone. Failing fast does not lower the
+// cost, because the latency of errors is not counted. Errors are counted by class, because a backend may fail
+// one class and serve the others.
+func (g *Gate) backendCost(b *backend, c *class) float64 {
+	latencyRatio := b.latencyRatio
+	if len(b.inFlight) > 0 {
+		latencyRatio = max(latencyRatio, (g.now-b.inFlight[0].sentAt).Seconds()/
+			b.inFlight[0].request.class.typicalLatency()/slowAttemptFactor)
 	}
-	load := 1 + float64(len(b.out)) + b.queue/float64(g.set.Gateways) +
-		when(b.Zone != g.set.Zone, remote*g.set.CrossZoneCost)
-	ok := max(okLeast, 1-(b.bad[c.index]+c.failing)/(b.seen[c.index]+1))
-	return load * slow / math.Pow(ok, errorPower) / b.Weight
+	load := 1 + float64(len(b.inFlight)) + b.queueLength/float64(g.settings.Gateways) +
+		valueIf(b.Zone != g.settings.Zone, crossZoneAttempts*g.settings.CrossZoneCost)
+	successRatio := max(minSuccessRatio, 1-(b.errors[c.index]+c.errorRatio)/(b.attempts[c.index]+1))
+	return load * latencyRatio / math.Pow(successRatio, errorExponent) / b.Weight
 }
 
-// observe learns from the end of an attempt.
-func (g *Gate) observe(at *attempt, o Outcome) {
+// observeOutcome updates the latencies, limits, errors and backoff of the attempt's backend, its class and
+// the gate from the result of an attempt.
+func (g *Gate) observeOutcome(at *attempt, o Outcome) {
 	b, c := at.backend, at.request.class
-	b.out = slices.DeleteFunc(b.out, func(x *attempt) bool { return x == at })
-	g.settle(at)
-	if q := g.set.QueueField; q >= 0 && q < len(o.Load) {
-		b.queue = max(0, o.Load[q])
+	b.inFlight = slices.DeleteFunc(b.inFlight, func(x *attempt) bool { return x == at })
+	g.stopCounting(at)
+	if q := g.settings.QueueField; q >= 0 && q < len(o.Load) {
+		b.queueLength = max(0, o.Load[q])
 	}
-	took := (g.now - at.sent).Seconds()
-	late := o.Code == TimedOut
-	if late && took < lateFactor*c.usual || g.now == g.stalled { // the client was impatient, or we were late
+	seconds := (g.now - at.sentAt).Seconds()
+	timedOut := o.Code == TimedOut
+	// Nothing is learned if the client's deadline was short or this gateway was stalled.
+	if timedOut && seconds < timeoutBlameFactor*c.latencySeconds || g.now == g.resumedAt {
 		return
 	}
-	if o.Code == OK || late {
-		c.usual = cmp.Or(c.usual, took)
-		b.slow += sampleW * (took/max(c.usual, 1e-6) - b.slow)
-		c.usual += slowW * (took - c.usual)
-		part := took / c.Aim.Seconds()
-		if !late {
-			g.part += g.set.LatencyWeight * (part - g.part)
-			w := 1 / (1 + g.room())
+	if o.Code == OK || timedOut {
+		c.latencySeconds = cmp.Or(c.latencySeconds, seconds)
+		b.latencyRatio += sampleWeight * (seconds/max(c.latencySeconds, 1e-6) - b.latencyRatio)
+		c.latencySeconds += longTermWeight * (seconds - c.latencySeconds)
+		ratio := seconds / c.Aim.Seconds()
+		if !timedOut {
+			g.latencyRatio += g.settings.LatencyWeight * (ratio - g.latencyRatio)
+			weight := 1 / (1 + g.inFlightLimit())
 			switch {
-			case part > g.set.SlowAnswerRatio:
-				g.level = max(g.set.MinConcurrency, g.level*(1-w*(1-cutback)))
-			case part < g.set.FastAnswerRatio && float64(g.outs+1) > g.room()/2:
-				g.level += w / g.level
+			case ratio > g.settings.SlowAnswerRatio:
+				g.limitPerBackend = max(g.settings.MinConcurrency, g.limitPerBackend*(1-weight*(1-limitDecrease)))
+			case ratio < g.settings.FastAnswerRatio && float64(g.inFlight+1) > g.inFlightLimit()/2:
+				g.limitPerBackend += weight / g.limitPerBackend
 			}
 		}
 		switch {
-		case part > g.set.SlowAnswerRatio:
-			b.limit = max(1, b.limit*cutback)
-		case part < g.set.FastAnswerRatio && float64(len(b.out)+1) > b.limit/2:
-			b.limit += 1 / b.limit
+		case ratio > g.settings.SlowAnswerRatio:
+			b.inFlightLimit = max(1, b.inFlightLimit*limitDecrease)
+		case ratio < g.settings.FastAnswerRatio && float64(len(b.inFlight)+1) > b.inFlightLimit/2:
+			b.inFlightLimit += 1 / b.inFlightLimit
 		}
 	}
 	switch o.Code {
 	case OK:
-		b.mark(c, 0)
-		b.rest = 0
-		if g.coldness(b) == 1 {
-			g.warmOK++
+		b.recordResult(c, 0)
+		b.backoff = 0
+		if g.capacityRatio(b) == 1 {
+			g.warmAnswers++
 		}
 	case Error, Reset, TimedOut:
-		b.mark(c, 1)
+		b.recordResult(c, 1)
 	case Busy, Refused:
-		b.rest = min(max(2*b.rest, backoffMin), backoffMax)
-		b.restTo = g.now + b.rest
+		b.backoff = min(max(2*b.backoff, backoffMin), backoffMax)
+		b.backoffUntil = g.now + b.backoff
 	}
 }
 
-// room is how many attempts this gateway may have out: its even part of the level, which every answer moves.
-// Guards a fleet against being driven over what it can hold, and staying slow, by gateways with next to
-// nothing out each, whatever took its capacity or brought the load. It may hurt where idle backends take over
-// a quarter of the aim and have many cores: the level stays at its least.
-func (g *Gate) room() float64 {
-	return max(1, g.level*g.warm/float64(g.set.Gateways))
+// inFlightLimit returns the maximum number of attempts in flight of this gateway: its even share of the limit
+// that every answer raises or lowers. It protects the backends from being overloaded, and staying slow, by
+// many gateways with few attempts in flight each, whatever reduced the capacity or raised the load. It is too
+// low where idle backends take longer than SlowAnswerRatio (by default a quarter) of the latency target and
+// have many cores: the limit then stays at its minimum.
+func (g *Gate) inFlightLimit() float64 {
+	return max(1, g.limitPerBackend*g.warmBackends/float64(g.settings.Gateways))
 }
 
-// mark notes how an attempt ended, at the backend and in the class's share over the fleet, which stands for
-// what is not known of a backend. Guards against failing fast that draws work: one error tells much where
-// many fail. It may shun a good backend that failed once meanwhile.
-func (b *backend) mark(c *class, failed float64) {
-	b.bad[c.index] += failed - sampleW*b.bad[c.index]
-	b.seen[c.index] += 1 - sampleW*b.seen[c.index]
-	c.failing += slowW * (failed - c.failing)
+// recordResult records whether an attempt failed (1) or succeeded (0), for the backend and in the class's
+// error ratio over all backends, which is the prior for backends with few attempts. The prior keeps backends
+// that fail fast from attracting requests: where many fail, a single error weighs more. A good backend that
+// failed once at such a time may be avoided.
+func (b *backend) recordResult(c *class, failed float64) {
+	b.errors[c.index] += failed - sampleWeight*b.errors[c.index]
+	b.attempts[c.index] += 1 - sampleWeight*b.attempts[c.index]
+	c.errorRatio += longTermWeight * (failed - c.errorRatio)
 }
 
-// settle takes an attempt off the count of what is out. Guards the room against attempts that hang.
-func (g *Gate) settle(at *attempt) {
-	if !at.settled {
-		at.settled = true
-		g.outs--
+// stopCounting removes an attempt from the number in flight, if it is still counted. updateRates calls it for
+// attempts that hang, which would otherwise use up the limit.
+func (g *Gate) stopCounting(at *attempt) {
+	if !at.uncounted {
+		at.uncounted = true
+		g.inFlight--
 	}
 }
 
-// idle is the part of the room that is not needed: all up to half. So much of the surplus is lent. Guards an
-// idle fleet against refusals by chance where letting in earns on average.
-func (g *Gate) idle() float64 { return min(1, max(0, 2-2*g.busy/g.room())) }
+// idleRatio returns how idle the backends are: 1 while at most half of the limit is in flight, falling to 0
+// at the limit. This fraction of the unused quotas is lent. It avoids probabilistic refusals by an idle
+// system where admission earns more than it costs on average.
+func (g *Gate) idleRatio() float64 { return min(1, max(0, 2-2*g.meanInFlight/g.inFlightLimit())) }
--- a/choice/vast_test.go
+++ b/choice/vast_test.go
@@ -8,169 +8,178 @@
 	"dunespoke/choice"
 )
 
-// The fleet that the operators expect: each gateway is asked a few times a second, and sees an answer of each
-// backend every ten seconds or so.
+// A large deployment: each gateway receives a few requests per second, and an answer of each backend about
+// every ten seconds.
 const (
-	vastGates  = 80
-	vastFleet  = 60
-	vastDemand = 450  // requests a second, of customers who are all far from their quotas
-	vastCan    = 13.0 // attempts a second that a warm backend can do
+	largeGateways    = 80
+	largeBackends    = 60
+	largeRequestRate = 450  // requests per second, of customers far below their quotas
+	warmBackendRate  = 13.0 // capacity of a warm backend in attempts per second
 )
 
-// vast returns such a fleet of a site with cold backends, whose every attempt is told to sent.
-func vast(t *testing.T, sent func(now time.Duration, backend uint64)) *fleet {
-	f := newFleet(t, vastGates, func(s *choice.Settings) {
+// largeSimulation returns a simulation of that size with slowly warming backends. It calls onSend for each
+// attempt.
+func largeSimulation(t *testing.T, onSend func(now time.Duration, backend uint64)) *simulation {
+	f := newSimulation(t, largeGateways, func(s *choice.Settings) {
 		s.ColdCapacity, s.ColdTime, s.FallMultiple, s.FallTime = 0.24, 17*time.Second, 3, time.Second
-	}, manyBackends(vastFleet))
+	}, manyBackends(largeBackends))
 	rng := rand.New(rand.NewPCG(5, 6))
-	f.answer = func(now time.Duration, _ int, s sentTo) (time.Duration, choice.Code) {
-		sent(now, s.backend)
+	f.answer = func(now time.Duration, _ int, s attemptSend) (time.Duration, choice.Code) {
+		onSend(now, s.backend)
 		return time.Duration((0.05 + 0.1*rng.ExpFloat64()) * float64(time.Second)), choice.OK
 	}
 	return f
 }
 
-type sentTo = sent
+// attemptSend is another name of sendCall.
+type attemptSend = sendCall
 
-// run asks until the end, and calls at before each step of 10 ms.
-func (f *fleet) run(from, to time.Duration, at func(now time.Duration)) {
+// run sends requests at largeRequestRate in steps of 10 ms, and calls beforeStep before each.
+func (f *simulation) run(from, to time.Duration, beforeStep func(now time.Duration)) {
 	rng := rand.New(rand.NewPCG(uint64(from), 8))
 	for now := from; now < to; now += 10 * ms {
-		at(now)
-		for n := vastDemand / 100.0; rng.Float64() < n; n-- {
+		beforeStep(now)
+		for n := largeRequestRate / 100.0; rng.Float64() < n; n-- {
 			r := request(rng.Uint64(), "read", "soft", 1, now)
 			r.Customer = r.ID
 			f.gates[rng.IntN(len(f.gates))].Request(now, r)
 		}
-		f.step(now)
+		f.advance(now)
 	}
 }
 
-// tell hands a changed entry of the list to all gateways.
-func (f *fleet) tell(now time.Duration, entry choice.Backend) {
+// announce reports a changed entry of the server list to all gates.
+func (f *simulation) announce(now time.Duration, entry choice.Backend) {
 	for _, g := range f.gates {
 		g.Backends(now, false, []choice.Backend{entry})
 	}
 }
 
-// Six in ten backends are replaced within 7 s. Among many idle warm ones the cold once got nothing, since
-// they cost more and their budgets had faded before a request came; the warm ones were jammed meanwhile.
+// Six in ten backends are replaced within 7 s. Guards against cold backends that get no attempts beside many
+// idle warm ones, since they cost more and their budgets decay before a request arrives, while the warm ones
+// are overloaded.
 func TestReplacedBackendsAreUsed(t *testing.T) {
-	const begin, gone = 8 * time.Second, 36
+	const begin, removed = 8 * time.Second, 36
 	started := map[uint64]time.Duration{}
 	times := map[uint64][]time.Duration{}
-	f := vast(t, func(now time.Duration, b uint64) { times[b] = append(times[b], now) })
+	f := largeSimulation(t, func(now time.Duration, b uint64) { times[b] = append(times[b], now) })
 	next := uint64(1)
 	end := begin + 17*time.Second
 	f.run(10*ms, end, func(now time.Duration) {
-		for ; next <= gone && now >= begin+time.Duration(next)*7*time.Second/gone; next++ {
+		for ; next <= removed && now >= begin+time.Duration(next)*7*time.Second/removed; next++ {
 			started[next+100] = now
-			f.tell(now, choice.Backend{ID: next + 100, Zone: "a", Started: now})
-			f.tell(now, choice.Backend{ID: next, Zone: "a", State: choice.Gone})
+			f.announce(now, choice.Backend{ID: next + 100, Zone: "a", Started: now})
+			f.announce(now, choice.Backend{ID: next, Zone: "a", State: choice.Gone})
 		}
 	})
-	sent, able := 0.0, 0.0
-	can := func(age time.Duration) float64 { return vastCan * (0.24 + 0.76*min(1, age.Seconds()/17)) }
+	sent, capacityTotal := 0.0, 0.0
+	capacity := func(age time.Duration) float64 {
+		return warmBackendRate * (0.24 + 0.76*min(1, age.Seconds()/17))
+	}
 	for b, at := range started {
 		sent += float64(len(times[b]))
 		for age := time.Duration(0); age < end-at; age += 100 * ms {
-			able += can(age) / 10
+			capacityTotal += capacity(age) / 10
 		}
 		for i, first := range times[b] {
 			window := 0
-			for j := i; j < len(times[b]) && times[b][j] < first+f.set.FallTime; j++ {
+			for j := i; j < len(times[b]) && times[b][j] < first+f.settings.FallTime; j++ {
 				window++
 			}
-			if most := f.set.FallMultiple * can(first-at); float64(window) > most {
-				t.Fatalf("backend %d: %d attempts within %v at %v after its start, it falls over at %.0f", b, window,
-					f.set.FallTime, first-at, most)
+			if limit := f.settings.FallMultiple * capacity(first-at); float64(window) > limit {
+				t.Fatalf("backend %d: %d attempts within %v at %v after its start, it collapses at %.0f", b, window,
+					f.settings.FallTime, first-at, limit)
 			}
 		}
 	}
-	t.Logf("%.0f attempts to cold backends, which can do %.0f", sent, able)
-	if sent < able*0.35 {
-		t.Errorf("%.0f attempts to cold backends, which can do %.0f", sent, able)
+	t.Logf("%.0f attempts to cold backends, whose capacity is %.0f", sent, capacityTotal)
+	if sent < capacityTotal*0.35 {
+		t.Errorf("%.0f attempts to cold backends, whose capacity is %.0f", sent, capacityTotal)
 	}
 }
 
-// A customer is spread over eighty gateways, none of which sees it twice in a window. What each of them made
-// of the totals it saw once let a heavy customer send four tenths over its quota.
-func TestThinCustomersGetTheirQuota(t *testing.T) {
-	const length = 60 * time.Second
+// The requests of a customer are spread over eighty gateways, none of which receives two in a window. Guards
+// against estimates from the totals at single gateways, with which a heavy customer exceeded its quota by
+// four tenths.
+func TestQuotaCountedPerRequest(t *testing.T) {
+	const duration = 60 * time.Second
 	for _, c := range []struct {
-		name                  string
-		demand                float64 // parts of the quota
-		least, beyond, refuse float64 // least part of what fits the quota that is sent; most beyond it, and refused
-		calls                 float64 // most calls a request
-		busy                  float64 // part of the calls that the counter turns away
+		name   string
+		demand float64 // rate of requests relative to the quota
+		// minFits is the minimum of the requests sent within the quota, and beyond the maximum beyond it, both
+		// relative to those that fit the quota. maxRefused is the maximum fraction of requests refused.
+		minFits, beyond, maxRefused float64
+		maxCalls                    float64 // per request
+		busyRatio                   float64 // fraction of the calls that the counter rejects
 	}{
 		{"calm", 0.4, 0.99, 0.01, 0.01, 1.1, 0},
 		{"full", 0.95, 0.95, 0.02, 0.08, 1.4, 0},
 		{"heavy", 4, 0.92, 0.06, 0.8, 1.25, 0},
-		// What was drawn ahead was once not carried over from a counter under strain: eight tenths went beyond.
-		{"heavy, counter strained", 4, 0.92, 0.4, 0.8, 1.25, 0.15},
+		// Without carrying units over to the next half window under counter overload, eight tenths are sent beyond.
+		{"heavy, counter overloaded", 4, 0.92, 0.4, 0.8, 1.25, 0.15},
 	} {
-		f := newFleet(t, vastGates, nil, manyBackends(2))
+		f := newSimulation(t, largeGateways, nil, manyBackends(2))
 		rng := rand.New(rand.NewPCG(21, 22))
 		f.counter = func(time.Duration) choice.Code {
-			if rng.Float64() < c.busy {
+			if rng.Float64() < c.busyRatio {
 				return choice.Busy
 			}
 			return choice.OK
 		}
-		p := f.set.Plans[0] // a rate of 10 a second, and 30 at once
-		store, last, fits, beyond, asked := p.Burst, time.Duration(0), 0.0, 0.0, 0.0
-		fill := func(now time.Duration) {
-			store = min(p.Burst, store+p.Rate*(now-last).Seconds())
+		p := f.settings.Plans[0] // a rate of 10 per second and a burst of 30
+		bucket, last, fits, beyond, requests := p.Burst, time.Duration(0), 0.0, 0.0, 0.0
+		refill := func(now time.Duration) {
+			bucket = min(p.Burst, bucket+p.Rate*(now-last).Seconds())
 			last = now
 		}
-		f.answer = func(now time.Duration, _ int, s sentTo) (time.Duration, choice.Code) {
-			fill(now)
-			if store >= 1 {
-				store--
+		f.answer = func(now time.Duration, _ int, s attemptSend) (time.Duration, choice.Code) {
+			refill(now)
+			if bucket >= 1 {
+				bucket--
 				fits++
 			} else {
 				beyond++
 			}
 			return 50 * ms, choice.OK
 		}
-		could, left := 0.0, p.Burst
-		for now := 10 * ms; now < length; now += 10 * ms {
-			left = min(p.Burst, left+p.Rate/100)
+		expectedFits, expectedBucket := 0.0, p.Burst
+		for now := 10 * ms; now < duration; now += 10 * ms {
+			expectedBucket = min(p.Burst, expectedBucket+p.Rate/100)
 			if rng.Float64() < c.demand*p.Rate/100 {
-				asked++
-				if left >= 1 {
-					left--
-					could++
+				requests++
+				if expectedBucket >= 1 {
+					expectedBucket--
+					expectedFits++
 				}
 				r := request(uint64(now), "read", "hard", 1, now)
-				r.Spread = vastGates
-				f.gates[rng.IntN(vastGates)].Request(now, r)
+				r.Spread = largeGateways
+				f.gates[rng.IntN(largeGateways)].Request(now, r)
 			}
-			f.step(now)
+			f.advance(now)
 		}
-		t.Logf("%s: %.3f of what fits sent, %.3f beyond, %.2f refused, %.2f calls a request", c.name, fits/could,
-			beyond/could, 1-(fits+beyond)/asked, float64(f.calls)/asked)
-		if fits/could < c.least || beyond/could > c.beyond || 1-(fits+beyond)/asked > c.refuse ||
-			float64(f.calls)/asked > c.calls {
-			t.Errorf("%s: want %v sent at least, %v beyond, %v refused, %v calls at most", c.name, c.least, c.beyond,
-				c.refuse, c.calls)
+		t.Logf("%s: %.3f of what fits sent, %.3f beyond, %.2f refused, %.2f calls per request", c.name,
+			fits/expectedFits, beyond/expectedFits, 1-(fits+beyond)/requests, float64(f.calls)/requests)
+		if fits/expectedFits < c.minFits || beyond/expectedFits > c.beyond ||
+			1-(fits+beyond)/requests > c.maxRefused ||
+			float64(f.calls)/requests > c.maxCalls {
+			t.Errorf("%s: want at least %v sent, at most %v beyond, %v refused, %v calls", c.name, c.minFits, c.beyond,
+				c.maxRefused, c.maxCalls)
 		}
 	}
 }
 
-// Each gateway once used every backend, so that its connections stood idle between two requests for longer
-// than they are kept, and it heard of each backend every ten seconds.
-func TestGatewaysUseAPartOfTheFleet(t *testing.T) {
-	const length = 20 * time.Second
+// Guards against gateways that use every backend, so that connections are idle between two requests for
+// longer than they are kept open, and each gateway receives an answer of a backend every ten seconds only.
+func TestGatewaysUseASubsetOfTheBackends(t *testing.T) {
+	const duration = 20 * time.Second
 	pairs, load := map[[2]uint64]time.Duration{}, map[uint64]int{}
 	opened, sends := 0, 0
-	f := vast(t, nil)
+	f := largeSimulation(t, nil)
 	for i := range f.gates {
-		f.set.Number = i + 1
-		f.start(i, 0)
+		f.settings.Number = i + 1
+		f.startGate(i, 0)
 	}
-	f.answer = func(now time.Duration, gate int, s sentTo) (time.Duration, choice.Code) {
+	f.answer = func(now time.Duration, gate int, s attemptSend) (time.Duration, choice.Code) {
 		pair := [2]uint64{uint64(gate), s.backend}
 		if last, known := pairs[pair]; !known || now-last > 9*time.Second {
 			opened++
@@ -180,14 +189,16 @@
 		load[s.backend]++
 		return 150 * ms, choice.OK
 	}
-	f.run(10*ms, length, func(time.Duration) {})
-	most := 0
+	f.run(10*ms, duration, func(time.Duration) {})
+	maxLoad := 0
 	for _, n := range load {
-		most = max(most, n)
+		maxLoad = max(maxLoad, n)
 	}
-	mean := float64(sends) / vastFleet
-	t.Logf("%d connections, %d attempts; most on one %.2f of the mean", opened, sends, float64(most)/mean)
-	if opened > sends/4 || len(load) < vastFleet || float64(most) > 1.25*mean {
-		t.Errorf("%d connections for %d attempts to %d backends, at most %d", opened, sends, len(load), most)
+	mean := float64(sends) / largeBackends
+	t.Logf("%d connections, %d attempts; at most %.2f times the mean on one backend", opened, sends,
+		float64(maxLoad)/mean)
+	if opened > sends/4 || len(load) < largeBackends || float64(maxLoad) > 1.25*mean {
+		t.Errorf("%d connections for %d attempts to %d backends, at most %d on one", opened, sends, len(load),
+			maxLoad)
 	}
 }
