--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -7,37 +7,38 @@
 	"slices"
 )
 
-// Diff tells what a configuration changes against another, a line each, in a fixed order: first routes, then
-// services, tenants and limits. Keys are counted and never told.
-func Diff(old, fresh *Table) []string {
-	lines := changes("route", routesOf(old), routesOf(fresh))
+// Diff describes the changes from one configuration to another, one line each, in a fixed order: routes,
+// services, tenants, API keys, limits. Changed API keys are counted and never printed.
+func Diff(old, updated *Table) []string {
+	lines := changes("route", describeRoutes(old), describeRoutes(updated))
 	lines = slices.Concat(lines,
-		changes("service", textsOf(old.Services, service), textsOf(fresh.Services, service)),
-		changes("customer", textsOf(old.Tenants, tenant), textsOf(fresh.Tenants, tenant)))
-	for _, name := range slices.Sorted(maps.Keys(fresh.Tenants)) {
+		changes("service", describeAll(old.Services, describeService),
+			describeAll(updated.Services, describeService)),
+		changes("customer", describeAll(old.Tenants, describeTenant), describeAll(updated.Tenants, describeTenant)))
+	for _, name := range slices.Sorted(maps.Keys(updated.Tenants)) {
 		if before := old.Tenants[name]; before != nil {
-			if gone, come := countChanged(before.APIKeys, fresh.Tenants[name].APIKeys); gone+come > 0 {
-				lines = append(lines, fmt.Sprintf("~ customer %s: %d keys taken away, %d added", name, gone, come))
+			if removed, added := countChanged(before.APIKeys, updated.Tenants[name].APIKeys); removed+added > 0 {
+				lines = append(lines, fmt.Sprintf("~ customer %s: %d keys removed, %d added", name, removed, added))
 			}
 		}
 	}
-	if !reflect.DeepEqual(old.Limits, fresh.Limits) {
-		lines = append(lines, fmt.Sprintf("~ limits: %+v -> %+v", old.Limits, fresh.Limits))
+	if !reflect.DeepEqual(old.Limits, updated.Limits) {
+		lines = append(lines, fmt.Sprintf("~ limits: %+v -> %+v", old.Limits, updated.Limits))
 	}
 	return lines
 }
 
-// changes compares texts by their names.
-func changes(kind string, old, fresh map[string]string) (lines []string) {
+// changes returns a line for each name whose description was added, removed or changed.
+func changes(kind string, old, updated map[string]string) (lines []string) {
 	all := maps.Clone(old)
-	maps.Copy(all, fresh)
+	maps.Copy(all, updated)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		before, was := old[name]
-		after, is := fresh[name]
+		before, inOld := old[name]
+		after, inUpdated := updated[name]
 		switch {
-		case !was:
+		case !inOld:
 			lines = append(lines, fmt.Sprintf("+ %s %s: %s", kind, name, after))
-		case !is:
+		case !inUpdated:
 			lines = append(lines, fmt.Sprintf("- %s %s: %s", kind, name, before))
 		case before != after:
 			lines = append(lines, fmt.Sprintf("~ %s %s: %s -> %s", kind, name, before, after))
@@ -46,42 +47,45 @@
 	return lines
 }
 
-func routesOf(d *Table) map[string]string {
-	texts := map[string]string{}
-	for _, r := range d.Routes {
-		texts[r.Name] = fmt.Sprintf("%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v", r.Domain,
-			r.PathPrefix, r.Kind, r.Shares, r.Timeout, r.LatencyTarget, r.Priority, r.MaxAttempts, r.Public)
+// describeRoutes returns the descriptions of a table's routes by name.
+func describeRoutes(table *Table) map[string]string {
+	descriptions := map[string]string{}
+	for _, r := range table.Routes {
+		descriptions[r.Name] = fmt.Sprintf(
+			"%s%s %s to %v, timeout %v, latency target %v, rank %d, tries %d, public %v", r.Domain, r.PathPrefix,
+			r.Kind, r.Shares, r.Timeout, r.LatencyTarget, r.Priority, r.MaxAttempts, r.Public)
 	}
-	return texts
+	return descriptions
 }
 
-func textsOf[T any](all map[string]T, text func(T) string) map[string]string {
-	texts := map[string]string{}
+// describeAll returns the descriptions of all values by name.
+func describeAll[T any](all map[string]T, describe func(T) string) map[string]string {
+	descriptions := map[string]string{}
 	for name, x := range all {
-		texts[name] = text(x)
+		descriptions[name] = describe(x)
 	}
-	return texts
+	return descriptions
 }
 
-func service(s Service) string {
+func describeService(s Service) string {
 	return fmt.Sprintf("%d connections, health %s", s.MaxConnections, s.HealthPath)
 }
 
-func tenant(t *Tenant) string {
-	return fmt.Sprintf("%g a second, burst %g, rank %d", t.RatePerSecond, t.Burst, t.Priority)
+func describeTenant(t *Tenant) string {
+	return fmt.Sprintf("%g requests/s, burst %g, rank %d", t.RatePerSecond, t.Burst, t.Priority)
 }
 
-// countChanged counts what one list has that the other has not, both ways.
-func countChanged(old, fresh []string) (gone, come int) {
+// countChanged returns how many elements are only in the first list, and how many only in the second.
+func countChanged(old, updated []string) (removed, added int) {
 	for _, x := range old {
-		if !slices.Contains(fresh, x) {
-			gone++
+		if !slices.Contains(updated, x) {
+			removed++
 		}
 	}
-	for _, x := range fresh {
+	for _, x := range updated {
 		if !slices.Contains(old, x) {
-			come++
+			added++
 		}
 	}
-	return gone, come
+	return removed, added
 }
--- a/internal/routing/parse.go
+++ b/internal/routing/parse.go
@@ -15,17 +15,17 @@
 //go:embed config.schema.json
 var schemaText []byte
 
-// maxTimeout is the longest that a request may be held.
+// maxTimeout is the maximum timeout of a route.
 const maxTimeout = 10 * time.Minute
 
-// configItem is an item of a configuration, as it is written. The keys are those of the protocol.
+// configItem is the JSON form of an item of a configuration. Its keys are part of the protocol.
 type configItem struct {
 	Kind     string `json:"item_kind"`
 	Metadata struct{ Name string }
 	Desired  json.RawMessage
 }
 
-// configDocument is a configuration, as it is written.
+// configDocument is the JSON form of a configuration.
 type configDocument struct {
 	Version string       `json:"version"`
 	Items   []configItem `json:"items_of"`
@@ -70,8 +70,8 @@
 
 var configSchema = schema.New("config", schemaText)
 
-// Validate reads a configuration that an operator has sent. An error is a trace.BadParameter that names what
-// is wrong.
+// Validate checks a configuration from an operator against the schema and parses it. An error is a
+// trace.BadParameter that names the fault.
 func Validate(body []byte) (*Table, error) {
 	if err := configSchema.Validate(body); err != nil {
 		return nil, trace.Wrap(err, "configuration")
@@ -79,22 +79,22 @@
 	return Parse(body)
 }
 
-// Version reads a version such as r12. Numbers begin with 1: 0 is what the core holds before the first, so
-// that a configuration under it would be acknowledged as not above that, and kept nowhere.
+// Version parses a version such as r12. Versions start at 1: the core is at version 0 before the first
+// configuration, so it would acknowledge a configuration of version 0 as not newer, and store it nowhere.
 func Version(text string) (uint64, error) {
 	digits, ok := strings.CutPrefix(text, "r")
 	n, err := strconv.ParseUint(digits, 10, 63)
 	if !ok || err != nil || digits[0] == '+' || n == 0 {
-		return 0, trace.BadParameter("version %q: want r and a number above 0", text)
+		return 0, trace.BadParameter("version %q: want r followed by a number above 0", text)
 	}
 	return n, nil
 }
 
-// Parse reads a configuration and checks what it means.
+// Parse parses a configuration and checks its values and references, but not the schema.
 func Parse(body []byte) (*Table, error) {
 	var doc configDocument
 	if err := json.Unmarshal(body, &doc); err != nil {
-		return nil, trace.BadParameter("configuration: can't be read whole: %v", err)
+		return nil, trace.BadParameter("configuration: invalid JSON: %v", err)
 	}
 	version, err := Version(doc.Version)
 	if err != nil {
@@ -102,9 +102,10 @@
 	}
 	table := &Table{Version: version, Services: map[string]Service{}, Tenants: map[string]*Tenant{},
 		routesByHost: map[string][]*Route{}, tenantsByKey: map[string]*Tenant{}}
-	for i, it := range doc.Items {
-		if err := table.addItem(it); err != nil {
-			return nil, trace.BadParameter("configuration: item %d (%s %q): %v", i+1, it.Kind, it.Metadata.Name, err)
+	for i, item := range doc.Items {
+		if err := table.addItem(item); err != nil {
+			return nil, trace.BadParameter("configuration: item %d (%s %q): %v", i+1, item.Kind,
+				item.Metadata.Name, err)
 		}
 	}
 	if err := table.index(); err != nil {
@@ -115,7 +116,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// addItem takes an item. Kinds that this program doesn't know are kept, and told again as they came.
+// addItem adds an item to the table. Items of unknown kinds are ignored here; the configuration is passed on
+// as it was received, with them.
 func (table *Table) addItem(item configItem) error {
 	switch item.Kind {
 	case "routes":
@@ -173,7 +175,7 @@
 	}
 	table.RequiresKeys = true
 	if t.RatePerSecond < 0 || t.Burst < 0 {
-		return trace.BadParameter("a quota below 0")
+		return trace.BadParameter("allowed_per_s and burst_size must not be negative")
 	}
 	name := item.Metadata.Name
 	table.Tenants[name] = &Tenant{Name: name, APIKeys: t.APIKeys, Priority: t.Priority,
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,5 @@
-// Package routing is the routing configuration: parsed, validated by a schema and then by what it means, and
-// made into a table by which a request finds its route and a key its tenant. It is pure: no sockets, no
-// clock.
+// Package routing parses the routing configuration, validates it against a schema and then semantically, and
+// builds a table that maps requests to routes and API keys to tenants. It does no I/O and reads no clock.
 package routing
 
 import (
@@ -9,52 +8,53 @@
 	"time"
 )
 
-// RequestKind says how often a request of a route may run.
+// RequestKind determines how often a request of a route may be executed.
 type RequestKind string
 
 // The kinds of routes.
 const (
-	ReadOnly RequestKind = "read_only" // any number of times
-	Writing  RequestKind = "writing"   // at most once per try
+	ReadOnly RequestKind = "read_only" // idempotent: any number of times
+	Writing  RequestKind = "writing"   // at most once per attempt
 )
 
-// Share is the part of a route's requests that goes to a service.
+// Share is the fraction of a route's requests that goes to a service.
 type Share struct {
 	Service string
-	Weight  float64 // beside the weights of the route's other shares; 0: none
+	Weight  float64 // relative to the weights of the route's other shares; zero means no requests
 }
 
-// Route is where some requests go.
+// Route determines where the requests of a domain and path prefix go, and how they are handled.
 type Route struct {
 	Name          string
-	Domain        string // of the request's host, in lower case, without a port
-	PathPrefix    string // it begins and ends with a slash; the longest that fits wins
+	Domain        string // compared with the request's host: in lower case, without a port
+	PathPrefix    string // begins and ends with a slash; the longest matching prefix wins
 	Kind          RequestKind
-	Timeout       time.Duration // the longest that a request is held; above 0, ten minutes at most
-	LatencyTarget time.Duration // an answer within it has its full value; 0: Timeout
+	Timeout       time.Duration // of a request; above 0, at most ten minutes
+	LatencyTarget time.Duration // a response within it has its full value; zero means Timeout
 	Priority      int           // 0 is the highest
-	Shares        []Share       // at least one, of a weight above 0
+	Shares        []Share       // at least one has a weight above 0
 	MaxAttempts   int           // servers that a client's request may be sent to; at least 1
-	Public        bool          // no key is asked for
+	Public        bool          // no API key is required
 }
 
-// Service is a group of servers that do the same.
+// Service is a group of interchangeable servers.
 type Service struct {
 	Name           string
-	HealthPath     string // kept, and not asked: responses tell how servers are
-	MaxConnections int    // that each server takes, of all gateways; 0: not told
+	HealthPath     string // stored but never requested: the health of servers is derived from their responses
+	MaxConnections int    // per server, over all gateways; zero means unspecified
 }
 
-// Tenant is whose requests count together.
+// Tenant is a customer, whose requests share a quota.
 type Tenant struct {
 	Name          string
-	APIKeys       []string // each of one tenant alone; never logged
+	APIKeys       []string // each belongs to one tenant only; never logged
 	Priority      int      // 0 is the highest
-	RatePerSecond float64  // requests a second, over all gateways; 0: no limit
-	Burst         float64  // requests above that, at once
+	RatePerSecond float64  // over all gateways; zero means no limit
+	Burst         float64  // requests that may be admitted at once beyond the rate
 }
 
-// Limits are on what a client may send. 0: the gateway's default, see proxy.Handler.ClientLimits.
+// Limits are limits on clients' connections and requests. Zero means the gateway's default, see
+// proxy.Handler.ClientLimits.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -62,20 +62,21 @@
 	IdleTimeout    time.Duration // between requests
 }
 
-// Table is a whole configuration, made into tables by which requests are found. It is never changed.
+// Table is a complete configuration with indexes of its routes and API keys. It is immutable once parsed, so
+// it is safe for concurrent use.
 type Table struct {
 	Version      uint64 // above 0; a later configuration has a higher one
 	Routes       []Route
 	Services     map[string]Service // by name
 	Tenants      map[string]*Tenant // by name
 	Limits       Limits
-	RequiresKeys bool // there are tenants: requests on routes that are not public carry a key
+	RequiresKeys bool // there are tenants: requests on routes that are not public need an API key
 
-	routesByHost map[string][]*Route // the longest prefix first
+	routesByHost map[string][]*Route // by Domain; the longest prefix first
 	tenantsByKey map[string]*Tenant
 }
 
-// FindRoute finds the route of a request, whose host may have a port; nil: there is none.
+// FindRoute returns the route of a request, or nil if there is none. host may include a port.
 func (table *Table) FindRoute(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -88,25 +89,26 @@
 	return nil
 }
 
-// FindTenant finds whose key this is; nil: nobody's.
+// FindTenant returns the tenant that an API key belongs to, or nil if there is none.
 func (table *Table) FindTenant(key string) *Tenant { return table.tenantsByKey[key] }
 
-// Pick chooses the service for a request, by the route's shares and a number between 0 and 1.
-func (r *Route) Pick(at float64) string {
+// Pick selects the service for a request by the weights of the route's shares. position is a number in [0,
+// 1), usually random.
+func (r *Route) Pick(position float64) string {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at *= total
+	position *= total
 	for _, s := range r.Shares {
-		if at -= s.Weight; at < 0 {
+		if position -= s.Weight; position < 0 {
 			return s.Service
 		}
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// String tells a directory's size, for logs: never a key.
+// String returns the version and size of a configuration for logs. It contains no keys.
 func (table *Table) String() string {
 	return fmt.Sprintf("r%d: %d routes, %d services, %d customers", table.Version, len(table.Routes),
 		len(table.Services),
