--- a/internal/metrics/cluster.go
+++ b/internal/metrics/cluster.go
@@ -8,29 +8,30 @@
 	"dunespoke/internal/controlplane/api"
 )
 
-// statusTimeout is how long a process may take to tell how it sees the cluster. Without it, its figures
-// are left out.
+// statusTimeout is how long Collect waits for the status of the process. Without a status, the metrics are
+// omitted.
 const statusTimeout = 500 * time.Millisecond
 
-// StatusSource tells how a process sees the cluster. done is called once, from any goroutine.
+// StatusSource reports the view that a process has of the cluster.
 type StatusSource interface {
+	// Status calls done with the status once, from any goroutine.
 	Status(done func(api.NodeStatus))
 }
 
-// clusterGauge is a figure of a NodeStatus.
+// clusterGauge is a gauge whose value is taken from a NodeStatus.
 type clusterGauge struct {
 	description *prometheus.Desc
-	// value returns the figure; ok is false where this process has none.
+	// value returns the gauge's value; ok is false if this process has none.
 	value func(status *api.NodeStatus) (value float64, ok bool)
 }
 
-// clusterCollector asks a process for its status each time that the figures are fetched.
+// clusterCollector requests the status of the process each time that metrics are collected.
 type clusterCollector struct {
 	source StatusSource
 	gauges []clusterGauge
 }
 
-// NewCluster returns a collector of how a process sees the cluster.
+// NewCluster returns a collector of the metrics of the cluster, as the process sees it.
 func NewCluster(source StatusSource) prometheus.Collector {
 	always := func(f func(*api.NodeStatus) float64) func(*api.NodeStatus) (float64, bool) {
 		return func(status *api.NodeStatus) (float64, bool) { return f(status), true }
@@ -47,52 +48,52 @@
 		return clusterGauge{prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, nil, nil), value}
 	}
 	return &clusterCollector{source, []clusterGauge{
-		gauge("ready", "1 while clients should come.",
+		gauge("ready", "1 if the process is ready for client requests.",
 			always(func(s *api.NodeStatus) float64 { return fromBool(s.Ready) })),
-		gauge("endpoints", "Servers in the list that this process goes by.",
+		gauge("endpoints", "Servers in the list that this process uses.",
 			always(func(s *api.NodeStatus) float64 { return float64(s.Endpoints) })),
-		gauge("nodes", "Processes that hold leases, this one among them.",
+		gauge("nodes", "Processes with a lease, including this one.",
 			always(func(s *api.NodeStatus) float64 { return float64(s.Nodes) })),
-		gauge("view_epoch", "Epoch of the view that this process goes by.",
+		gauge("view_epoch", "Epoch of the view that this process uses.",
 			always(func(s *api.NodeStatus) float64 { return float64(s.Epoch) })),
-		gauge("connected", "1 while a replica answers this process.",
+		gauge("connected", "1 if this process is connected to a replica.",
 			always(func(s *api.NodeStatus) float64 { return fromBool(s.ConnectedTo != "") })),
-		gauge("replica_serving", "1 while this replica serves, and hears a quorum that does.",
+		gauge("replica_serving", "1 if this replica is serving and hears from a quorum of serving replicas.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return fromBool(r.Serves) })),
-		gauge("replica_disk_unhealthy", "1 while this replica's disk accepts nothing, or is slow.",
+		gauge("replica_disk_unhealthy", "1 if this replica's disk refuses writes or is slow.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return fromBool(r.DiskUnhealthy) })),
 		gauge("replica_config_version", "Version of the configuration on this replica's disk.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return float64(r.Version) })),
-		gauge("core_members", "Members of the core, as this replica knows them.",
+		gauge("core_members", "Members of the core known to this replica.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return float64(len(r.Members)) })),
-		gauge("core_members_reachable", "Those of them that this replica hears now.",
+		gauge("core_members_reachable", "Members of the core that this replica hears from.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return float64(len(r.Reachable)) })),
-		gauge("core_tolerated_failures", "Members that may be lost now, as far as this replica knows.",
+		gauge("core_tolerated_failures", "Members that may fail now, as far as this replica knows.",
 			ofReplica(func(r *api.ReplicaStatus) float64 { return float64(r.ToleratedFailures) })),
 	}}
 }
 
-// Describe tells the figures' names.
+// Describe sends the descriptions of all metrics.
 func (c *clusterCollector) Describe(out chan<- *prometheus.Desc) {
 	for _, g := range c.gauges {
 		out <- g.description
 	}
 }
 
-// Collect tells the figures.
+// Collect sends the current values of all metrics that have one.
 func (c *clusterCollector) Collect(out chan<- prometheus.Metric) {
-	told := make(chan api.NodeStatus, 1)
-	c.source.Status(func(status api.NodeStatus) { told <- status })
-	late := time.NewTimer(statusTimeout)
-	defer late.Stop()
+	received := make(chan api.NodeStatus, 1)
+	c.source.Status(func(status api.NodeStatus) { received <- status })
+	timeout := time.NewTimer(statusTimeout)
+	defer timeout.Stop()
 	select {
-	case status := <-told:
+	case status := <-received:
 		for _, g := range c.gauges {
 			if value, ok := g.value(&status); ok {
 				out <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, value)
 			}
 		}
-	case <-late.C:
+	case <-timeout.C:
 	}
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -16,19 +16,17 @@
 	"dunespoke/internal/routing"
 )
 
-// fixedStatus is a process that sees the cluster so.
+// fixedStatus is a StatusSource that reports this status.
 type fixedStatus api.NodeStatus
 
-// Status tells it.
 func (s fixedStatus) Status(done func(api.NodeStatus)) { done(api.NodeStatus(s)) }
 
-// silentStatus is a process whose loop stands still.
+// silentStatus is a StatusSource that never answers, as that of a process whose event loop is blocked.
 type silentStatus struct{}
 
-// Status tells nothing.
 func (silentStatus) Status(func(api.NodeStatus)) {}
 
-// fetch asks a handler for a page.
+// fetch requests a target from a handler.
 func fetch(t *testing.T, h *Handler, method, target string) *http1.Answer {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://127.0.0.1"+target, nil)
@@ -36,14 +34,13 @@
 		t.Fatal(err)
 	}
 	request.RequestURI = target
-	answered := make(chan *http1.Answer, 1)
-	h.Serve(&http1.Request{Request: request}, func(a *http1.Answer) { answered <- a })
-	return <-answered
+	answers := make(chan *http1.Answer, 1)
+	h.Serve(&http1.Request{Request: request}, func(a *http1.Answer) { answers <- a })
+	return <-answers
 }
 
-// Given requests that have ended and a process that sees the cluster, when the figures are fetched, then
-// they are in the exposition format, and count what has ended.
-func TestFiguresAreToldInTheExpositionFormat(t *testing.T) {
+// The handler serves the cluster's gauges and the counts of finished requests in the exposition format.
+func TestMetricsAreServedInTheExpositionFormat(t *testing.T) {
 	registry := NewRegistry()
 	requests := NewRequests(registry)
 	registry.MustRegister(NewCluster(fixedStatus{Ready: true, Endpoints: 36, Nodes: 15, Epoch: 129,
@@ -60,7 +57,7 @@
 	}
 	durations := families["dunespoke_request_duration_seconds"].GetMetric()[0].GetHistogram()
 	if got := durations.GetSampleCount(); got != 2 {
-		t.Errorf("%d durations, want 2: of those that a server answered", got)
+		t.Errorf("%d durations, want 2: one per request that a server answered", got)
 	}
 	if got := len(families["dunespoke_requests_total"].GetMetric()); got != 3 {
 		t.Errorf("%d outcomes, want 3", got)
@@ -73,8 +70,7 @@
 	}
 }
 
-// Given a configuration of as many routes as there are, each with another rank, when requests of all end,
-// then the labels are no more than a few.
+// The number of series stays small with the maximum number of routes, each with a different rank.
 func TestLabelsAreBounded(t *testing.T) {
 	const routes = 14000
 	registry := NewRegistry()
@@ -88,17 +84,17 @@
 		t.Fatal(err)
 	}
 	for _, family := range families {
-		series, most := len(family.GetMetric()), 2*(maxRank+1)
-		if strings.HasPrefix(family.GetName(), namespace) && series > most {
-			t.Errorf("%s has %d series, want %d at most", family.GetName(), series, most)
+		series, limit := len(family.GetMetric()), 2*(maxRank+1)
+		if strings.HasPrefix(family.GetName(), namespace) && series > limit {
+			t.Errorf("%s has %d series, want %d at most", family.GetName(), series, limit)
 		}
 	}
 }
 
-// Given a process without a disk, or whose loop stands still, when the figures are fetched, then those
-// that it has are told.
-func TestWhatIsNotKnownIsLeftOut(t *testing.T) {
-	sources := map[string]StatusSource{"no disk": fixedStatus{Nodes: 3}, "stands still": silentStatus{}}
+// Metrics that are unavailable, since the process has no replica or doesn't report its status, are omitted
+// and the others served.
+func TestUnavailableMetricsAreOmitted(t *testing.T) {
+	sources := map[string]StatusSource{"no replica": fixedStatus{Nodes: 3}, "no status": silentStatus{}}
 	for name, source := range sources {
 		synctest.Test(t, func(t *testing.T) {
 			registry := NewRegistry()
@@ -107,17 +103,17 @@
 			if strings.Contains(text, "dunespoke_replica") || !strings.Contains(text, "go_goroutines") {
 				t.Errorf("%s: %s", name, text)
 			}
-			if told := strings.Contains(text, "dunespoke_nodes 3"); told != (name == "no disk") {
-				t.Errorf("%s: nodes told %v", name, told)
+			if served := strings.Contains(text, "dunespoke_nodes 3"); served != (name == "no replica") {
+				t.Errorf("%s: nodes served: %v", name, served)
 			}
 		})
 	}
 }
 
-func TestOtherPagesAreRefused(t *testing.T) {
+func TestOtherPathsAndMethodsAreRejected(t *testing.T) {
 	h := NewHandler("/metrics", NewRegistry())
 	if got := fetch(t, h, http.MethodGet, "/").Status; got != http.StatusNotFound {
-		t.Errorf("another page: %d", got)
+		t.Errorf("another path: %d", got)
 	}
 	if got := fetch(t, h, http.MethodPost, "/metrics").Status; got != http.StatusMethodNotAllowed {
 		t.Errorf("POST: %d", got)
