--- a/internal/controlplane/storage/crash_test.go
+++ b/internal/controlplane/storage/crash_test.go
@@ -25,22 +25,23 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// disk is a disk in memory whose power can be cut, and that refuses what it is told to.
+// disk is an in-memory disk that can lose power, and refuse or delay operations.
 type disk struct {
 	*vfs.MemFS
-	mu     sync.Mutex // one change at a time
-	n      int        // changes so far, syncs among them
-	before func(n int, o operation) error
-	after  func(n int, o operation) error
+	mu     sync.Mutex                     // serializes writes and syncs
+	n      int                            // number of writes and syncs so far
+	before func(n int, o operation) error // called before a write or sync; an error prevents it
+	after  func(n int, o operation) error // called after it; an error is returned although it succeeded
 }
 
-// must ends a test at an error of what it is made of.
+// must panics on an unexpected error in the setup of a test.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
+// newDisk returns a disk with an empty directory "data", which is synced.
 func newDisk() *disk {
 	d := &disk{MemFS: vfs.NewCrashableMem()}
 	must(d.MkdirAll("data", 0o700))
@@ -53,21 +54,23 @@
 	return d
 }
 
-// environment are those of the program, over this disk, and with tables that fill up soon.
+// environment returns the program's environment on this disk, with small memtables so that tables are written
+// soon.
 func (d *disk) environment() environment {
-	w := diskEnvironment
-	w.fs, w.memTableSize, w.retryDelay = interceptedFS{d.MemFS, d.around}, 24<<10, runtime.Gosched
-	began, calls := time.Now(), time.Duration(0)
-	w.now = func() time.Time { // an hour goes by between any two looks at the clock
+	env := diskEnvironment
+	env.fs, env.memTableSize, env.retryDelay = interceptedFS{d.MemFS, d.intercept}, 24<<10, runtime.Gosched
+	start, calls := time.Now(), time.Duration(0)
+	env.now = func() time.Time { // an hour passes between two calls, so that no backoff is pending
 		calls++
-		return began.Add(calls * time.Hour)
+		return start.Add(calls * time.Hour)
 	}
-	return w
+	return env
 }
 
-func (d *disk) around(o operation, do func() error) error {
+// intercept is the disk's interceptor.
+func (d *disk) intercept(o operation, perform func() error) error {
 	if o == operationRead {
-		return do()
+		return perform()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,34 +80,36 @@
 			return err
 		}
 	}
-	err := do()
+	err := perform()
 	if err == nil && d.after != nil {
 		err = d.after(d.n, o)
 	}
 	return err
 }
 
-// lose is the disk after a loss of power: what was synced, and of the rest what is drawn, each block of a
-// file, each new file, rename and removal by itself. It is called where nothing changes the disk.
-func (d *disk) lose(percent int, rng *rand.Rand) *disk {
-	left := &disk{MemFS: d.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rng})}
+// crash returns the disk after a power loss: all that was synced, and of the rest a random selection of the
+// given percentage, independently for each block of a file, new file, rename and removal. No write may be in
+// progress.
+func (d *disk) crash(percent int, rng *rand.Rand) *disk {
+	crashed := &disk{MemFS: d.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rng})}
 	for _, dir := range []string{"data", "data/" + storeName} {
-		names, _ := left.List(dir)
-		there, _ := d.List(dir)
+		names, _ := crashed.List(dir)
+		current, _ := d.List(dir)
 		slices.Sort(names)
-		for _, name := range names { // the clone has all that was removed without a sync
-			if percent > 0 && rng.IntN(100) < percent && !slices.Contains(there, name) {
-				must(left.RemoveAll(filepath.Join(dir, name)))
+		for _, name := range names { // the clone has all files whose removal was not synced
+			if percent > 0 && rng.IntN(100) < percent && !slices.Contains(current, name) {
+				must(crashed.RemoveAll(filepath.Join(dir, name)))
 			}
 		}
 	}
-	return left
+	return crashed
 }
 
-// record is the i-th that is saved, i from 1. All share the first ranges of their configurations, which come
-// to lie in tables, and no two of them the rest. Of the numbers taken, each has 24 more than the one before,
-// and the same chunks but for the first and the last.
-func record(i int) replica.PersistentState {
+// savedState returns the state of the i-th save, i from 1. The first chunks of the configurations are the
+// same in all states, so that tables contain them, and the rest differs, but every third state differs from
+// the one before only in its epochs. The accepted versions of a state end 24 versions after those of the one
+// before, so that all of their chunks but the first and the last ones are the same.
+func savedState(i int) replica.PersistentState {
 	rng := rand.New(rand.NewPCG(uint64(i), 3))
 	var config []byte
 	for n := range 100 {
@@ -119,10 +124,10 @@
 			rng.Uint64(),
 		)
 	}
-	if i%3 == 0 { // as the one before, but for its epoch
-		r := record(i - 1)
-		r.PromisedEpoch, r.Epoch = uint64(64*i), uint64(64*i)
-		return r
+	if i%3 == 0 { // as the state before, but for its epochs
+		state := savedState(i - 1)
+		state.PromisedEpoch, state.Epoch = uint64(64*i), uint64(64*i)
+		return state
 	}
 	return replica.PersistentState{
 		CaughtUp:      true,
@@ -134,13 +139,14 @@
 			AcceptedEpoch:    uint64(64 * i),
 			Version:          uint64(i),
 			Config:           config,
-			AcceptedVersions: past(24 * i),
+			AcceptedVersions: acceptedVersions(24 * i),
 		},
 	}
 }
 
-// past are the numbers up to one: 64 of them, and what is dropped with the next chunk.
-func past(last int) (list []message.AcceptedVersion) {
+// acceptedVersions returns the accepted versions up to the last one: 64 of them, and those of the chunk that
+// is dropped next.
+func acceptedVersions(last int) (list []message.AcceptedVersion) {
 	const perChunk = message.AcceptedVersionsPerChunk
 	for n := max(0, last-64) / perChunk * perChunk; n < last; n++ {
 		sum := message.DigestOf([]byte{byte(n), byte(n >> 8)})
@@ -149,110 +155,115 @@
 	return list
 }
 
-// number tells which record one is; -1: none that was ever saved.
-func number(r replica.PersistentState) int {
-	i := int(r.PromisedEpoch / 64)
-	if i == 0 && reflect.DeepEqual(r, replica.PersistentState{}) || i > 0 && reflect.DeepEqual(r, record(i)) {
+// saveNumber returns the number of the save that a state is of, 0 for the zero state, or -1 if it was
+// never saved.
+func saveNumber(state replica.PersistentState) int {
+	i := int(state.PromisedEpoch / 64)
+	if i == 0 && reflect.DeepEqual(state, replica.PersistentState{}) ||
+		i > 0 && reflect.DeepEqual(state, savedState(i)) {
 		return i
 	}
 	return -1
 }
 
-func (s *Storage) save(r replica.PersistentState) bool {
-	told := make(chan bool)
-	s.Save(r, func(ok bool) { told <- ok })
-	return <-told
+// save saves a state, waits, and reports whether it was saved.
+func (s *Storage) save(state replica.PersistentState) bool {
+	result := make(chan bool)
+	s.Save(state, func(ok bool) { result <- ok })
+	return <-result
 }
 
-// holds opens what a disk holds, and says what is wrong with it, if the record of a number was told as saved.
-func holds(d *disk, w environment, told int) string {
-	w.fs = interceptedFS{d.MemFS, d.around}
-	v, r, err := open("data", w)
+// checkStore opens the store on a disk and returns its fault, or an empty string. Its state must be that of a
+// save, not earlier than the last one that was reported as saved, and it must accept another save.
+func checkStore(d *disk, env environment, reported int) string {
+	env.fs = interceptedFS{d.MemFS, d.intercept}
+	storage, state, err := open("data", env)
 	if err != nil {
-		return fmt.Sprint("it does not open: ", err)
+		return fmt.Sprint("the store doesn't open: ", err)
 	}
-	defer v.Close(time.Minute)
-	switch i := number(r); {
-	case v.Damaged() != nil:
-		return fmt.Sprint("it is damaged: ", v.Damaged())
+	defer storage.Close(time.Minute)
+	switch i := saveNumber(state); {
+	case storage.Damaged() != nil:
+		return fmt.Sprint("the store is damaged: ", storage.Damaged())
 	case i < 0:
-		return fmt.Sprintf("it holds what was never saved: stamp %d, version %d", r.AcceptedEpoch, r.Version)
-	case i < told:
-		return fmt.Sprintf("it holds record %d, and %d was told as saved", i, told)
-	case !v.save(record(i + 1)):
-		return "it takes no more"
+		return fmt.Sprintf("the state was never saved: accepted epoch %d, version %d", state.AcceptedEpoch,
+			state.Version)
+	case i < reported:
+		return fmt.Sprintf("the state is that of save %d, but save %d was reported as done", i, reported)
+	case !storage.save(savedState(i + 1)):
+		return "the store accepts no save"
 	}
 	return ""
 }
 
-// outage saves records while the power goes at each change of the disk in turn, each time with a loss of its
-// own, and returns what is found wrong first.
-func outage(change func(*environment), saves int) (found string, changes int) {
+// simulatePowerLosses saves states in an environment that is modified by modify, and checks before each write
+// or sync what a power loss at that point would leave. It returns the first fault, and the number of
+// writes and syncs.
+func simulatePowerLosses(modify func(*environment), saves int) (fault string, operations int) {
 	d := newDisk()
 	rng := rand.New(rand.NewPCG(7, 1))
-	var told atomic.Int64
-	w := d.environment()
-	change(&w)
+	var reported atomic.Int64
+	env := d.environment()
+	modify(&env)
 	d.before = func(n int, _ operation) error {
 		for _, percent := range []int{0, 50} {
-			if found != "" || n%2 != percent/50 {
+			if fault != "" || n%2 != percent/50 {
 				continue
 			}
-			if f := holds(d.lose(percent, rng), w, int(told.Load())); f != "" {
-				found = fmt.Sprintf("power lost at change %d, %d%% of the rest kept: %s", n, percent, f)
+			if f := checkStore(d.crash(percent, rng), env, int(reported.Load())); f != "" {
+				fault = fmt.Sprintf("power lost at operation %d, %d%% of unsynced data kept: %s", n, percent, f)
 			}
 		}
 		return nil
 	}
-	v, _, err := open("data", w)
+	storage, _, err := open("data", env)
 	if err != nil {
 		return err.Error(), 0
 	}
 	for i := 1; i <= saves; i++ {
-		if v.save(record(i)) {
-			told.Store(int64(i))
+		if storage.save(savedState(i)) {
+			reported.Store(int64(i))
 		}
 	}
-	v.Close(time.Minute)
-	return found, d.n
+	storage.Close(time.Minute)
+	return fault, d.n
 }
 
-// Given records that are saved one after the other, when the power goes at any change of the disk, and what
-// was not synced is kept or lost piece by piece, then the store opens, with a record at least as new as the
-// last that was told as saved, and all of that one.
-func TestALossOfPowerAnywhere(t *testing.T) {
-	found, changes := outage(func(*environment) {}, 40)
-	if found != "" {
-		t.Error(found)
-	}
-	t.Logf("%d changes of the disk", changes)
-	if changes < 200 {
-		t.Errorf("only %d changes of the disk: no table was written", changes)
+// After a power loss before any write or sync, which keeps unsynced data in part or not at all, the store
+// opens with a complete state, at least as new as the last one that was reported as saved.
+func TestPowerLossAtAnyOperation(t *testing.T) {
+	fault, operations := simulatePowerLosses(func(*environment) {}, 40)
+	if fault != "" {
+		t.Error(fault)
+	}
+	t.Logf("%d writes and syncs", operations)
+	if operations < 200 {
+		t.Errorf("only %d writes and syncs: no table was written", operations)
 	}
 }
 
-// Seeded defects, each of which the test above finds.
-func TestALossOfPowerFinds(t *testing.T) {
+// The test above detects each of these seeded defects.
+func TestPowerLossDetectsDefects(t *testing.T) {
 	for name, defect := range map[string]func(*environment){
-		"a save told before its sync": func(w *environment) {
-			w.commit = func(db *pebble.DB, b *pebble.Batch) error { return db.Apply(b, pebble.NoSync) }
+		"a save reported before its sync": func(env *environment) {
+			env.commit = func(db *pebble.DB, b *pebble.Batch) error { return db.Apply(b, pebble.NoSync) }
 		},
-		"a record written in two batches": func(w *environment) {
-			w.commit = inParts
+		"a state written in several batches": func(env *environment) {
+			env.commit = commitEachKey
 		},
 	} {
-		found, _ := outage(defect, 20)
-		if found == "" {
-			t.Errorf("%s: not found", name)
+		fault, _ := simulatePowerLosses(defect, 20)
+		if fault == "" {
+			t.Errorf("undetected: %s", name)
 		}
-		t.Log(name, "->", found)
+		t.Log(name, "->", fault)
 	}
 }
 
-// inParts commits each key of a batch by itself.
-func inParts(db *pebble.DB, b *pebble.Batch) error {
-	for r := b.Reader(); len(r) > 0; {
-		kind, key, value, ok, err := r.Next()
+// commitEachKey commits each key of a batch separately.
+func commitEachKey(db *pebble.DB, b *pebble.Batch) error {
+	for reader := b.Reader(); len(reader) > 0; {
+		kind, key, value, ok, err := reader.Next()
 		if !ok || err != nil {
 			return err
 		}
@@ -268,141 +279,147 @@
 	return nil
 }
 
-// refusals are how a disk refuses changes, told by how far past the first one it is.
-type refusals struct {
+// refusalPattern determines which writes and syncs a disk refuses, by their distance from the first one.
+// before prevents them; after lets them happen and reports an error.
+type refusalPattern struct {
 	name          string
-	before, after func(past int) error
+	before, after func(distance int) error
 }
 
-// full refuses all from a change on.
-var full = refusals{"all are refused", func(int) error { return syscall.ENOSPC }, nil}
+// fullDisk refuses all operations from the first one on.
+var fullDisk = refusalPattern{"all operations are refused", func(int) error { return syscall.ENOSPC }, nil}
 
-// play saves records on a disk that begins to refuse at a change, and is well again once three saves have
-// failed. It returns how many failed, whether the change came at all, and what is found wrong.
-func (c refusals) play(at int, change func(*environment)) (failed int, begun bool, found string) {
+// run saves states on a disk that starts to refuse at operation at, and stops refusing once three saves have
+// failed. It returns the number of failed saves, whether that operation was reached, and the fault found,
+// if any.
+func (c refusalPattern) run(at int, modify func(*environment)) (failed int, reached bool, fault string) {
 	const saves = 14
 	d := newDisk()
-	w := d.environment()
-	change(&w)
-	var began atomic.Bool
-	around := func(f func(int) error) func(int, operation) error {
+	env := d.environment()
+	modify(&env)
+	var started atomic.Bool
+	fromStart := func(f func(int) error) func(int, operation) error {
 		return func(n int, _ operation) error {
 			if f == nil || n < at {
 				return nil
 			}
-			began.Store(true)
+			started.Store(true)
 			return f(n - at)
 		}
 	}
-	d.before, d.after = around(c.before), around(c.after)
+	d.before, d.after = fromStart(c.before), fromStart(c.after)
 	if c.after != nil && at%2 == 0 {
 		d.before = nil
 	} else {
 		d.after = nil
 	}
-	v, _, err := open("data", w)
+	storage, _, err := open("data", env)
 	if err != nil {
-		return 0, began.Load(), fmt.Sprint("not opened: ", err)
+		return 0, started.Load(), fmt.Sprint("the store doesn't open: ", err)
 	}
-	told := 0
-	for i := 1; told < saves && failed <= 6; i++ {
-		if v.save(record(i)) {
-			told = i
+	reported := 0
+	for i := 1; reported < saves && failed <= 6; i++ {
+		if storage.save(savedState(i)) {
+			reported = i
 			continue
 		}
-		if !began.Load() {
-			return failed, false, fmt.Sprintf("save %d failed before", i)
+		if !started.Load() {
+			return failed, false, fmt.Sprintf("save %d failed before the first refusal", i)
 		}
-		if failed++; failed == 3 { // it is well again
+		if failed++; failed == 3 { // the disk accepts writes again
 			d.mu.Lock()
 			d.before, d.after = nil, nil
 			d.mu.Unlock()
 		}
 	}
-	if told < saves {
-		return failed, began.Load(), fmt.Sprintf("%d saves of %d, %d failed", told, saves, failed)
+	if reported < saves {
+		return failed, started.Load(), fmt.Sprintf("save %d of %d was the last, %d failed", reported, saves, failed)
 	}
 	d.mu.Lock()
 	d.before, d.after = nil, nil
-	left := d.lose(0, nil)
+	crashed := d.crash(0, nil)
 	d.mu.Unlock()
-	found = holds(left, d.environment(), told)
-	v.Close(time.Minute)
-	return failed, began.Load(), found
+	fault = checkStore(crashed, d.environment(), reported)
+	storage.Close(time.Minute)
+	return failed, started.Load(), fault
 }
 
-// Given a disk that refuses a change, any one or all from there on, or that says so of a change that it made,
-// when it takes changes again, then so does the storage, and it never told as saved what it doesn't hold.
-func TestARefusalAnywhere(t *testing.T) {
-	one := func(past int) error {
-		if past > 0 {
+// A disk refuses one write or sync or all from there on, or reports an error for one that it performed. Once
+// it accepts writes again, so does the storage, and it never reports a state as saved that is not stored.
+func TestRefusalAtAnyOperation(t *testing.T) {
+	one := func(distance int) error {
+		if distance > 0 {
 			return nil
 		}
 		return syscall.ENOSPC
 	}
-	for _, c := range []refusals{full, {"one is refused, or is made and said to have failed", one, one}} {
+	for _, c := range []refusalPattern{fullDisk,
+		{"one operation is refused, or is performed and reported as failed", one, one}} {
 		refused, at := 0, 1
-		for begun := true; begun; at++ {
+		for reached := true; reached; at++ {
 			var failed int
-			var found string
-			if failed, begun, found = c.play(at, func(*environment) {}); found != "" {
-				t.Fatalf("%s, at change %d: %s", c.name, at, found)
+			var fault string
+			if failed, reached, fault = c.run(at, func(*environment) {}); fault != "" {
+				t.Fatalf("%s, at operation %d: %s", c.name, at, fault)
 			}
 			refused += failed
 		}
-		t.Logf("%s: at %d changes, %d saves failed", c.name, at-1, refused)
+		t.Logf("%s: at %d operations, %d saves failed", c.name, at-1, refused)
 		if refused == 0 {
 			t.Errorf("%s: no save failed", c.name)
 		}
 	}
 }
 
-// seeded names the defect that a test process is to play instead of its tests: those that end the process.
-const seeded = "VAULT_SEEDED_DEFECT"
+// defectVariable is the environment variable with the name of the defect that a test process runs instead of
+// the test.
+const defectVariable = "VAULT_SEEDED_DEFECT"
 
-// Seeded defects of what stands between pebble and a full disk, each of which ends the process, so that
-// another is started for each. The first is none: with the fence that process ends well.
-func TestARefusalFinds(t *testing.T) {
-	unfenced := func(l func(*pebbleStore) pebble.Logger) func(*pebbleStore, *pebble.Options) {
+// Without the disk guard, or with only its logger, pebble terminates the process on a full disk, so each of
+// these seeded defects runs in a process of its own. The first process has no defect and must pass.
+func TestRefusalDetectsDefects(t *testing.T) {
+	unguarded := func(l func(*pebbleStore) pebble.Logger) func(*pebbleStore, *pebble.Options) {
 		return func(s *pebbleStore, o *pebble.Options) { o.FS, o.Logger = s.fs, l(s) }
 	}
-	ownLogger := unfenced(func(*pebbleStore) pebble.Logger { return pebble.DefaultLogger })
+	ownLogger := unguarded(func(*pebbleStore) pebble.Logger { return pebble.DefaultLogger })
 	d := newDisk()
-	v, _, err := open("data", d.environment())
-	if err != nil || !v.save(record(1)) || v.Close(time.Minute) != nil {
-		t.Fatal("no store: ", err)
+	storage, _, err := open("data", d.environment())
+	if err != nil || !storage.save(savedState(1)) || storage.Close(time.Minute) != nil {
+		t.Fatal("can't create the store: ", err)
 	}
 	defects := []struct {
 		name   string
 		guard  func(*pebbleStore, *pebble.Options)
-		from   int // the first change at which the disk is full
+		from   int // the first operation at which the disk is full
 		memory uint64
-		code   int
-		says   string
+		code   int    // expected exit code
+		output string // expected in the output
 	}{
 		{"none", guardPebble, 1, d.environment().memTableSize, 0, "PASS"},
-		{"pebble meets a full disk as it opens", ownLogger, 1, d.environment().memTableSize, 1,
+		{"unguarded, the disk is full while pebble opens", ownLogger, 1, d.environment().memTableSize, 1,
 			"MANIFEST flush failed: no space left"},
 		{
-			"pebble meets a full disk at a save",
+			"unguarded, the disk is full at a save",
 			ownLogger,
 			d.n,
 			diskEnvironment.memTableSize,
-			1, // no table comes first
+			1, // no table is written before
 			"pebble: fatal commit error: no space left",
 		},
-		{"Fatalf alone is held back", unfenced(func(s *pebbleStore) pebble.Logger { return quietLogger{s} }), d.n,
+		{"only Fatalf is blocked", unguarded(func(s *pebbleStore) pebble.Logger { return quietLogger{s} }), d.n,
 			d.environment().memTableSize, 2, "fatal error: sync: unlock of unlocked mutex"},
 	}
 	for _, c := range defects {
-		if os.Getenv(seeded) != c.name {
+		if os.Getenv(defectVariable) != c.name {
 			continue
 		}
-		for at, begun := c.from, true; begun; at++ {
-			var found string
-			_, begun, found = full.play(at, func(w *environment) { w.guard, w.memTableSize = c.guard, c.memory })
-			if found != "" {
-				t.Errorf("at change %d: %s", at, found)
+		for at, reached := c.from, true; reached; at++ {
+			var fault string
+			_, reached, fault = fullDisk.run(at, func(env *environment) {
+				env.guard, env.memTableSize = c.guard, c.memory
+			})
+			if fault != "" {
+				t.Errorf("at operation %d: %s", at, fault)
 			}
 		}
 		return
@@ -411,194 +428,198 @@
 	defer cancel()
 	for _, c := range defects {
 		cmd := exec.CommandContext(ctx, os.Args[0], "-test.run=^"+t.Name()+"$")
-		cmd.Env = append(os.Environ(), seeded+"="+c.name)
-		out, err := cmd.CombinedOutput()
-		if code := cmd.ProcessState.ExitCode(); code != c.code || !bytes.Contains(out, []byte(c.says)) {
-			t.Errorf("%s: ended with %v; want %d, %q:\n%.3000s", c.name, err, c.code, c.says, out)
+		cmd.Env = append(os.Environ(), defectVariable+"="+c.name)
+		output, err := cmd.CombinedOutput()
+		if code := cmd.ProcessState.ExitCode(); code != c.code || !bytes.Contains(output, []byte(c.output)) {
+			t.Errorf("%s: exited with %v; want code %d, %q:\n%.3000s", c.name, err, c.code, c.output, output)
 		}
-		t.Logf("%s -> %d, %s", c.name, c.code, c.says)
+		t.Logf("%s -> %d, %s", c.name, c.code, c.output)
 	}
 }
 
-// Given a disk that takes nothing, when a machine starts on it, then it has the record that is there, its
-// saves fail, and once the disk is well they don't. The same at each change that opening makes.
-func TestAStartOnADiskThatTakesNothing(t *testing.T) {
+// On a disk that refuses writes, from any operation of the opening on, the storage opens with the stored
+// state. Saves fail until the disk accepts writes again.
+func TestOpenOnADiskThatRefusesWrites(t *testing.T) {
 	for _, saves := range []int{0, 1, 14} {
-		old := newDisk()
-		v, _, err := open("data", old.environment())
+		original := newDisk()
+		storage, _, err := open("data", original.environment())
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := 1; i <= saves; i++ {
-			v.save(record(i))
+			storage.save(savedState(i))
 		}
-		old.mu.Lock()
-		left := func() *disk { return old.lose(100, rand.New(rand.NewPCG(1, 1))) }
+		original.mu.Lock()
+		clone := func() *disk { return original.crash(100, rand.New(rand.NewPCG(1, 1))) }
 		for at := 1; ; at++ {
-			d := left()
+			d := clone()
 			d.before = func(n int, _ operation) error {
 				if n < at {
 					return nil
 				}
 				return syscall.ENOSPC
 			}
-			v, r, err := open("data", d.environment())
-			if err != nil || v.Damaged() != nil || number(r) != saves {
-				t.Fatalf("%d saves, full from change %d on: record %d, %v, %v", saves, at, number(r), err, v.Damaged())
+			storage, state, err := open("data", d.environment())
+			if err != nil || storage.Damaged() != nil || saveNumber(state) != saves {
+				t.Fatalf("%d saves, full from operation %d on: state of save %d, %v, %v", saves, at,
+					saveNumber(state), err, storage.Damaged())
 			}
 			d.mu.Lock()
 			opened := d.n < at
 			d.mu.Unlock()
-			if !opened && v.save(record(saves+1)) {
-				t.Fatalf("%d saves, full from change %d on: a save went well", saves, at)
+			if !opened && storage.save(savedState(saves+1)) {
+				t.Fatalf("%d saves, full from operation %d on: a save succeeded", saves, at)
 			}
 			d.mu.Lock()
 			d.before = nil
 			d.mu.Unlock()
-			for n := 0; !v.save(record(saves + 2)); n++ {
+			for n := 0; !storage.save(savedState(saves + 2)); n++ {
 				if n > 3 {
-					t.Fatalf("%d saves, full from change %d on: no save goes well again", saves, at)
+					t.Fatalf("%d saves, full from operation %d on: saves still fail on the free disk", saves, at)
 				}
 			}
 			d.mu.Lock()
-			f := holds(d.lose(0, nil), d.environment(), saves+2)
+			fault := checkStore(d.crash(0, nil), d.environment(), saves+2)
 			d.mu.Unlock()
-			if f != "" {
-				t.Fatalf("%d saves, full from change %d on: %s", saves, at, f)
+			if fault != "" {
+				t.Fatalf("%d saves, full from operation %d on: %s", saves, at, fault)
 			}
-			v.Close(time.Minute)
+			storage.Close(time.Minute)
 			if opened {
 				break
 			}
 		}
-		old.mu.Unlock()
-		v.Close(time.Minute)
+		original.mu.Unlock()
+		storage.Close(time.Minute)
 	}
 }
 
-// Given a disk that hangs at any change, when more is to be saved, then nothing is told until it goes on, and
-// then all of it, in order; and a close does not wait for the disk.
-func TestAHangAnywhere(t *testing.T) {
+// While the disk hangs at a write or sync, later saves are neither reported as done nor as failed, and Close
+// doesn't wait for the disk. Once the disk continues, all saves are reported as done in order.
+func TestHangAtAnyOperation(t *testing.T) {
 	const saves = 14
 	for at := 1; ; at++ {
 		d := newDisk()
-		hung, on := make(chan struct{}), make(chan struct{})
+		hung, resume := make(chan struct{}), make(chan struct{})
 		d.before = func(n int, _ operation) error {
 			if n == at {
 				close(hung)
-				<-on
+				<-resume
 			}
 			return nil
 		}
 		var order []int
 		opened := make(chan *Storage, 1)
-		told := make(chan int, saves)
+		results := make(chan int, saves) // number of a save, negative if it failed
 		go func() {
-			v, _, err := open("data", d.environment())
+			storage, _, err := open("data", d.environment())
 			if err != nil {
 				t.Error(err)
 			}
 			for i := 1; i <= saves; i++ {
-				v.Save(record(i), func(ok bool) {
+				storage.Save(savedState(i), func(ok bool) {
 					if !ok {
 						i = -i
 					}
-					told <- i
+					results <- i
 				})
 			}
-			opened <- v
+			opened <- storage
 		}()
 		closed := false
 		for len(order) < saves {
 			select {
-			case i := <-told:
+			case i := <-results:
 				order = append(order, i)
 			case <-hung:
 				hung = nil
 				if len(opened) > 0 {
-					v := <-opened
-					if err := v.Close(time.Millisecond); err == nil {
-						t.Fatalf("hung at change %d: closed", at)
+					storage := <-opened
+					if err := storage.Close(time.Millisecond); err == nil {
+						t.Fatalf("hung at operation %d: closed", at)
 					}
-					opened <- v
+					opened <- storage
 					closed = true
 				}
-				close(on)
+				close(resume)
 			}
 		}
-		if hung != nil { // it may hang yet, at what goes on behind the saves
-			close(on)
+		if hung != nil { // a background operation of pebble may still hang
+			close(resume)
 		}
 		for i, got := range order {
 			if got != i+1 {
-				t.Fatalf("hung at change %d: told %v", at, order)
+				t.Fatalf("hung at operation %d: results %v", at, order)
 			}
 		}
 		d.mu.Lock()
 		d.before = nil
-		f, changes := holds(d.lose(0, nil), d.environment(), saves), d.n
+		fault, operations := checkStore(d.crash(0, nil), d.environment(), saves), d.n
 		d.mu.Unlock()
-		if f != "" {
-			t.Fatalf("hung at change %d: %s", at, f)
+		if fault != "" {
+			t.Fatalf("hung at operation %d: %s", at, fault)
 		}
-		if v := <-opened; !closed {
-			v.Close(time.Minute)
+		if storage := <-opened; !closed {
+			storage.Close(time.Minute)
 		}
-		if changes < at {
+		if operations < at {
 			break
 		}
 	}
 }
 
-// damages opens a store of which one thing was altered, and says what is wrong: it must be told, and nothing
-// of it served; and the machine can keep what it is given next.
-func damages(d *disk, w environment) string {
-	w.fs = interceptedFS{d.MemFS, d.around}
-	v, r, err := open("data", w)
+// checkAlteredStore opens a store that was altered, and returns the fault of the storage, or an
+// empty string. The state must be one that was saved, or else the store must be reported as damaged and the
+// state be zero; and the storage must accept and keep another save.
+func checkAlteredStore(d *disk, env environment) string {
+	env.fs = interceptedFS{d.MemFS, d.intercept}
+	storage, state, err := open("data", env)
 	if err != nil {
-		return fmt.Sprint("it does not open: ", err)
+		return fmt.Sprint("the store doesn't open: ", err)
 	}
-	defer v.Close(time.Minute)
+	defer storage.Close(time.Minute)
 	switch {
-	case v.Damaged() == nil && number(r) < 0:
-		return fmt.Sprintf("it serves what was never saved: stamp %d, version %d", r.AcceptedEpoch, r.Version)
-	case v.Damaged() != nil && !reflect.DeepEqual(r, replica.PersistentState{}):
-		return "it is told as damaged, and served"
+	case storage.Damaged() == nil && saveNumber(state) < 0:
+		return fmt.Sprintf("the state was never saved: accepted epoch %d, version %d", state.AcceptedEpoch,
+			state.Version)
+	case storage.Damaged() != nil && !reflect.DeepEqual(state, replica.PersistentState{}):
+		return "the store is reported as damaged, but has a state"
 	}
-	for n := 0; !v.save(record(50)); n++ { // the damage may show only now
+	for n := 0; !storage.save(savedState(50)); n++ { // the damage may be detected only now
 		if n == 3 {
-			return "it takes no more"
+			return "the store accepts no save"
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return holds(d.lose(0, nil), w, 50)
+	return checkStore(d.crash(0, nil), env, 50)
 }
 
-// altered calls f with stores of which one key each has another value, or none.
-func altered(t *testing.T, f func(key string, d *disk)) {
+// forEachAlteredValue calls f with a copy of a store for each key, once with the key's value
+// altered and once without the key.
+func forEachAlteredValue(t *testing.T, f func(key string, d *disk)) {
 	d := newDisk()
-	v, _, err := open("data", d.environment())
+	storage, _, err := open("data", d.environment())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i <= 5; i++ {
-		v.save(record(i))
+		storage.save(savedState(i))
 	}
 	keys := map[string][]byte{}
-	i, _ := v.store.db.NewIter(nil)
-	for i.First(); i.Valid(); i.Next() {
-		keys[string(i.Key())] = bytes.Clone(i.Value())
+	it, _ := storage.store.db.NewIter(nil)
+	for it.First(); it.Valid(); it.Next() {
+		keys[string(it.Key())] = bytes.Clone(it.Value())
 	}
-	i.Close()
-	v.Close(time.Minute)
+	it.Close()
+	storage.Close(time.Minute)
 	if len(keys) < 8 {
 		t.Fatalf("%d keys", len(keys))
 	}
 	for key, value := range keys {
 		for _, drop := range []bool{false, true} {
-			left := d.lose(100, rand.New(rand.NewPCG(1, 1)))
-			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: left.MemFS,
+			clone := d.crash(100, rand.New(rand.NewPCG(1, 1)))
+			db, err := pebble.Open("data/"+storeName, &pebble.Options{FS: clone.MemFS,
 				Logger: quietLogger{&pebbleStore{}}})
 			if err != nil {
 				t.Fatal(err)
@@ -610,61 +631,63 @@
 				must(db.Set([]byte(key), value, pebble.Sync))
 			}
 			db.Close()
-			if !drop || key != string(keyState) { // without a head it is an empty store
-				f(key, left)
+			if !drop || key != string(keyState) { // without a state, the store counts as empty
+				f(key, clone)
 			}
 		}
 	}
 }
 
-// Given a store in which any one value is not as it was written, when a machine starts on it, then it is told
-// as damaged, laid aside, and nothing of it is served.
-func TestADamagedStoreIsNotServed(t *testing.T) {
-	altered(t, func(key string, d *disk) {
-		if f := damages(d, d.environment()); f != "" {
-			t.Errorf("%q: %s", key, f)
+// A store in which any single value is altered or missing is reported as damaged and set aside,
+// and its state is not returned.
+func TestDamagedStoreIsSetAside(t *testing.T) {
+	forEachAlteredValue(t, func(key string, d *disk) {
+		if fault := checkAlteredStore(d, d.environment()); fault != "" {
+			t.Errorf("%q: %s", key, fault)
 		}
 		if _, err := d.Stat("data/" + damagedName); err != nil {
-			t.Errorf("%q: not laid aside: %v", key, err)
+			t.Errorf("%q: not set aside: %v", key, err)
 		}
 	})
 }
 
-// Seeded defect: a store that is read without a look at the digests. The test above finds it by the head, by
-// a range and by a chunk of numbers. A list that is altered has a digest under which nothing lies.
-func TestADamagedStoreFinds(t *testing.T) {
-	found := map[string]string{}
-	altered(t, func(key string, d *disk) {
-		w := d.environment()
-		w.verify = func(message.Digest, []byte) bool { return true }
-		if f := damages(d, w); f != "" {
+// Seeded defect: the store is read without a check of the digests. The test above detects it by
+// altered values of the state, of a chunk of the configuration and of a chunk of the accepted
+// versions. It is not detected by altered indexes, since these contain a digest under which no
+// chunk is stored.
+func TestDamagedStoreDetectsMissingVerification(t *testing.T) {
+	faults := map[string]string{}
+	forEachAlteredValue(t, func(key string, d *disk) {
+		env := d.environment()
+		env.verify = func(message.Digest, []byte) bool { return true }
+		if fault := checkAlteredStore(d, env); fault != "" {
 			kind, _, _ := strings.Cut(key, "/")
-			found[kind] = fmt.Sprintf("%q: %s", key, f)
+			faults[kind] = fmt.Sprintf("%q: %s", key, fault)
 		}
 	})
 	for _, kind := range []string{"head", "range", "chunk"} {
-		if found[kind] == "" {
-			t.Errorf("%s: not found", kind)
+		if faults[kind] == "" {
+			t.Errorf("undetected: %s", kind)
 		}
-		t.Log(found[kind])
+		t.Log(faults[kind])
 	}
 }
 
-// Given a store of which any file is cut off, altered or gone, when a machine starts on it, then it is told
-// as damaged, or what it serves was saved once, all of it.
-func TestAFileThatIsNotAsItWasWritten(t *testing.T) {
+// A store of which any file is truncated or altered is reported as damaged, or its state is one
+// that was saved.
+func TestTruncatedOrAlteredFile(t *testing.T) {
 	d := newDisk()
-	v, _, err := open("data", d.environment())
+	storage, _, err := open("data", d.environment())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := 1; i <= 24; i++ {
-		v.save(record(i))
+		storage.save(savedState(i))
 	}
-	v.Close(time.Minute)
+	storage.Close(time.Minute)
 	names, _ := d.List("data/" + storeName)
 	slices.Sort(names)
-	tried, told := 0, 0
+	tried, damaged := 0, 0
 	for _, name := range names {
 		path := filepath.Join("data", storeName, name)
 		text, err := d.UnsafeGetFileDataBuffer(path)
@@ -672,31 +695,31 @@
 			t.Fatal(err)
 		}
 		text = bytes.Clone(text)
-		for part := range 4 {
-			at := len(text) * part / 4
+		for quarter := range 4 {
+			at := len(text) * quarter / 4
 			flipped := bytes.Clone(text)
 			if len(text) > 0 {
 				flipped[at] ^= 0x20
 			}
-			for what, now := range map[string][]byte{"cut off": text[:at], "altered": flipped} {
-				left := d.lose(100, rand.New(rand.NewPCG(1, 1)))
-				f, err := left.Create(path, "")
+			for change, content := range map[string][]byte{"truncated": text[:at], "altered": flipped} {
+				clone := d.crash(100, rand.New(rand.NewPCG(1, 1)))
+				f, err := clone.Create(path, "")
 				if err != nil {
 					t.Fatal(err)
 				}
-				_, err = f.Write(now)
+				_, err = f.Write(content)
 				must(err)
 				must(f.Sync())
 				must(f.Close())
-				if f := damages(left, left.environment()); f != "" {
-					t.Errorf("%s %s at %d of %d: %s", name, what, at, len(text), f)
+				if fault := checkAlteredStore(clone, clone.environment()); fault != "" {
+					t.Errorf("%s %s at %d of %d: %s", name, change, at, len(text), fault)
 				}
 				tried++
-				if _, err := left.Stat("data/" + damagedName); err == nil {
-					told++
+				if _, err := clone.Stat("data/" + damagedName); err == nil {
+					damaged++
 				}
 			}
 		}
 	}
-	t.Logf("%d tried, %d told as damaged", tried, told)
+	t.Logf("%d tried, %d reported as damaged", tried, damaged)
 }
--- a/internal/controlplane/storage/disk_guard.go
+++ b/internal/controlplane/storage/disk_guard.go
@@ -6,23 +6,24 @@
 	"sync"
 )
 
-// diskGuard stands between a store and its disk. Pebble ends the process at the first error of the disk, at
-// some places so that it can't be held back: it is told none. A change that the disk refuses is tried again
-// until the disk accepts it, and each refusal is told to whoever waits. After a failed sync nothing that was
-// written before can be counted on, so that trying again would prove nothing: the store is given up.
+// diskGuard hides disk errors from pebble, which terminates the process on the first one, in some places
+// inevitably. A write that the disk refuses is retried until it succeeds, and each refusal is signalled on
+// writeRefused. A failed sync is not retried: earlier writes may be lost even if a later sync succeeds, so
+// the store is abandoned.
 type diskGuard struct {
 	mu           sync.RWMutex
 	closed       bool
-	writeRefused chan struct{} // room for one
-	onFailure    func()
-	waitRetry    func() // before a change is tried again
+	writeRefused chan struct{} // capacity 1
+	onFailure    func()        // called after a failed sync
+	waitRetry    func()        // delays the retry of a write
 }
 
-// intercept does an operation. It returns no error of the disk but those that pebble expects, and does not
-// return once the store was given up: pebble would take an error for its end, and the process's.
-func (g *diskGuard) intercept(o operation, do func() error) error {
+// intercept performs an operation. It returns only errors that pebble handles: those of reads, and of files
+// that exist or don't. It blocks forever once the store was abandoned, since pebble would terminate the
+// process on an error.
+func (g *diskGuard) intercept(o operation, perform func() error) error {
 	for {
-		closed, err := g.attempt(do)
+		closed, err := g.attempt(perform)
 		switch {
 		case closed:
 			select {}
@@ -40,18 +41,19 @@
 	}
 }
 
-func (g *diskGuard) attempt(do func() error) (closed bool, err error) {
+// attempt performs an operation once, unless the guard is closed.
+func (g *diskGuard) attempt(perform func() error) (closed bool, err error) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	if g.closed {
 		return true, nil
 	}
-	return false, do()
+	return false, perform()
 }
 
-// shut keeps all that still runs of the store off the disk, so that another can be opened over the same
-// files. It waits for what is under way there: a disk that hangs is waited for.
-func (g *diskGuard) shut() {
+// close prevents the store's goroutines from accessing the disk, so that another store can be opened on the
+// same files. It waits for operations in flight, without a time limit if the disk hangs.
+func (g *diskGuard) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
--- a/internal/controlplane/storage/golden_test.go
+++ b/internal/controlplane/storage/golden_test.go
@@ -17,10 +17,10 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-var update = flag.Bool("update", false, "write the golden stores anew, for a new form only")
+var update = flag.Bool("update", false, "rewrite the golden stores, for a new format only")
 
-// goldenRecord is what the golden stores hold; the two earlier forms hold a part of it.
-func goldenRecord() replica.PersistentState {
+// goldenState returns the state in the golden stores. Those of the two earlier formats contain a part of it.
+func goldenState() replica.PersistentState {
 	config := []byte(`{"version":"r7","items_of":[` +
 		`{"item_kind":"routes","metadata":{"name":"a"},"desired":{"domain":"a.example"}},` +
 		`{"item_kind":"limits","metadata":{},"desired":{"idle_s":15}}]}`)
@@ -52,13 +52,13 @@
 	}
 }
 
-// goldenForms are the forms of a store that are read, with the record that each holds. The first two are
-// written by no program any more: their keys are set by hand.
-func goldenForms() map[string]struct {
+// goldenFormats returns the supported formats of a store by name, each with the expected state. The first two
+// are no longer written, so that their keys are listed here.
+func goldenFormats() map[string]struct {
 	want replica.PersistentState
 	keys map[string][]byte
 } {
-	want := goldenRecord()
+	want := goldenState()
 	first := replica.PersistentState{
 		CaughtUp:      true,
 		Members:       want.Members,
@@ -68,7 +68,7 @@
 		Value:         replica.Value{Version: 7, Config: want.Config},
 	}
 	second := want
-	h := storedState{
+	stored1 := storedState{
 		CaughtUp:      true,
 		Members:       want.Members,
 		PromisedEpoch: want.PromisedEpoch,
@@ -80,32 +80,34 @@
 		s := message.DigestOf(text)
 		return s[:]
 	}
-	numbers, list := message.MarshalAppend(nil, &legacyAcceptedVersions{want.AcceptedVersions}), sum(want.Config)
-	h2 := h
-	h2.AcceptedEpoch = want.AcceptedEpoch
-	h2.StoreID = want.StoreID
-	h2.MembershipEpoch = want.MembershipEpoch
-	h2.OutgoingMembers = want.OutgoingMembers
-	h2.RemovedMembers = want.RemovedMembers
-	h2.RemovedByOperator = true
-	h2.BootstrapTrusted = true
-	h2.Seeds = want.Bootstrap.Seeds
-	h2.PromisedBallot, h2.AcceptedBallot, h2.AcceptedMembers = 65, 64, want.Bootstrap.AcceptedMembers
-	h2.ConfigIndex, h2.LegacyAcceptedVersions = sum(list), sum(numbers)
-	text := message.MarshalAppend(nil, &h2)
+	accepted, index := message.MarshalAppend(nil, &legacyAcceptedVersions{want.AcceptedVersions}),
+		sum(want.Config)
+	stored2 := stored1
+	stored2.AcceptedEpoch = want.AcceptedEpoch
+	stored2.StoreID = want.StoreID
+	stored2.MembershipEpoch = want.MembershipEpoch
+	stored2.OutgoingMembers = want.OutgoingMembers
+	stored2.RemovedMembers = want.RemovedMembers
+	stored2.RemovedByOperator = true
+	stored2.BootstrapTrusted = true
+	stored2.Seeds = want.Bootstrap.Seeds
+	stored2.PromisedBallot, stored2.AcceptedBallot, stored2.AcceptedMembers =
+		65, 64, want.Bootstrap.AcceptedMembers
+	stored2.ConfigIndex, stored2.LegacyAcceptedVersions = sum(index), sum(accepted)
+	text := message.MarshalAppend(nil, &stored2)
 	return map[string]struct {
 		want replica.PersistentState
 		keys map[string][]byte
 	}{
-		"record": {first, map[string][]byte{"record": message.MarshalAppend(nil, &h),
+		"record": {first, map[string][]byte{"record": message.MarshalAppend(nil, &stored1),
 			"config": message.MarshalAppend(nil, &legacyConfig{7, want.Config})}},
-		"past": {second, map[string][]byte{"head": append(sum(text), text...), "ranges": list,
-			"range/" + string(list): want.Config, "past": numbers}},
+		"past": {second, map[string][]byte{"head": append(sum(text), text...), "ranges": index,
+			"range/" + string(index): want.Config, "past": accepted}},
 		"head": {want, nil},
 	}
 }
 
-// contents returns all keys and values of a store, a line each.
+// contents returns all keys and values of a store in hexadecimal, one line each.
 func contents(t *testing.T, dir string) []byte {
 	db, err := pebble.Open(filepath.Join(dir, "vault"), &pebble.Options{Logger: quietLogger{}})
 	if err != nil {
@@ -124,14 +126,15 @@
 	return out.Bytes()
 }
 
+// writeGolden rewrites a golden store: from its keys, or if they are nil, by saving the state.
 func writeGolden(t *testing.T, dir string, want replica.PersistentState, keys map[string][]byte) {
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if keys == nil {
-		v, _, err := Open(dir)
-		if err != nil || !v.save(want) || v.Close(time.Minute) != nil {
-			t.Fatal("not written", err)
+		storage, _, err := Open(dir)
+		if err != nil || !storage.save(want) || storage.Close(time.Minute) != nil {
+			t.Fatal("can't write the golden store: ", err)
 		}
 		return
 	}
@@ -152,11 +155,11 @@
 	}
 }
 
-// Given stores as earlier versions of the program left them, when they are opened, then the record is the one
-// that was written; and saved again, its keys and values are those that the present form has always had.
-func TestStoresOfEveryFormStay(t *testing.T) {
-	for form, c := range goldenForms() {
-		golden := filepath.Join("testdata", form)
+// Stores of all formats are opened with the state that was written. After a save, their keys and values are
+// exactly those of the golden files, so that an unintended change of the present format is detected.
+func TestStoresOfAllFormats(t *testing.T) {
+	for format, c := range goldenFormats() {
+		golden := filepath.Join("testdata", format)
 		if *update {
 			writeGolden(t, golden, c.want, c.keys)
 		}
@@ -164,22 +167,22 @@
 		if err := os.CopyFS(dir, os.DirFS(golden)); err != nil {
 			t.Fatal(err)
 		}
-		v, got, err := Open(dir)
-		if err != nil || v.Damaged() != nil || !reflect.DeepEqual(got, c.want) {
-			t.Fatalf("%s: %+v, %v; want %+v", form, got, err, c.want)
+		storage, got, err := Open(dir)
+		if err != nil || storage.Damaged() != nil || !reflect.DeepEqual(got, c.want) {
+			t.Fatalf("%s: %+v, %v; want %+v", format, got, err, c.want)
 		}
-		if !v.save(c.want) || v.Close(time.Minute) != nil {
-			t.Fatalf("%s: not saved", form)
+		if !storage.save(c.want) || storage.Close(time.Minute) != nil {
+			t.Fatalf("%s: save failed", format)
 		}
-		file := filepath.Join("testdata", form+".golden")
-		now := contents(t, dir)
+		file := filepath.Join("testdata", format+".golden")
+		saved := contents(t, dir)
 		if *update {
-			if err := os.WriteFile(file, now, 0o644); err != nil {
+			if err := os.WriteFile(file, saved, 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if want, err := os.ReadFile(file); err != nil || !bytes.Equal(now, want) {
-			t.Errorf("%s: saved with other keys or values than before: %v", form, err)
+		if want, err := os.ReadFile(file); err != nil || !bytes.Equal(saved, want) {
+			t.Errorf("%s: saved keys or values differ from the golden file: %v", format, err)
 		}
 	}
 }
--- a/internal/controlplane/storage/intercepted_fs.go
+++ b/internal/controlplane/storage/intercepted_fs.go
@@ -7,26 +7,26 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// interceptedFS is a file system whose operations all go through a function: before, around or instead.
+// interceptedFS is a file system that performs all operations through an interceptor.
 type interceptedFS struct {
 	vfs.FS
 	intercept interceptor
 }
 
-// interceptor does an operation, or doesn't. Reads of files go through it too, since they must not meet a
-// file that was closed.
-type interceptor func(o operation, do func() error) error
+// interceptor performs an operation by calling perform, any number of times or not at all. Reads go through
+// it too, since they must not access a file that was closed.
+type interceptor func(o operation, perform func() error) error
 
-// operation says what an operation does to the disk.
+// operation is the kind of a disk operation.
 type operation int
 
 const (
-	operationRead  operation = iota // nothing that counts: reads, and hints, which not every system takes
-	operationWrite                  // it changes what is there
-	operationSync                   // it makes that last
+	operationRead  operation = iota // reads, and hints, which not every system supports
+	operationWrite                  // changes files or directories
+	operationSync                   // makes changes durable
 )
 
-// wrapOpen passes on the opening of a file.
+// wrapOpen opens a file through the interceptor and wraps it.
 func (i interceptedFS) wrapOpen(o operation, open func() (vfs.File, error)) (vfs.File, error) {
 	var f vfs.File
 	err := i.intercept(o, func() (err error) {
@@ -80,44 +80,46 @@
 	return i.intercept(operationWrite, func() error { return i.FS.MkdirAll(name, mode) })
 }
 
-// Lock is pebble's. It is Storage that holds the folder's lock, through all the stores that it opens there.
+// Lock does nothing for pebble: Storage keeps the lock of the directory across all stores that it opens
+// there.
 func (i interceptedFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
 func (i interceptedFS) Unwrap() vfs.FS { return i.FS }
 
-// interceptedFile is a file of a watched disk.
+// interceptedFile is a file that performs all operations through an interceptor.
 type interceptedFile struct {
 	vfs.File
 	intercept interceptor
 }
 
-func (f *interceptedFile) count(o operation, do func() (int, error)) (n int, err error) {
+// transfer performs an operation that returns a number of bytes.
+func (f *interceptedFile) transfer(o operation, perform func() (int, error)) (n int, err error) {
 	err = f.intercept(o, func() error {
-		n, err = do()
+		n, err = perform()
 		return err
 	})
 	return n, err
 }
 
 func (f *interceptedFile) Read(p []byte) (int, error) {
-	return f.count(operationRead, func() (int, error) { return f.File.Read(p) })
+	return f.transfer(operationRead, func() (int, error) { return f.File.Read(p) })
 }
 
 func (f *interceptedFile) ReadAt(p []byte, at int64) (int, error) {
-	return f.count(operationRead, func() (int, error) { return f.File.ReadAt(p, at) })
+	return f.transfer(operationRead, func() (int, error) { return f.File.ReadAt(p, at) })
 }
 
 func (f *interceptedFile) Write(p []byte) (int, error) {
-	done := 0
-	return f.count(operationWrite, func() (int, error) { // again: with what is left
-		n, err := f.File.Write(p[done:])
-		done += n
-		return done, err
+	written := 0
+	return f.transfer(operationWrite, func() (int, error) { // a retry continues after what was written
+		n, err := f.File.Write(p[written:])
+		written += n
+		return written, err
 	})
 }
 
 func (f *interceptedFile) WriteAt(p []byte, at int64) (int, error) {
-	return f.count(operationWrite, func() (int, error) { return f.File.WriteAt(p, at) })
+	return f.transfer(operationWrite, func() (int, error) { return f.File.WriteAt(p, at) })
 }
 
 func (f *interceptedFile) Preallocate(at, size int64) error {
@@ -148,5 +150,5 @@
 	return f.intercept(operationRead, func() error { return f.File.Prefetch(at, size) })
 }
 
-// Fd keeps pebble from going past the interceptor.
+// Fd returns no descriptor, so that pebble can't bypass the interceptor.
 func (f *interceptedFile) Fd() uintptr { return vfs.InvalidFd }
--- a/internal/controlplane/storage/pebble_store.go
+++ b/internal/controlplane/storage/pebble_store.go
@@ -18,39 +18,40 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// ErrDamaged tells of a store that is not as it was written.
-var ErrDamaged = errors.New("storage: the store is not as it was written")
+// ErrDamaged means that the content of a store is not what was written.
+var ErrDamaged = errors.New("storage: the store is damaged")
 
-// Errors of a disk.
+// Errors of writes.
 var (
-	errWriteRefused = errors.New("storage: the disk refuses a change; it is tried again")
-	errStoreFailed  = errors.New("storage: the store can't go on")
+	errWriteRefused = errors.New("storage: the disk refused a write, which is being retried")
+	errStoreFailed  = errors.New("storage: the store failed")
 )
 
-// Sizes that pebble is opened with: the machines are small, and so is what is stored.
+// Limits of a pebble store, which are low since the machines are small and so is the state.
 const (
 	cacheSize        = 512 << 10 // bytes
-	memTableSize     = 512 << 10 // bytes of changes that are held before they become a table
+	memTableSize     = 512 << 10 // bytes of changes that are buffered before they are written as a table
 	maxOpenFiles     = 32
-	writeRetryDelay  = 100 * time.Millisecond // until a change that the disk refused is tried again
-	digestSize       = len(message.Digest{})
-	errObjectTooLong = "object size mismatch" // pebble's words for a file that has another length than was noted
+	writeRetryDelay  = 100 * time.Millisecond // until a refused write is retried
+	digestSize       = len(message.Digest{})  // bytes
+	sizeMismatchText = "object size mismatch" // pebble's error text for a file of an unexpected size
 )
 
-// environment is how a store gets at its disk. Tests have others.
+// environment is how a store accesses its disk and the clock. Tests replace parts of it.
 type environment struct {
 	fs           vfs.FS
-	retryDelay   func() // until a change that was refused is tried again
+	retryDelay   func() // waits before a refused write is retried
 	now          func() time.Time
 	memTableSize uint64 // bytes
-	// writes all of a batch or nothing, and syncs it
+	// commit writes a batch atomically and syncs it.
 	commit func(db *pebble.DB, b *pebble.Batch) error
-	verify func(digest message.Digest, text []byte) bool // holds what was read to its digest
-	// keeps the disk's errors from ending the process
+	// verify reports whether a text has the given digest.
+	verify func(digest message.Digest, text []byte) bool
+	// guard configures pebble so that disk errors don't terminate the process.
 	guard func(store *pebbleStore, options *pebble.Options)
 }
 
-// diskEnvironment is the program's.
+// diskEnvironment is the environment outside of tests.
 var diskEnvironment = environment{
 	fs:           vfs.Default,
 	retryDelay:   func() { time.Sleep(writeRetryDelay) },
@@ -61,35 +62,35 @@
 	guard:        guardPebble,
 }
 
-// guardPebble tells pebble none of the disk's errors, and keeps it from ending the process.
+// guardPebble hides disk errors from pebble, and prevents it from terminating the process.
 func guardPebble(p *pebbleStore, options *pebble.Options) {
 	options.FS, options.Logger = interceptedFS{p.fs, p.diskGuard.intercept}, quietLogger{p}
 }
 
-// pebbleStore is a pebble store, from its opening to the first error of the disk that can't be recovered
-// from.
+// pebbleStore is a pebble store, which is used until the first disk error that it can't recover from. It is
+// not safe for concurrent use; fail may be called from any goroutine.
 type pebbleStore struct {
 	environment
 	db        *pebble.DB
 	diskGuard diskGuard
-	once      sync.Once
-	failed    chan struct{} // closed once the store can't go on
-	corrupted atomic.Bool   // what is on the disk is not what was written
-	running   chan error    // what is under way ends here; nil: nothing
-
-	initial       replica.PersistentState       // as found at the opening, until it is asked for
-	stored        atomic.Pointer[replica.Value] // as it is in the store; nil: not known
-	configIndex   []byte                        // as they are in the store
-	acceptedIndex []byte
-	legacyKeys    [][]byte // of earlier forms, until the first save
+	failOnce  sync.Once
+	failed    chan struct{} // closed once the store has failed
+	corrupted atomic.Bool   // pebble found data that is not what was written
+	running   chan error    // receives the result of the call in progress; nil if there is none
+
+	initial       replica.PersistentState       // the state found by openPebble, until takeInitial
+	stored        atomic.Pointer[replica.Value] // the value in the store; nil if unknown
+	configIndex   []byte                        // the index in the store
+	acceptedIndex []byte                        // the index in the store
+	legacyKeys    [][]byte                      // keys of earlier formats, which the first save deletes
 }
 
-// openPebble opens the store at a path, and reads the state in it. With errWriteRefused the store is
-// returned, too, and is being opened yet: see wait.
+// openPebble opens the store at a path and reads its state. The store is returned also with an error. If that
+// is errWriteRefused, the store is still being opened: see wait.
 func openPebble(path string, env environment, readOnly bool) (*pebbleStore, error) {
 	p := &pebbleStore{environment: env, failed: make(chan struct{})}
 	p.diskGuard = diskGuard{writeRefused: make(chan struct{}, 1), onFailure: p.fail, waitRetry: env.retryDelay}
-	return p, p.do(func() (err error) {
+	return p, p.call(func() (err error) {
 		if p.db, err = pebble.Open(path, p.options(readOnly)); err != nil {
 			return err
 		}
@@ -100,6 +101,7 @@
 	})
 }
 
+// options returns pebble's options for the store.
 func (p *pebbleStore) options(readOnly bool) *pebble.Options {
 	options := &pebble.Options{
 		ReadOnly:     readOnly,
@@ -118,46 +120,48 @@
 	return options
 }
 
-// quietLogger keeps pebble's own lines out of the log, and the process alive.
+// quietLogger discards pebble's log lines and prevents it from terminating the process.
 type quietLogger struct{ store *pebbleStore }
 
 func (quietLogger) Infof(string, ...any)  {}
 func (quietLogger) Errorf(string, ...any) {}
 
-// Fatalf must not return.
+// Fatalf marks the store as failed and blocks forever, since pebble requires that it doesn't return.
 func (q quietLogger) Fatalf(string, ...any) {
 	q.store.fail()
 	select {}
 }
 
-// fail notes that the store can't go on.
-func (p *pebbleStore) fail() { p.once.Do(func() { close(p.failed) }) }
+// fail marks the store as failed. It is safe for concurrent use.
+func (p *pebbleStore) fail() { p.failOnce.Do(func() { close(p.failed) }) }
 
-// do calls pebble, which may panic, and waits. Nothing may be under way.
-func (p *pebbleStore) do(call func() error) error {
-	ended := make(chan error, 1)
-	p.running = ended
+// call calls a function that uses pebble on a goroutine of its own and waits for it as wait does. A panic
+// becomes an error. No other call may be in progress.
+func (p *pebbleStore) call(f func() error) error {
+	result := make(chan error, 1)
+	p.running = result
 	go func() {
 		err := errStoreFailed
 		defer func() {
 			if panicked := recover(); panicked != nil {
 				err = trace.Wrap(errStoreFailed, "%v", panicked)
 			}
-			ended <- err
+			result <- err
 		}()
-		err = call()
+		err = f()
 	}()
 	return p.wait()
 }
 
-// wait waits for what is under way, if anything is. It returns errWriteRefused if the disk refuses a change
-// meanwhile; the call goes on, and ends once the disk is well.
+// wait waits for the call in progress, if there is one, and returns its result. It returns errWriteRefused if
+// the disk refuses a write meanwhile: the call remains in progress, and ends once the disk accepts the
+// write. It returns an error without waiting further if the store fails.
 func (p *pebbleStore) wait() error {
 	if p.running == nil {
 		return nil
 	}
 	select {
-	case <-p.diskGuard.writeRefused: // of before
+	case <-p.diskGuard.writeRefused: // discard an earlier signal
 	default:
 	}
 	select {
@@ -168,32 +172,34 @@
 		return errWriteRefused
 	case <-p.failed:
 		if p.corrupted.Load() {
-			return trace.Wrap(ErrDamaged, "a table")
+			return trace.Wrap(ErrDamaged, "pebble found a corrupt file")
 		}
 		return errStoreFailed
 	}
 }
 
-// takeInitial returns the state that was found at the opening, once.
+// takeInitial returns the state that openPebble read. Further calls return the zero state, so that its memory
+// is freed.
 func (p *pebbleStore) takeInitial() replica.PersistentState {
 	state := p.initial
 	p.initial = replica.PersistentState{}
 	return state
 }
 
-// giveUp keeps the store off the disk, and lets go of what it held.
-func (p *pebbleStore) giveUp() {
-	p.diskGuard.shut()
+// abandon prevents the store from accessing the disk, and releases its value.
+func (p *pebbleStore) abandon() {
+	p.diskGuard.close()
 	p.stored.Store(nil)
 }
 
-// isDamage reports whether an error tells that what is on the disk is not what was written there, as opposed
-// to a disk that can't be read or written now.
+// isDamage reports whether an error means that data on the disk is missing or is not what was written, as
+// opposed to a disk that can't be read or written now.
 func isDamage(err error) bool {
 	return err != nil && (errors.Is(err, ErrDamaged) || pebble.IsCorruptionError(err) ||
-		errors.Is(err, fs.ErrNotExist) || strings.Contains(err.Error(), errObjectTooLong))
+		errors.Is(err, fs.ErrNotExist) || strings.Contains(err.Error(), sizeMismatchText))
 }
 
+// get returns a copy of the value of a key.
 func (p *pebbleStore) get(key []byte) ([]byte, error) {
 	value, closer, err := p.db.Get(key)
 	if err != nil {
@@ -203,21 +209,22 @@
 	return copied, closer.Close()
 }
 
-// getVerified reads what is under a key, and holds it to its digest.
+// getVerified returns the value of a key. The error wraps ErrDamaged if the value is missing or doesn't have
+// the given digest.
 func (p *pebbleStore) getVerified(key, digest []byte) ([]byte, error) {
 	value, err := p.get(key)
 	switch {
 	case errors.Is(err, pebble.ErrNotFound):
-		return nil, trace.Wrap(ErrDamaged, "%x is missing", key)
+		return nil, trace.Wrap(ErrDamaged, "key %x is missing", key)
 	case err != nil:
 		return nil, err
 	case len(digest) != digestSize || !p.verify(message.Digest(digest), value):
-		return nil, trace.Wrap(ErrDamaged, "%x has another digest", key)
+		return nil, trace.Wrap(ErrDamaged, "digest mismatch of key %x", key)
 	}
 	return value, nil
 }
 
-// read reads the state; the zero one from an empty store.
+// read reads the state. It is the zero state if the store is empty.
 func (p *pebbleStore) read() (replica.PersistentState, error) {
 	b, err := p.get(keyState)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -229,7 +236,7 @@
 	var stored storedState
 	if len(b) < digestSize || !p.verify(message.Digest(b[:digestSize]), b[digestSize:]) ||
 		message.Unmarshal(b[digestSize:], &stored) != nil {
-		return replica.PersistentState{}, trace.Wrap(ErrDamaged, "the state has another digest")
+		return replica.PersistentState{}, trace.Wrap(ErrDamaged, "digest mismatch of the state")
 	}
 	value := replica.Value{AcceptedEpoch: stored.AcceptedEpoch, Version: stored.Version}
 	if value.Config, p.configIndex, err = p.readChunked(&configValue, stored.ConfigIndex); err != nil {
@@ -242,7 +249,7 @@
 	return stored.persistentState(value), nil
 }
 
-// readChunked reads a text and the index of its chunks, which has the given digest.
+// readChunked reads a chunked text, and the index of its chunks, which must have the given digest.
 func (p *pebbleStore) readChunked(v *chunkedValue, indexDigest []byte) (text, index []byte, err error) {
 	if index, err = p.getVerified(v.indexKey, indexDigest); err != nil {
 		return nil, nil, err
@@ -257,8 +264,7 @@
 	return slices.Clip(text), index, nil
 }
 
-// readAcceptedVersions reads the accepted versions. Those of the earlier form are written anew with the first
-// save.
+// readAcceptedVersions reads the accepted versions in the present or the previous format.
 func (p *pebbleStore) readAcceptedVersions(stored *storedState) (list []message.AcceptedVersion, err error) {
 	if len(stored.AcceptedVersionsIndex) == 0 {
 		return p.readLegacyAcceptedVersions(stored)
@@ -269,11 +275,12 @@
 	}
 	p.acceptedIndex = index
 	if list, err = message.DecodeAcceptedVersions(text); err != nil {
-		return nil, trace.Wrap(ErrDamaged, "the accepted versions")
+		return nil, trace.Wrap(ErrDamaged, "can't decode the accepted versions")
 	}
 	return list, nil
 }
 
+// readLegacyAcceptedVersions reads the accepted versions in the second format. The first save rewrites them.
 func (p *pebbleStore) readLegacyAcceptedVersions(stored *storedState) ([]message.AcceptedVersion, error) {
 	p.legacyKeys = append(p.legacyKeys, keyLegacyAcceptedVersions)
 	text, err := p.getVerified(keyLegacyAcceptedVersions, stored.LegacyAcceptedVersions)
@@ -282,19 +289,19 @@
 	}
 	var legacy legacyAcceptedVersions
 	if message.Unmarshal(text, &legacy) != nil {
-		return nil, trace.Wrap(ErrDamaged, "the accepted versions")
+		return nil, trace.Wrap(ErrDamaged, "can't decode the accepted versions")
 	}
 	return legacy.AcceptedVersions, nil
 }
 
-// readLegacy reads a state of the first form; the zero one from an empty store. The first save writes all of
-// it anew.
+// readLegacy reads a state in the first format. It is the zero state if the store is empty. The first save
+// rewrites all of it.
 func (p *pebbleStore) readLegacy() (replica.PersistentState, error) {
 	var state storedState
 	var config legacyConfig
 	for _, entry := range []struct {
-		key  []byte
-		into any
+		key    []byte
+		target any
 	}{{keyLegacyState, &state}, {keyLegacyConfig, &config}} {
 		text, err := p.get(entry.key)
 		switch {
@@ -302,20 +309,22 @@
 			continue
 		case err != nil:
 			return replica.PersistentState{}, err
-		case message.Unmarshal(text, entry.into) != nil:
-			return replica.PersistentState{}, trace.Wrap(ErrDamaged, "%s can't be read", entry.key)
+		case message.Unmarshal(text, entry.target) != nil:
+			return replica.PersistentState{}, trace.Wrap(ErrDamaged, "can't decode key %s", entry.key)
 		}
 		p.legacyKeys = append(p.legacyKeys, entry.key)
 	}
 	return state.persistentState(replica.Value{Version: config.Version, Config: config.Config}), nil
 }
 
-// write writes a state and syncs it: what differs from the one that is there, in one batch. After an error it
-// is unknown whether the state is there; unless that is errWriteRefused, the store is to be given up.
+// write writes the differences between a state and the stored one in one batch, and syncs it. After an error
+// it is unknown whether the state was stored. The caller must abandon the store after any error but
+// errWriteRefused.
 func (p *pebbleStore) write(state replica.PersistentState) error {
-	return p.do(func() error { return p.commitState(&state) })
+	return p.call(func() error { return p.commitState(&state) })
 }
 
+// commitState does the work of write.
 func (p *pebbleStore) commitState(state *replica.PersistentState) (err error) {
 	batch := newBatch(p.db)
 	defer func() { err = errors.Join(err, batch.close()) }()
@@ -344,7 +353,7 @@
 	return nil
 }
 
-// batch gathers changes, and the first error of one.
+// batch collects changes and their errors.
 type batch struct {
 	batch *pebble.Batch
 	err   error
@@ -358,8 +367,8 @@
 
 func (b *batch) delete(key []byte) { b.err = errors.Join(b.err, b.batch.Delete(key, nil)) }
 
-// setChunked writes the chunks of a text that are not there, deletes those that it has no more, and returns
-// the index of its chunks.
+// setChunked writes the chunks of a text that are not in the old index, deletes those that are only in the
+// old index, and writes and returns the new index.
 func (b *batch) setChunked(v *chunkedValue, text, oldIndex []byte) (index []byte) {
 	old := map[string]bool{}
 	for digest := range slices.Chunk(oldIndex, digestSize) {
@@ -384,5 +393,5 @@
 	return index
 }
 
-// close closes the store.
-func (p *pebbleStore) close() error { return p.do(p.db.Close) }
+// close closes the store. No call may be in progress.
+func (p *pebbleStore) close() error { return p.call(p.db.Close) }
--- a/internal/controlplane/storage/storage.go
+++ b/internal/controlplane/storage/storage.go
@@ -1,6 +1,7 @@
-// Package storage keeps a replica's state on disk, in a pebble store. Saves are done in order by one
-// goroutine, each synced before it is told as done. A disk that refuses something ends neither the process
-// nor the storage: the save is told as failed, and goes on when the disk is well, before the next.
+// Package storage keeps a replica's state on disk, in a pebble store. One goroutine saves states in order,
+// and syncs each before it reports success. A disk that refuses a write terminates neither the process nor
+// the storage: the save is reported as failed, and is completed before the next one once the disk accepts
+// writes.
 package storage
 
 import (
@@ -17,40 +18,43 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// errBackingOff tells that a store was given up a moment ago.
-var errBackingOff = errors.New("storage: the store was given up a moment ago")
+// errBackingOff means that a store was abandoned recently and is not reopened yet.
+var errBackingOff = errors.New("storage: the store failed recently and is not reopened yet")
 
-// Names in the folder, which stay: of the store, and of one that was found damaged, until another is.
+// Names in the data directory, which must not change. A damaged store is kept until the next one is set
+// aside.
 const (
 	storeName   = "vault"
 	damagedName = "vault.damaged"
-	lockName    = "LOCK" // in the store's folder
+	lockName    = "LOCK" // in the store's directory
 )
 
 const (
-	// initialBackoff is how long a store that was given up is left alone, the first time: what still runs of it
-	// takes memory, a megabyte or two. The time doubles up to maxBackoff.
+	// initialBackoff is the delay until a store is reopened after it was abandoned the first time, since
+	// goroutines that remain of it use one or two megabytes of memory. The delay doubles each time up to
+	// maxBackoff.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 30 * time.Second
-	// closeTimeout is how long a store that nobody serves from may take to close.
+	// closeTimeout is the timeout for closing a store that Restore created.
 	closeTimeout = 10 * time.Second
-	// maxQueuedSaves is how many saves may wait before Save blocks.
+	// maxQueuedSaves is how many saves may be queued before Save blocks.
 	maxQueuedSaves = 256
 )
 
-// Storage is a store that is opened again after what the disk did to it.
+// Storage stores a replica's state, and reopens the store after disk failures. Save is safe for concurrent
+// use.
 type Storage struct {
 	env          environment
 	dir          string
-	lock         io.Closer    // nil: not held
-	store        *pebbleStore // nil: given up
-	backoff      time.Duration
+	lock         io.Closer     // of the directory; nil if not acquired
+	store        *pebbleStore  // nil if it was abandoned
+	backoff      time.Duration // until the next reopening
 	backoffUntil time.Time
-	damaged      error
-	corrupted    bool // what was given up can't be opened again
+	damaged      error // why the store that Open found could not be read
+	corrupted    bool  // the abandoned store can't be reopened and must be replaced
 	requests     chan saveRequest
-	closing      chan struct{}
-	done         chan struct{}
+	closing      chan struct{} // closed when Close is called
+	done         chan struct{} // closed when run has returned
 }
 
 type saveRequest struct {
@@ -58,11 +62,12 @@
 	onSaved func(ok bool)
 }
 
-// Open opens the store in a folder, and reads the state in it; an empty store gives the zero PersistentState.
-// So does one that is damaged: it is set aside, see Damaged. A store that can be read and not written gives
-// its state, and saves fail until it can be.
+// Open opens the store in a directory and returns its state. The state is zero if the store is empty, and if
+// it is damaged: it is then set aside, see Damaged. If the store can be read but not written, its state is
+// returned, and saves fail until the disk accepts writes.
 func Open(dir string) (*Storage, replica.PersistentState, error) { return open(dir, diskEnvironment) }
 
+// open is Open with a replaceable environment.
 func open(dir string, env environment) (*Storage, replica.PersistentState, error) {
 	s := &Storage{env: env, dir: dir, backoff: initialBackoff, requests: make(chan saveRequest, maxQueuedSaves),
 		closing: make(chan struct{}), done: make(chan struct{})}
@@ -76,7 +81,7 @@
 
 // openFirst opens the store for the first time.
 func (s *Storage) openFirst() (replica.PersistentState, error) {
-	if err := s.lockDir(); isRefusal(err) {
+	if err := s.lockDir(); isWriteRefusal(err) {
 		return s.readOnlyState(nil)
 	} else if err != nil {
 		return replica.PersistentState{}, err
@@ -88,10 +93,10 @@
 		return opened.takeInitial(), nil
 	case isDamage(err):
 		s.damaged = err
-		opened.giveUp()
+		opened.abandon()
 		err = s.replaceDamaged()
 		if err != nil && !errors.Is(err, errWriteRefused) {
-			s.giveUp() // it is tried again with the first save
+			s.abandonStore() // the first save tries again
 		}
 		return replica.PersistentState{}, nil
 	case errors.Is(err, errWriteRefused):
@@ -99,14 +104,14 @@
 		return s.readOnlyState(opened)
 	case errors.Is(err, errStoreFailed):
 		s.store = opened
-		s.giveUp()
+		s.abandonStore()
 		return s.readOnlyState(nil)
 	}
 	return replica.PersistentState{}, err
 }
 
-// readOnlyState reads the state of a store that can't be opened for writing now, while one that is being
-// opened stands still.
+// readOnlyState reads the state of a store that can't be opened for writing now. If a store is still being
+// opened on the same files, its disk access is suspended meanwhile.
 func (s *Storage) readOnlyState(opening *pebbleStore) (replica.PersistentState, error) {
 	if opening != nil {
 		opening.diskGuard.mu.Lock()
@@ -119,7 +124,7 @@
 	switch {
 	case err == nil:
 		return opened.takeInitial(), opened.close()
-	case errors.Is(err, pebble.ErrDBDoesNotExist): // it was never opened to the end
+	case errors.Is(err, pebble.ErrDBDoesNotExist): // its creation was never completed
 		return replica.PersistentState{}, nil
 	case isDamage(err):
 		s.damaged = err
@@ -130,11 +135,11 @@
 
 func (s *Storage) path() string { return filepath.Join(s.dir, storeName) }
 
-// Damaged tells why the store that Open found could not be read whole, so that the replica has to be repaired
-// as after the loss of its disk; nil if it could.
+// Damaged returns why the store that Open found could not be read completely, so that the replica must be
+// repaired as after the loss of its disk, or nil if it could.
 func (s *Storage) Damaged() error { return s.damaged }
 
-// lockDir takes the folder's lock.
+// lockDir acquires the lock of the directory, unless it is already acquired.
 func (s *Storage) lockDir() error {
 	if s.lock != nil {
 		return nil
@@ -146,12 +151,13 @@
 	return err
 }
 
-// isRefusal reports whether an error tells that the disk accepts nothing now.
-func isRefusal(err error) bool {
+// isWriteRefusal reports whether an error means that the disk accepts no writes now.
+func isWriteRefusal(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EIO) ||
 		errors.Is(err, syscall.EROFS)
 }
 
+// unlockDir releases the lock of the directory, if it is acquired.
 func (s *Storage) unlockDir() error {
 	if s.lock == nil {
 		return nil
@@ -161,10 +167,11 @@
 	return err
 }
 
-// replaceDamaged sets a damaged store aside, and opens an empty one in its place.
+// replaceDamaged sets a damaged store aside, or removes it if that fails, and opens an empty one in its
+// place.
 func (s *Storage) replaceDamaged() error {
 	disk, aside := s.env.fs, filepath.Join(s.dir, damagedName)
-	_ = s.unlockDir() // the lock is of the folder that is set aside
+	_ = s.unlockDir() // the lock file is in the directory that is set aside
 	if err := disk.RemoveAll(aside); err != nil {
 		return err
 	}
@@ -175,6 +182,7 @@
 	return s.reopen()
 }
 
+// reopen opens the store for writing.
 func (s *Storage) reopen() error {
 	if err := s.lockDir(); err != nil {
 		return err
@@ -184,10 +192,10 @@
 	return err
 }
 
-// Save writes a state and syncs it, and then calls onSaved, on the storage's goroutine. After a failed save
-// it is unknown which of the two states is on the disk. It does not block, unless hundreds of saves wait.
-// Those that come once the storage is being closed are told as failed, at once: a replica that was told to
-// stop is asked for its promise up to its end.
+// Save queues a state to be written and synced. onSaved is called with the result on the storage's goroutine.
+// After a failed save it is unknown whether the state or the previous one is on disk. Save blocks only if
+// maxQueuedSaves saves are queued. Once the storage is being closed, Save calls onSaved with false at once: a
+// replica may receive requests for its promise until its process ends.
 func (s *Storage) Save(state replica.PersistentState, onSaved func(ok bool)) {
 	select {
 	case <-s.closing:
@@ -202,7 +210,7 @@
 	}
 }
 
-// run does the saves, until the storage is closed.
+// run performs the saves until the storage is closed, and abandons the store when it fails.
 func (s *Storage) run() {
 	defer close(s.done)
 	for {
@@ -212,7 +220,7 @@
 		}
 		select {
 		case <-failed:
-			s.giveUp()
+			s.abandonStore()
 		case request := <-s.requests:
 			request.onSaved(s.write(request.state) == nil)
 		case <-s.closing:
@@ -222,7 +230,7 @@
 	}
 }
 
-// writeQueued does the saves that were handed in before the storage was closed.
+// writeQueued performs the saves that were queued before the storage was closed.
 func (s *Storage) writeQueued() {
 	for {
 		select {
@@ -234,10 +242,10 @@
 	}
 }
 
-// giveUp leaves a store to itself, if there is one, for a while.
-func (s *Storage) giveUp() {
+// abandonStore abandons the store, if there is one, and starts the backoff before the next reopening.
+func (s *Storage) abandonStore() {
 	if s.store != nil {
-		s.store.giveUp()
+		s.store.abandon()
 		s.corrupted = s.store.corrupted.Load()
 		s.store = nil
 	}
@@ -245,34 +253,35 @@
 	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// write writes a state, in order behind what the disk has refused so far.
+// write writes a state once earlier writes that the disk refused are completed.
 func (s *Storage) write(state replica.PersistentState) error {
 	err := s.ready()
 	if err == nil {
 		err = s.store.write(state)
 	}
 	if err != nil && !errors.Is(err, errWriteRefused) && !errors.Is(err, errBackingOff) {
-		s.giveUp()
+		s.abandonStore()
 	}
 	return err
 }
 
-// ready waits for the store to be free. One that was given up is opened again; one that is damaged by now is
-// replaced: the state to be saved has all that is to be in it.
+// ready waits until the store can be written. A store that was abandoned is reopened, and one that proves
+// damaged is replaced by an empty one: nothing is lost, since the state that will be saved is complete.
 func (s *Storage) ready() error {
 	err := s.awaitStore()
 	if isDamage(err) {
 		if s.store != nil {
-			s.store.giveUp()
+			s.store.abandon()
 		}
 		err = s.replaceDamaged()
 	}
 	if err == nil {
-		s.store.takeInitial() // the one to be saved is newer
+		s.store.takeInitial() // dropped: the state that will be saved is newer
 	}
 	return err
 }
 
+// awaitStore waits for the store's call in progress, or reopens the store after the backoff.
 func (s *Storage) awaitStore() error {
 	switch {
 	case s.store != nil:
@@ -285,9 +294,9 @@
 	return s.reopen()
 }
 
-// Close ends the saves under way and closes the store. A disk that hangs is not waited for longer than the
-// limit: the error is a trace.LimitExceeded then.
-func (s *Storage) Close(limit time.Duration) error {
+// Close completes the queued saves and closes the store. If that takes longer than the timeout, as on a disk
+// that hangs, the error is a trace.LimitExceeded. Close must be called once.
+func (s *Storage) Close(timeout time.Duration) error {
 	close(s.closing)
 	closed := make(chan error, 1)
 	go func() {
@@ -297,8 +306,8 @@
 	select {
 	case err := <-closed:
 		return trace.Wrap(err)
-	case <-time.After(limit):
-		return trace.LimitExceeded("storage: the disk does not answer")
+	case <-time.After(timeout):
+		return trace.LimitExceeded("storage: the store was not closed in time; the disk may hang")
 	}
 }
 
--- a/internal/controlplane/storage/storage_test.go
+++ b/internal/controlplane/storage/storage_test.go
@@ -14,13 +14,12 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// Given records saved in order, when the store is opened again, then the last is there, with the
-// configuration.
-func TestAStateOutlivesTheProcess(t *testing.T) {
+// After states were saved in order and the store was closed, the reopened store has the last of them.
+func TestStateIsPersistent(t *testing.T) {
 	dir := t.TempDir()
-	v, r, err := Open(dir)
-	if err != nil || !reflect.DeepEqual(r, replica.PersistentState{}) {
-		t.Fatalf("an empty store: %+v, %v", r, err)
+	storage, state, err := Open(dir)
+	if err != nil || !reflect.DeepEqual(state, replica.PersistentState{}) {
+		t.Fatalf("an empty store: %+v, %v", state, err)
 	}
 	saved := make(chan bool)
 	want := replica.PersistentState{
@@ -30,9 +29,9 @@
 	}
 	for version := range uint64(5) {
 		want.Version, want.Config = version+1, []byte{'c', byte(version)}
-		v.Save(want, func(ok bool) { saved <- ok })
+		storage.Save(want, func(ok bool) { saved <- ok })
 		if !<-saved {
-			t.Fatal("not saved")
+			t.Fatal("save failed")
 		}
 	}
 	want.Epoch, want.Chain = 128, []string{"a", "b"}
@@ -46,23 +45,23 @@
 		AcceptedBallot:  64,
 		AcceptedMembers: want.Members,
 	}
-	v.Save(want, func(ok bool) { saved <- ok })
+	storage.Save(want, func(ok bool) { saved <- ok })
 	<-saved
-	if err := v.Close(time.Minute); err != nil {
+	if err := storage.Close(time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	v, r, err = Open(dir)
-	if err != nil || !reflect.DeepEqual(r, want) {
-		t.Fatalf("opened again: %+v, %v; want %+v", r, err, want)
+	storage, state, err = Open(dir)
+	if err != nil || !reflect.DeepEqual(state, want) {
+		t.Fatalf("reopened: %+v, %v; want %+v", state, err, want)
 	}
-	v.Close(time.Minute)
+	storage.Close(time.Minute)
 }
 
-// Given the store of a stopped machine, when it is looked at and a core is restored from it, then the new
-// stores hold the configuration, under epochs above all of the old ones.
-func TestACoreIsRestoredFromWhatIsLeft(t *testing.T) {
-	dir, fresh := t.TempDir(), t.TempDir()
-	v, _, err := Open(dir)
+// A core that is restored from a snapshot of a stopped machine's store has its configuration, and epochs
+// above those of the old core.
+func TestCoreIsRestoredFromASnapshot(t *testing.T) {
+	dir, restoredDir := t.TempDir(), t.TempDir()
+	storage, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,13 +73,13 @@
 		Chain:         []string{"a", "b"},
 		Value:         replica.Value{Version: 7, Config: []byte(`{"version":"r7"}`)},
 	}
-	if err := v.write(old); err != nil {
+	if err := storage.write(old); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadSnapshot(dir); !trace.IsCompareFailed(err) {
-		t.Errorf("a store in use: %v", err)
+		t.Errorf("reading a store in use: %v", err)
 	}
-	v.Close(time.Minute)
+	storage.Close(time.Minute)
 	s, err := ReadSnapshot(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -89,29 +88,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := DecodeSnapshot(text)
-	if err != nil || !reflect.DeepEqual(read, s) || s.Epoch != 256 || len(s.Members) != 3 {
-		t.Fatalf("%+v, %v; want %+v", read, err, s)
+	decoded, err := DecodeSnapshot(text)
+	if err != nil || !reflect.DeepEqual(decoded, s) || s.Epoch != 256 || len(s.Members) != 3 {
+		t.Fatalf("%+v, %v; want %+v", decoded, err, s)
 	}
 	core := []message.Node{{Addr: "d", Zone: "z"}, {Addr: "a", Zone: "y"}}
-	if err := Restore(fresh, read, core); err != nil {
+	if err := Restore(restoredDir, decoded, core); err != nil {
 		t.Fatal(err)
 	}
-	if err := Restore(fresh, read, core); !trace.IsAlreadyExists(err) {
-		t.Errorf("over a store: %v", err)
+	if err := Restore(restoredDir, decoded, core); !trace.IsAlreadyExists(err) {
+		t.Errorf("restoring over a store: %v", err)
 	}
-	v, got, err := Open(fresh)
+	storage, got, err := Open(restoredDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Close(time.Minute)
+	storage.Close(time.Minute)
 	if !got.CaughtUp || got.Epoch <= old.PromisedEpoch || got.PromisedEpoch != got.Epoch || got.Version != 7 ||
 		string(got.Config) != string(old.Config) || len(got.Members) != 2 || got.Members[0].Addr != "a" {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestASnapshotThatIsNotWholeIsNotTaken(t *testing.T) {
+// DecodeSnapshot rejects a document with an unsupported format, a wrong digest or a missing configuration
+// with an error that names the fault, and invalid JSON.
+func TestInvalidSnapshotIsRejected(t *testing.T) {
 	good := Snapshot{Format: 1, Version: 3, Config: "x", Digest: configDigest([]byte("x"))}
 	for name, change := range map[string]func(*Snapshot){
 		"form":          func(s *Snapshot) { s.Format = 2 },
@@ -126,16 +127,16 @@
 		}
 	}
 	if _, err := DecodeSnapshot([]byte("{")); !trace.IsBadParameter(err) {
-		t.Errorf("cut off: %v", err)
+		t.Errorf("truncated: %v", err)
 	}
 	if _, err := ReadSnapshot(t.TempDir()); !trace.IsNotFound(err) {
 		t.Errorf("no store: %v", err)
 	}
 }
 
-// Given the stores of machines that ran earlier programs, when they are opened, then the record is there, and
-// the first save writes it in the form that there is now.
-func TestStoresOfEarlierFormsAreRead(t *testing.T) {
+// Stores in the earlier formats are opened with their state. The first save rewrites them in the present
+// format and removes the legacy keys.
+func TestLegacyStoresAreConverted(t *testing.T) {
 	want := replica.PersistentState{
 		CaughtUp:      true,
 		Members:       []message.Node{{Addr: "a", Zone: "z"}},
@@ -144,9 +145,9 @@
 		Chain:         []string{"a"},
 		Value:         replica.Value{Version: 7, Config: []byte("text")},
 	}
-	numbered := want
-	numbered.AcceptedVersions = past(70)
-	h := storedState{
+	withVersions := want
+	withVersions.AcceptedVersions = acceptedVersions(70)
+	stored1 := storedState{
 		CaughtUp:      true,
 		Members:       want.Members,
 		PromisedEpoch: 192,
@@ -154,28 +155,28 @@
 		Chain:         want.Chain,
 		Version:       7,
 	}
-	under := func(text []byte) []byte {
+	digestOf := func(text []byte) []byte {
 		sum := message.DigestOf(text)
 		return sum[:]
 	}
-	range1, whole, numberedHead := under(want.Config), message.MarshalAppend(nil,
-		&legacyAcceptedVersions{numbered.AcceptedVersions}), h
-	numberedHead.ConfigIndex, numberedHead.LegacyAcceptedVersions = under(range1), under(whole)
-	text := message.MarshalAppend(nil, &numberedHead)
+	index, accepted, stored2 := digestOf(want.Config), message.MarshalAppend(nil,
+		&legacyAcceptedVersions{withVersions.AcceptedVersions}), stored1
+	stored2.ConfigIndex, stored2.LegacyAcceptedVersions = digestOf(index), digestOf(accepted)
+	text := message.MarshalAppend(nil, &stored2)
 	for _, c := range []struct {
-		want replica.PersistentState
-		keys map[string][]byte
-		gone []byte // a key that the first save removes
+		want      replica.PersistentState
+		keys      map[string][]byte
+		legacyKey []byte // the first save removes it
 	}{
 		{want, map[string][]byte{
-			string(keyLegacyState):  message.MarshalAppend(nil, &h),
+			string(keyLegacyState):  message.MarshalAppend(nil, &stored1),
 			string(keyLegacyConfig): message.MarshalAppend(nil, &legacyConfig{7, want.Config}),
 		}, keyLegacyState},
-		{numbered, map[string][]byte{
-			string(keyState):                     append(under(text), text...),
-			string(configValue.indexKey):         range1,
-			string(configValue.chunkKey(range1)): want.Config,
-			string(keyLegacyAcceptedVersions):    whole,
+		{withVersions, map[string][]byte{
+			string(keyState):                    append(digestOf(text), text...),
+			string(configValue.indexKey):        index,
+			string(configValue.chunkKey(index)): want.Config,
+			string(keyLegacyAcceptedVersions):   accepted,
 		}, keyLegacyAcceptedVersions},
 	} {
 		dir, want := t.TempDir(), c.want
@@ -191,18 +192,18 @@
 		if err := db.Close(); err != nil {
 			t.Fatal(err)
 		}
-		for _, stamp := range []uint64{0, 256} {
-			v, got, err := Open(dir)
-			if err != nil || v.Damaged() != nil || !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v, %v, %v; want %+v", got, err, v.Damaged(), want)
+		for _, acceptedEpoch := range []uint64{0, 256} {
+			storage, got, err := Open(dir)
+			if err != nil || storage.Damaged() != nil || !reflect.DeepEqual(got, want) {
+				t.Fatalf("%+v, %v, %v; want %+v", got, err, storage.Damaged(), want)
 			}
-			_, err = v.store.get(c.gone)
-			if earlier := err == nil; earlier != (stamp == 0) {
-				t.Errorf("%s: what there was before is there: %v", c.gone, earlier)
+			_, err = storage.store.get(c.legacyKey)
+			if found := err == nil; found != (acceptedEpoch == 0) {
+				t.Errorf("legacy key %s found: %v", c.legacyKey, found)
 			}
 			want.AcceptedEpoch = 256
-			if !v.save(want) || v.Close(time.Minute) != nil {
-				t.Fatal("not saved")
+			if !storage.save(want) || storage.Close(time.Minute) != nil {
+				t.Fatal("save failed")
 			}
 		}
 	}
