--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -227,8 +227,8 @@
 	runDecisions(decisions)
 }
 
-// Tick repeats token requests, decides on requests that were queued for too long, and removes idle tenants.
-// It should be called about every 100 ms.
+// Tick repeats token requests, decides on queued requests that should wait no longer, and removes idle
+// tenants. It should be called about every 100 ms.
 func (l *Limiter) Tick(now time.Duration) {
 	l.mu.Lock()
 	if l.silentSince != 0 && now > l.silentSince+disconnectAfter {
@@ -246,9 +246,9 @@
 	runDecisions(decisions)
 }
 
-// decideQueued decides on the requests of a tenant that were queued for longer than maxQueueTime, and while
-// disconnected on all queued requests, which are then admitted from the local share. It returns the calls of
-// the decide functions.
+// decideQueued returns decisions on the queued requests of a tenant. While connected, all are denied once the
+// first has waited for longer than maxQueueTime. While disconnected, they are admitted as far as the local
+// share has tokens, and the rest is denied.
 func (l *Limiter) decideQueued(now time.Duration, tenant *tenantState) (decisions []func()) {
 	for len(tenant.queue) > 0 && (l.state == StateDisconnected || now > tenant.queue[0].queuedAt+maxQueueTime) {
 		if l.state == StateConnected || !tenant.spendLocal(now, l.nodes) {
