--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -37,9 +37,9 @@
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	switch {
 	case path != h.path:
-		respond(http1.Plain(http.StatusNotFound, "not found"))
+		respond(http1.Plain(http.StatusNotFound, "no such page"))
 	case r.Method != http.MethodGet:
-		respond(http1.Plain(http.StatusMethodNotAllowed, "only GET is allowed"))
+		respond(http1.Plain(http.StatusMethodNotAllowed, "GET alone"))
 	default:
 		go func() { respond(h.metricsResponse()) }()
 	}
@@ -54,7 +54,7 @@
 	encoder := expfmt.NewEncoder(&body, format)
 	for _, family := range families {
 		if err := encoder.Encode(family); err != nil {
-			return http1.Plain(http.StatusInternalServerError, "can't encode the metrics")
+			return http1.Plain(http.StatusInternalServerError, "figures can't be written")
 		}
 	}
 	return &http1.Answer{Status: http.StatusOK, Header: [][2]string{{"Content-Type", string(format)}},
--- a/internal/metrics/requests.go
+++ b/internal/metrics/requests.go
@@ -36,10 +36,10 @@
 	labels := []string{"kind", "rank"}
 	r := &Requests{
 		ended: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: "requests_total",
-			Help: "Finished client requests by outcome."}, append([]string{"outcome"}, labels...)),
+			Help: "Requests of clients that have ended, by how."}, append([]string{"outcome"}, labels...)),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace,
 			Name:    "request_duration_seconds",
-			Help:    "Time from the complete receipt of a request to the server's response.",
+			Help:    "Time from when a request had come whole until a server's answer to it.",
 			Buckets: durationBuckets}, labels),
 	}
 	registry.MustRegister(r.ended, r.duration)
