--- a/internal/flow/budget.go
+++ b/internal/flow/budget.go
@@ -1,11 +1,11 @@
-// Package flow decides how much of a long body may be held at a time, how many long transfers there may be,
-// and which side of one is too slow. It knows neither clock nor wire: whoever moves the bytes asks before it
-// reads, and tells what it read and wrote.
+// Package flow limits how much of a long body may be in memory at a time, how many long transfers may be
+// open, and how slow each side of a transfer may be. It has no clock and does no I/O: callers pass the time,
+// reserve memory before they read, and report what they have read and written.
 //
-// A Budget bounds the memory of all transfers. Each that is admitted is sure of a least window in both
-// directions, so that none can be starved into standing still; beyond that, windows come out of what is
-// free, and shrink as that gets short. Reads stop while a window is full, and so the slower side sets the
-// pace: nothing grows with the length of a body.
+// A Budget bounds the memory of all transfers. Each admitted transfer is guaranteed a minimum window in both
+// directions, so that none can starve; beyond that, windows come out of the free part of the budget and
+// shrink as it runs short. Reads stop while a window is full, so the slower side sets the pace, and memory
+// use does not grow with the length of a body.
 package flow
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Direction is one of the two that a transfer has.
+// Direction is one of the two directions of a transfer.
 type Direction int
 
 // The directions.
@@ -25,20 +25,20 @@
 	directions
 )
 
-// Options bound a budget, in bytes.
+// Options are the limits of a Budget, in bytes.
 type Options struct {
-	Bytes     int // for all transfers
-	Window    int // of one direction of one transfer, at most
-	MinWindow int // and at least: with Bytes, it says how many transfers there may be
+	Bytes     int // of all transfers together
+	Window    int // maximum for one direction of one transfer
+	MinWindow int // guaranteed for each direction; with Bytes, it limits the number of transfers
 }
 
-// What may be wrong with options.
+// Errors of Options.Validate. They use the names of the settings.
 var (
 	errWindow = errors.New("flow: want 0 < least <= window")
-	errBytes  = errors.New("flow: the bytes don't hold one transfer")
+	errBytes  = errors.New("flow: bytes must be at least twice least, for one transfer")
 )
 
-// Validate names the first option that makes no sense.
+// Validate returns an error for the first option that is invalid.
 func (o Options) Validate() error {
 	switch {
 	case o.MinWindow <= 0 || o.Window < o.MinWindow || o.Window > math.MaxInt32:
@@ -49,76 +49,80 @@
 	return nil
 }
 
-// MaxTransfers is how many transfers there may be at a time.
+// MaxTransfers returns the maximum number of open transfers.
 func (o Options) MaxTransfers() int { return o.Bytes / (int(directions) * o.MinWindow) }
 
-// pressed is the part of the budget from which windows shrink.
-const pressed = 0.8
+// shrinkThreshold is the used fraction of the budget above which windows shrink.
+const shrinkThreshold = 0.8
 
-// endsW is the weight of one ended transfer in the mean distance between ends.
-const endsW = 0.2
+// endIntervalWeight is the weight of the newest interval in the moving average of the intervals at which
+// transfers end.
+const endIntervalWeight = 0.2
 
 // Budget is the memory of all transfers. It is safe for concurrent use.
 type Budget struct {
-	set Options
+	options Options
 
-	mu    sync.Mutex
-	open  int           // transfers
-	extra int           // bytes held beyond the least windows
-	ended time.Duration // when the last one ended
-	every time.Duration // smoothed distance between ends; 0: none has ended
+	mu          sync.Mutex
+	open        int           // transfers
+	extra       int           // bytes reserved beyond the minimum windows
+	lastEnd     time.Duration // when the last transfer ended
+	endInterval time.Duration // moving average between ends of transfers; 0 until two have ended
 }
 
-// NewBudget returns a budget of which nothing is held. The options must be valid.
-func NewBudget(o Options) *Budget { return &Budget{set: o} }
+// NewBudget returns a budget with nothing reserved. The options must be valid.
+func NewBudget(o Options) *Budget { return &Budget{options: o} }
 
-// Transfer is one that was admitted.
+// Transfer is an admitted transfer.
 type Transfer struct {
-	budget *Budget
-	held   [directions]int // guarded by the budget's lock
-	closed bool
+	budget   *Budget
+	reserved [directions]int // bytes; guarded by budget.mu
+	closed   bool
 }
 
-// Admit lets a transfer begin, or says when to come back: after so long another one will have ended, by how
-// they ended of late.
-func (b *Budget) Admit(now time.Duration) (t *Transfer, after time.Duration) {
+// Admit opens a transfer. If the budget does not allow another one, it returns nil and how long to wait
+// before the next try: at the limit of transfers, the recent interval between ends of transfers, and at least
+// a second.
+func (b *Budget) Admit(now time.Duration) (t *Transfer, retryAfter time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open >= b.set.MaxTransfers() {
-		return nil, max(b.every, time.Second)
+	if b.open >= b.options.MaxTransfers() {
+		return nil, max(b.endInterval, time.Second)
 	}
-	// What others hold beyond their least is never taken back: a new one has to wait until it is written.
-	if b.extra > b.set.Bytes-(b.open+1)*int(directions)*b.set.MinWindow {
+	// What other transfers have reserved beyond their minimum is never revoked: a new transfer has to wait
+	// until those bytes are written and released.
+	if b.extra > b.options.Bytes-(b.open+1)*int(directions)*b.options.MinWindow {
 		return nil, time.Second
 	}
 	b.open++
 	return &Transfer{budget: b}, 0
 }
 
-// Reserved tells how many bytes may be held at present, least windows counted whole.
+// Reserved returns the number of bytes in use, counting the minimum windows of open transfers in full.
 func (b *Budget) Reserved() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.open*int(directions)*b.set.MinWindow + b.extra
+	return b.open*int(directions)*b.options.MinWindow + b.extra
 }
 
-// Open tells how many transfers there are.
+// Open returns the number of open transfers.
 func (b *Budget) Open() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.open
 }
 
-// window is what one direction may hold now: all of it while there is plenty, and less and less, down to the
-// least, as the budget gets short. The lock is held.
+// window returns the current limit of one direction: the full window while less than shrinkThreshold of the
+// budget is used, then linearly less, down to the minimum window when all of it is used. It must be called
+// with mu held.
 func (b *Budget) window() int {
-	used := float64(b.open*int(directions)*b.set.MinWindow+b.extra) / float64(b.set.Bytes)
-	part := min(1, max(0, (1-used)/(1-pressed)))
-	return b.set.MinWindow + int(part*float64(b.set.Window-b.set.MinWindow))
+	used := float64(b.open*int(directions)*b.options.MinWindow+b.extra) / float64(b.options.Bytes)
+	share := min(1, max(0, (1-used)/(1-shrinkThreshold)))
+	return b.options.MinWindow + int(share*float64(b.options.Window-b.options.MinWindow))
 }
 
-// Reserve reserves room for up to so many bytes that are about to be read, and returns for how many. 0 means to
-// read nothing before some were given back.
+// Reserve reserves memory for up to want bytes that are about to be read, and returns for how many it did. If
+// that is 0, the caller must not read before some bytes have been released.
 func (t *Transfer) Reserve(d Direction, want int) int {
 	b := t.budget
 	b.mu.Lock()
@@ -126,37 +130,38 @@
 	if t.closed {
 		return 0
 	}
-	n := max(0, min(want, b.window()-t.held[d]))
-	// What goes beyond the least window comes out of what is free of all.
-	free := b.set.Bytes - b.open*int(directions)*b.set.MinWindow - b.extra
-	sure := max(0, b.set.MinWindow-t.held[d])
-	if over := n - sure; over > 0 {
-		over = min(over, max(0, free))
-		n = sure + over
-		b.extra += over
+	n := max(0, min(want, b.window()-t.reserved[d]))
+	// What exceeds the minimum window comes out of the part of the budget that all transfers share.
+	free := b.options.Bytes - b.open*int(directions)*b.options.MinWindow - b.extra
+	guaranteed := max(0, b.options.MinWindow-t.reserved[d])
+	if excess := n - guaranteed; excess > 0 {
+		excess = min(excess, max(0, free))
+		n = guaranteed + excess
+		b.extra += excess
 	}
-	t.held[d] += n
+	t.reserved[d] += n
 	return n
 }
 
-// Release returns room that was taken: of bytes that were written, or not read after all.
+// Release returns n reserved bytes that were written, or not read after all.
 func (t *Transfer) Release(d Direction, n int) {
 	b := t.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !t.closed {
-		t.give(d, n)
+		t.release(d, n)
 	}
 }
 
-func (t *Transfer) give(d Direction, n int) {
-	n = min(n, t.held[d])
-	over := max(0, t.held[d]-t.budget.set.MinWindow)
-	t.budget.extra -= min(over, n)
-	t.held[d] -= n
+// release is Release with budget.mu held.
+func (t *Transfer) release(d Direction, n int) {
+	n = min(n, t.reserved[d])
+	excess := max(0, t.reserved[d]-t.budget.options.MinWindow)
+	t.budget.extra -= min(excess, n)
+	t.reserved[d] -= n
 }
 
-// Close ends a transfer and returns all that it holds. Only the first call counts.
+// Close ends a transfer and releases all that it has reserved. Calls after the first do nothing.
 func (t *Transfer) Close(now time.Duration) {
 	b := t.budget
 	b.mu.Lock()
@@ -165,15 +170,15 @@
 		return
 	}
 	for d := range directions {
-		t.give(d, t.held[d])
+		t.release(d, t.reserved[d])
 	}
 	t.closed = true
 	b.open--
-	if b.ended > 0 && now > b.ended {
-		if b.every == 0 {
-			b.every = now - b.ended
+	if b.lastEnd > 0 && now > b.lastEnd {
+		if b.endInterval == 0 {
+			b.endInterval = now - b.lastEnd
 		}
-		b.every += time.Duration(endsW * float64(now-b.ended-b.every))
+		b.endInterval += time.Duration(endIntervalWeight * float64(now-b.lastEnd-b.endInterval))
 	}
-	b.ended = now
+	b.lastEnd = now
 }
--- a/internal/flow/pace.go
+++ b/internal/flow/pace.go
@@ -2,88 +2,90 @@
 
 import "time"
 
-// Pace is how fast one side of a transfer must be. The zero Pace lets it take any time.
+// Pace is the minimum speed that one side of a transfer must keep. The zero Pace sets no limit.
 type Pace struct {
-	MinRate float64       // bytes a second; 0: any
-	Grace   time.Duration // for which it may be slower; more bytes earn it back
-	Stall   time.Duration // without a byte, however fast it was before; 0: any
+	MinRate float64       // bytes per second; 0 means no limit
+	Grace   time.Duration // how long the side may fall behind MinRate; faster transfer earns it back
+	Stall   time.Duration // longest wait without any byte, however fast the side was before; 0 means no limit
 }
 
-// Violation is what a side has done wrong.
+// Violation is the way in which a side fails to keep its Pace.
 type Violation int
 
-// The kinds of Blame.
+// The kinds of Violation.
 const (
 	None Violation = iota
 	Slow
 	Stalled
 )
 
-func (b Violation) String() string { return [...]string{"none", "slow", "stalled"}[b] }
+func (v Violation) String() string { return [...]string{"none", "slow", "stalled"}[v] }
 
-// Monitor follows one side of a transfer. Only time spent waiting for this side counts, so that one that is
-// slow because the other is slow is not blamed. It is not safe for concurrent use.
+// Monitor checks one side of a transfer against a Pace. Only time spent waiting for this side counts, so that
+// a side that is slow because of the other side is not penalized. It is not safe for concurrent use.
 type Monitor struct {
-	pace    Pace
-	credit  time.Duration // of grace
-	since   time.Duration // when the wait began
-	waiting bool
-	moved   int64
+	pace      Pace
+	grace     time.Duration // that is left
+	waitStart time.Duration // valid while waiting
+	waiting   bool
+	bytes     int64
 }
 
-// NewMonitor returns a watch for a side that nobody waits for yet.
-func NewMonitor(p Pace) *Monitor { return &Monitor{pace: p, credit: p.Grace} }
+// NewMonitor returns a monitor of a side that the transfer is not waiting for yet.
+func NewMonitor(p Pace) *Monitor { return &Monitor{pace: p, grace: p.Grace} }
 
-// StartWait tells that from now on the transfer waits for this side: to send, or to take what is being written to
-// it.
-func (w *Monitor) StartWait(now time.Duration) {
-	if !w.waiting {
-		w.waiting, w.since = true, now
+// StartWait records that the transfer waits for this side from now on: for it to send, or to accept what is
+// being written to it. It does nothing if the transfer is already waiting.
+func (m *Monitor) StartWait(now time.Duration) {
+	if !m.waiting {
+		m.waiting, m.waitStart = true, now
 	}
 }
 
-// Moved tells that the wait has brought so many bytes, and is over. Bytes that came without a wait count too.
-func (w *Monitor) Moved(now time.Duration, n int) {
-	w.moved += int64(n)
-	if w.waiting {
-		w.waiting = false
-		w.credit -= now - w.since
+// Moved records that n bytes were transferred, and ends the wait if there is one. Bytes that are transferred
+// without a wait count as well.
+func (m *Monitor) Moved(now time.Duration, n int) {
+	m.bytes += int64(n)
+	if m.waiting {
+		m.waiting = false
+		m.grace -= now - m.waitStart
 	}
-	if w.pace.MinRate > 0 {
-		earned := time.Duration(float64(n) / w.pace.MinRate * float64(time.Second))
-		w.credit = min(w.pace.Grace, w.credit+earned)
+	if m.pace.MinRate > 0 {
+		earned := time.Duration(float64(n) / m.pace.MinRate * float64(time.Second))
+		m.grace = min(m.pace.Grace, m.grace+earned)
 	}
 }
 
-// Bytes tells how many have moved.
-func (w *Monitor) Bytes() int64 { return w.moved }
+// Bytes returns the number of bytes transferred so far.
+func (m *Monitor) Bytes() int64 { return m.bytes }
 
-// Deadline tells when the side is to be blamed if nothing moves until then. ok is false if that is never.
-func (w *Monitor) Deadline() (at time.Duration, ok bool) {
-	if !w.waiting {
+// Deadline returns the time at which the side violates its pace if no byte is transferred before. ok is false
+// if there is no such time.
+func (m *Monitor) Deadline() (at time.Duration, ok bool) {
+	if !m.waiting {
 		return 0, false
 	}
-	if w.pace.Stall > 0 {
-		at, ok = w.since+w.pace.Stall, true
+	if m.pace.Stall > 0 {
+		at, ok = m.waitStart+m.pace.Stall, true
 	}
-	if w.pace.MinRate > 0 {
-		if slow := w.since + max(0, w.credit); !ok || slow < at {
+	if m.pace.MinRate > 0 {
+		if slow := m.waitStart + max(0, m.grace); !ok || slow < at {
 			at, ok = slow, true
 		}
 	}
 	return at, ok
 }
 
-// Check says what the side has done wrong by now.
-func (w *Monitor) Check(now time.Duration) Violation {
+// Check returns the violation of the side as of now, or None.
+func (m *Monitor) Check(now time.Duration) Violation {
 	waited := time.Duration(0)
-	if w.waiting {
-		waited = now - w.since
+	if m.waiting {
+		waited = now - m.waitStart
 	}
 	switch {
-	case w.pace.Stall > 0 && waited >= w.pace.Stall:
+	case m.pace.Stall > 0 && waited >= m.pace.Stall:
 		return Stalled
-	case w.pace.MinRate > 0 && (w.credit < waited || w.waiting && w.credit == waited):
+	case m.pace.MinRate > 0 && (m.grace < waited || m.waiting && m.grace == waited):
 		return Slow
 	}
 	return None
--- a/internal/flow/store.go
+++ b/internal/flow/store.go
@@ -2,34 +2,36 @@
 
 import "sync"
 
-// Store is memory for requests' bodies that are held until they are whole, so that nobody behind waits for a
-// slow sender. It is safe for concurrent use.
+// Store accounts for the memory of request bodies that are buffered until they are complete, so that nothing
+// behind the gateway waits for a slow sender. It is safe for concurrent use.
 type Store struct {
-	most int // bytes of one body
+	maxBody int // bytes of one body
 
 	mu   sync.Mutex
-	free int
+	free int // bytes
 }
 
-// NewStore returns a store of so many bytes, of which one body may have a quarter: few long ones must not
-// keep out many shorter ones.
-func NewStore(bytes int) *Store { return &Store{most: bytes / 4, free: bytes} }
+// NewStore returns a store of the given number of bytes. One body may use at most a quarter of it, so that a
+// few long bodies cannot crowd out many shorter ones.
+func NewStore(bytes int) *Store { return &Store{maxBody: bytes / 4, free: bytes} }
 
-// Fits reports whether a body of a length may be held at all; one that doesn't tell its length (-1) may.
-func (s *Store) Fits(length int64) bool { return length <= int64(s.most) }
+// Fits reports whether a body of the given length is within the limit for one body. A length of -1 means that
+// it is unknown, and fits.
+func (s *Store) Fits(length int64) bool { return length <= int64(s.maxBody) }
 
-// Reserve reserves so many bytes more for a body that has held bytes already, or reports that there is no room.
-func (s *Store) Reserve(held, more int) bool {
+// Reserve reserves more bytes for a body that has already reserved some. It reports false, and reserves
+// nothing, if the body would exceed its limit or the store does not have that many bytes free.
+func (s *Store) Reserve(reserved, more int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if held+more > s.most || more > s.free {
+	if reserved+more > s.maxBody || more > s.free {
 		return false
 	}
 	s.free -= more
 	return true
 }
 
-// Release returns bytes.
+// Release returns n reserved bytes to the store.
 func (s *Store) Release(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
