--- a/internal/server/cluster.go
+++ b/internal/server/cluster.go
@@ -20,23 +20,24 @@
 	_ node.Actions = (*actions)(nil)
 )
 
-// Put hands a configuration to the core.
+// Put stores a configuration in the core.
 func (s *Server) Put(version uint64, config []byte, done client.PutDone) {
 	config = slices.Clone(config)
 	s.loop.post(func() { s.node.Put(s.now(), version, config, done) })
 }
 
-// Read asks for the newest configuration.
+// Read fetches the newest configuration from the core.
 func (s *Server) Read(done client.ReadDone) {
 	s.loop.post(func() { s.node.Read(s.now(), done) })
 }
 
-// ChangeMembers has the core change its members, or tell them.
+// ChangeMembers adds or removes a member of the core, or, if both are empty, reports the members.
 func (s *Server) ChangeMembers(add, remove string, done client.ChangeMembersDone) {
 	s.loop.post(func() { s.node.ChangeMembers(s.now(), add, remove, done) })
 }
 
-// NearestReplica is the host of the replica that this process watches, if it has none itself.
+// NearestReplica returns the host of the replica that this process is connected to. It is empty if there is
+// none, or if this process runs a replica itself.
 func (s *Server) NearestReplica() string {
 	if host := s.connectedHost.Load(); host != nil && s.storage == nil {
 		return *host
@@ -44,7 +45,7 @@
 	return ""
 }
 
-// Status tells how this process sees the cluster.
+// Status reports the state of this process and its view of the cluster.
 func (s *Server) Status(done func(api.NodeStatus)) {
 	s.loop.post(func() {
 		status := api.NodeStatus{Node: s.settings.NodeName, Zone: s.settings.Zone, Ready: s.isReady(),
@@ -78,7 +79,7 @@
 	return status
 }
 
-// actions is what a node sees of the server. Its methods are called on the loop.
+// actions implements node.Actions for a Server. Its methods are called on the event loop.
 type actions Server
 
 func (a *actions) server() *Server { return (*Server)(a) }
@@ -119,8 +120,8 @@
 }
 
 func (a *actions) SetView(epoch uint64, chain []string) {
-	holder := replica.RoleHolder(chain, replica.QuotaAllocator)
+	allocatorAddr := replica.RoleHolder(chain, replica.QuotaAllocator)
 	a.epoch, a.chain = epoch, chain
-	a.allocator.Store(&holder)
+	a.allocator.Store(&allocatorAddr)
 	a.limiter.SetAllocator(epoch, a.nodeCount)
 }
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// eventLoop runs what is handed in, one after the other, on one goroutine, and looks after what is due.
+// eventLoop runs posted functions one after the other on a single goroutine, and calls a tick function when
+// something is due.
 type eventLoop struct {
 	mu       sync.Mutex
 	queue    []func()
-	reusable []func()
-	wake     chan struct{}
+	reusable []func()      // an empty slice whose memory serves as the next queue
+	wake     chan struct{} // signals a post; capacity 1
 }
 
 func newEventLoop() *eventLoop { return &eventLoop{wake: make(chan struct{}, 1)} }
 
-// post hands something in, from any goroutine.
+// post queues a function to run on the loop. It is safe for concurrent use.
 func (l *eventLoop) post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -27,12 +28,14 @@
 	}
 }
 
-// maxTickDelay is how long more work may put off what is due: a heartbeat goes out every 150 ms, and a call
-// that has lasted for 0.88 s is to be answered within the second that its caller waits.
+// maxTickDelay is how long queued work may delay a tick. It is short because a heartbeat is sent every 150
+// ms, and because a call that has lasted for 0.88 s must be answered within the second that its caller
+// waits.
 const maxTickDelay = 20 * time.Millisecond
 
-// run runs until the context ends. tick does what is due, and returns for how long nothing will be. It is
-// called where there is no more work, and under work without end every busyTick.
+// run runs the loop until the context ends. tick does what is due, and returns the time until it must be
+// called again. It is called when the queue is empty, and every maxTickDelay while the queue does not become
+// empty.
 func (l *eventLoop) run(ctx context.Context, tick func() time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/server/eventloop_test.go
+++ b/internal/server/eventloop_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Given a loop that is handed in more while it works, without end, as by messages that come faster than they
-// are taken, when something is due, then it is done all the same: heartbeats go out, and calls end in time.
-func TestABusyLoopStillTicks(t *testing.T) {
-	const most = 30_000_000 // some seconds, where the loop never looks; else it ends after some 60 ms
-	ctx, end := context.WithCancel(context.Background())
-	l, done, ticked := newEventLoop(), 0, 0
-	var again func()
-	again = func() {
-		if done++; done < most && ticked < 3 {
-			l.post(again)
+// The loop must tick while work that it runs posts more work without end, as when messages arrive faster
+// than they are processed. Otherwise heartbeats would not be sent, and calls would not time out.
+func TestBusyLoopStillTicks(t *testing.T) {
+	const maxRuns = 30_000_000 // a few seconds if the loop never ticks; it ends after about 60 ms otherwise
+	ctx, cancel := context.WithCancel(context.Background())
+	l, runs, ticks := newEventLoop(), 0, 0
+	var repost func()
+	repost = func() {
+		if runs++; runs < maxRuns && ticks < 3 {
+			l.post(repost)
 		} else {
-			end()
+			cancel()
 		}
 	}
-	l.post(again)
-	l.run(ctx, func() time.Duration { ticked++; return time.Hour })
-	if ticked < 3 {
-		t.Errorf("looked after what is due %d times while %d things were done", ticked, done)
+	l.post(repost)
+	l.run(ctx, func() time.Duration { ticks++; return time.Hour })
+	if ticks < 3 {
+		t.Errorf("%d ticks during %d runs, want at least 3 ticks", ticks, runs)
 	}
 }
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -14,22 +14,22 @@
 	"dunespoke/internal/net/direct"
 )
 
-// Bounds of connections that others open.
+// Limits of accepted connections.
 const (
-	maxControlConnections = 96       // of operators and checks
+	maxControlConnections = 96       // from operators and health checks
 	maxControlHeader      = 16 << 10 // bytes
 	maxControlBody        = message.MaxFrameSize - 64<<10
-	maxShortBody          = 64 << 10 // bytes of a client's body that is read before the request is passed on
-	storedBodyMemoryShare = 8        // one in so many bytes of the memory is for bodies that are stored
-	minClientRate         = 32 << 10 // bytes a second that a client has to take or give
-	clientGrace           = 3 * time.Second
-	// acceptAfterTerm is for how long clients are accepted after SIGTERM: two checks of the platform, and a
-	// connection on its way.
+	maxShortBody          = 64 << 10        // bytes of a request body that is read before forwarding
+	storedBodyMemoryShare = 8               // divisor: this part of the memory is for buffered request bodies
+	minClientRate         = 32 << 10        // bytes per second, for the rest of a body after its response
+	clientGrace           = 3 * time.Second // how long a client may fall behind minClientRate
+	// acceptAfterTerm is how long connections are still accepted after SIGTERM: the time for two health checks
+	// of the platform, plus connections that are already being established.
 	acceptAfterTerm     = 2300 * time.Millisecond
-	defaultGraceSeconds = 6 // of the bound grace_period_s
+	defaultGraceSeconds = 6 // if the bound grace_period_s is not set
 )
 
-// serveControl takes calls at the addresses for them.
+// serveControl serves the control API and the readiness check at their addresses.
 func (s *Server) serveControl() error {
 	for _, addr := range []string{s.settings.Listen.Ready, s.settings.Listen.Control} {
 		if addr == "" {
@@ -53,7 +53,7 @@
 	}
 }
 
-// acceptClients accepts clients, once requests can be served.
+// acceptClients starts to accept client connections. It is called once requests can be served.
 func (s *Server) acceptClients() error {
 	set := s.settings
 	if set.Listen.Front == "" {
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -11,11 +11,11 @@
 	"dunespoke/internal/net/direct"
 )
 
-// maxMetricsConnections is how many connections may fetch figures at once.
+// maxMetricsConnections limits the open connections to the metrics endpoint.
 const maxMetricsConnections = 8
 
-// serveMetrics tells this process's figures where the settings say, and returns who counts requests for
-// them; nil: the settings name no place, and nothing is counted.
+// serveMetrics serves the metrics of this process at the address in the settings, and returns the observer
+// that counts requests for them. It returns nil, and nothing is counted, if the settings name no address.
 func (s *Server) serveMetrics() (proxy.RequestObserver, error) {
 	addr, path, ok := s.settings.MetricsEndpoint()
 	if !ok {
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -13,10 +13,10 @@
 	"dunespoke/internal/settings"
 )
 
-// settingsPollInterval is between looks at the settings file.
+// settingsPollInterval is the time between checks of the settings file for changes.
 const settingsPollInterval = time.Second
 
-// fileVersion tells one state of a file from another.
+// fileVersion identifies the state of a file, to detect changes.
 type fileVersion struct {
 	modified int64 // nanoseconds
 	size     int64 // bytes
@@ -24,17 +24,18 @@
 
 func fileVersionOf(path string) fileVersion {
 	info, err := os.Stat(path)
-	if err != nil { // it is being replaced, or gone: looked at again
+	if err != nil { // it is being replaced, or was removed; the next poll checks again
 		return fileVersion{}
 	}
 	return fileVersion{info.ModTime().UnixNano(), info.Size()}
 }
 
-// watchSettings waits for the end, and reads the settings again when they change.
+// watchSettings reloads the settings when their file changes or a value arrives on reload. It returns when
+// the context ends.
 func (s *Server) watchSettings(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := fileVersionOf(s.path)
+	last := fileVersionOf(s.path)
 	for {
 		forced := false
 		select {
@@ -44,15 +45,15 @@
 			forced = true
 		case <-ticker.C:
 		}
-		if current := fileVersionOf(s.path); forced || current != seen {
-			seen = current
+		if current := fileVersionOf(s.path); forced || current != last {
+			last = current
 			s.reloadSettings()
 		}
 	}
 }
 
-// reloadSettings reads the settings again. The platform's address, the seeds and the keys for peers are
-// applied; all else needs a restart.
+// reloadSettings reads the settings file again. The address of the platform's API, the seeds and the peer
+// keys are applied; all other settings need a restart.
 func (s *Server) reloadSettings() {
 	set, err := settings.ReadFile(s.path)
 	if err != nil {
@@ -70,7 +71,8 @@
 	})
 }
 
-// reloadPeerKeys has peers authenticated by the keys that the settings name now.
+// reloadPeerKeys applies the peer keys that the settings name now. If they are invalid, the old ones stay in
+// use.
 func (s *Server) reloadPeerKeys(set *settings.Settings) {
 	authentication, err := peerAuthentication(set)
 	if err != nil {
--- a/internal/server/wiring.go
+++ b/internal/server/wiring.go
@@ -33,40 +33,42 @@
 	"dunespoke/internal/settings"
 )
 
-// Tuning is how the gates of services are set for servers of few slots behind many gateways.
+// Tuning holds the load balancing and load shedding parameters of all services. They suit servers that
+// process few requests at once, behind many gateways.
 var Tuning = choice.Tuning{RetryBudgetRatio: 0.12, RetryBudgetMax: 3, InitialConcurrency: 2,
 	FastAnswerRatio: 0.45, SlowAnswerRatio: 0.9, MinConcurrency: 1.5, ShedThreshold: 0.8, LatencyWeight: 0.05,
 	QueueWaitRatio: 0.2, ChargeRejected: true}
 
-// Connections to servers.
+// Limits of connections to servers, and shares of the machine's memory and file descriptors.
 const (
-	dialTimeout        = 200 * time.Millisecond
-	keepAlive          = 10 * time.Second // of servers, until they tell
-	maxHeldResponse    = 64 << 10         // bytes of a response that is held until it is complete
-	maxResponseHeader  = 32 << 10         // bytes
-	maxShortResponse   = 64 << 10         // bytes of a body that is read at once
-	upstreamFileShare  = 0.35             // of the descriptors
-	reservedFiles      = 320              // descriptors for the rest, and those kept for files
-	minFiles           = 256
-	bodyMemoryShare    = 16        // one in so many bytes of the memory is for long bodies that are passed on
-	minBodyMemory      = 16        // MB of memory that are assumed at the least
-	minBodyWindow      = 16 << 10  // bytes
-	maxBodyWindow      = 128 << 10 // bytes
-	memoryLimitTenths  = 6         // of the memory, from which the collector works harder
-	collectorTarget    = 100       // percent of growth of the heap
-	defaultSyncSeconds = 4         // of the bound sync_s
+	dialTimeout         = 200 * time.Millisecond
+	keepAlive           = 10 * time.Second // assumed idle timeout of servers that do not send theirs
+	maxBufferedResponse = 64 << 10         // bytes; longer responses are streamed
+	maxResponseHeader   = 32 << 10         // bytes
+	maxShortResponse    = 64 << 10         // bytes of a response body that is read at once
+	upstreamFileShare   = 0.35             // of fileBudget
+	reservedFiles       = 320              // descriptors that are not for connections of clients and to servers
+	minFiles            = 256              // descriptors; assumed if the settings give less
+	bodyMemoryShare     = 16               // divisor: this part of the memory is for streamed long bodies
+	minBodyMemory       = 16               // MB; assumed if the settings give less
+	minBodyWindow       = 16 << 10         // bytes
+	maxBodyWindow       = 128 << 10        // bytes
+	memoryLimitTenths   = 6                // of the memory, in tenths: the soft limit of the Go runtime
+	gcPercent           = 100              // heap growth between garbage collections
+	defaultSyncSeconds  = 4                // if the bound sync_s is not set
 )
 
-// setRuntimeLimits sets the runtime to the machine's limits: a process has one core at most.
+// setRuntimeLimits limits the Go runtime to the process's resources: one CPU core, and the memory in the
+// settings.
 func setRuntimeLimits(set *settings.Settings) {
 	runtime.GOMAXPROCS(1)
 	if mb := set.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * memoryLimitTenths / 10)
 	}
-	debug.SetGCPercent(collectorTarget)
+	debug.SetGCPercent(gcPercent)
 }
 
-// open makes all parts. Clients are accepted later, once requests can be served.
+// open creates all parts of the server. Client connections are accepted later, once requests can be served.
 func (s *Server) open() error {
 	set := s.settings
 	self := message.Node{Addr: set.PeerAddr(), Zone: set.Zone}
@@ -108,13 +110,15 @@
 	return s.serveControl()
 }
 
-// CheckPeerKeys reads the file of keys that settings name, if they name one, and returns what is wrong.
+// CheckPeerKeys reads the peer key file that the settings name, if any, and returns an error if it is
+// invalid.
 func CheckPeerKeys(set *settings.Settings) error {
 	_, err := peerAuthentication(set)
 	return err
 }
 
-// peerAuthentication is by what peers are authenticated, as the settings say.
+// peerAuthentication returns how peers are authenticated according to the settings: not at all without a key
+// file.
 func peerAuthentication(set *settings.Settings) (transport.Authentication, error) {
 	if set.PeerAuth.KeyFile == "" {
 		return transport.Authentication{}, nil
@@ -130,8 +134,8 @@
 	return transport.Authentication{Authenticator: authenticator, Required: !set.PeerAuth.Optional}, nil
 }
 
-// openStorage opens the disk, if there is one. A store that is damaged counts as an empty disk that is not of
-// the first start.
+// openStorage opens the storage, if the settings have a data directory. A damaged store counts as an empty
+// one that is not at its first start, so firstStart is false.
 func (s *Server) openStorage() (saved *replica.PersistentState, firstStart bool, err error) {
 	set := s.settings
 	if set.DataDir == "" {
@@ -149,12 +153,12 @@
 	return &state, set.FreshStart, nil
 }
 
-// newIncarnation draws the number of this process's incarnation: above 0, and of 62 bits, so that sums of it
-// fit.
+// newIncarnation returns a random incarnation number for this process. It is greater than 0 and has 62 bits,
+// so that sums of incarnation numbers do not overflow.
 func newIncarnation() (uint64, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return 0, trace.Wrap(err, "drawing the process's incarnation")
+		return 0, trace.Wrap(err, "generating the incarnation number of the process")
 	}
 	return max(1, binary.BigEndian.Uint64(random[:])>>2), nil
 }
@@ -169,23 +173,24 @@
 
 func (s *Server) newForwarder() *forward.Forwarder {
 	return forward.New(forward.Config{Dial: direct.Dial, DialTimeout: dialTimeout, KeepAlive: keepAlive,
-		Connections: int(upstreamFileShare * float64(fileBudget(s.settings))), Hold: maxHeldResponse,
+		Connections: int(upstreamFileShare * float64(fileBudget(s.settings))), Hold: maxBufferedResponse,
 		Limits: http1.Limits{Head: maxResponseHeader, Body: maxShortResponse}, Log: zerolog.Nop(),
-		Judge: rejectHTTP1, Streams: rejectAnswer})
+		Judge: rejectResponse, Streams: rejectStream})
 }
 
-// rejectHTTP1 judges answers to requests that don't judge their own: there are none.
-func rejectHTTP1(*http1.Response) core.Result { return core.Result{Code: choice.Reset} }
+// rejectResponse is the fallback for requests that do not judge their own responses. There are no such
+// requests.
+func rejectResponse(*http1.Response) core.Result { return core.Result{Code: choice.Reset} }
 
-// rejectAnswer does the same for streams.
-func rejectAnswer(*http.Response) core.Result { return core.Result{Code: choice.Reset} }
+// rejectStream is the same fallback for streamed responses.
+func rejectStream(*http.Response) core.Result { return core.Result{Code: choice.Reset} }
 
-// fileBudget is how many descriptors connections may take.
+// fileBudget returns the number of file descriptors for connections of clients and to servers.
 func fileBudget(set *settings.Settings) int {
 	return max(minFiles, set.Limits.OpenFiles) - reservedFiles
 }
 
-// bodyBudget is that of long bodies: a small part of the memory.
+// bodyBudget returns the memory budget of long bodies, a small part of the memory.
 func (s *Server) bodyBudget() flow.Options {
 	memory := max(minBodyMemory, s.settings.Limits.MemoryMB) << 20
 	return flow.Options{Bytes: memory / bodyMemoryShare, MinWindow: minBodyWindow, Window: maxBodyWindow}
@@ -193,26 +198,26 @@
 
 func controlPort(set *settings.Settings) string {
 	_, port, err := net.SplitHostPort(set.Listen.Control)
-	if err != nil { // the process serves no control calls
+	if err != nil { // the process serves no control API
 		return ""
 	}
 	return port
 }
 
-// replaceAfter is for how long a member of the core must be silent before another one takes its place: that
-// has to have it within sync_s of its start.
+// replaceAfter returns how long a member of the core must be silent before another node takes its place. It
+// is half of sync_s, because the new member must be synchronized within sync_s of its start.
 func replaceAfter(set *settings.Settings) time.Duration {
 	return time.Duration(set.Bound("sync_s", defaultSyncSeconds) / 2 * float64(time.Second))
 }
 
-// tolerance is what may be lost of the core at once.
+// tolerance returns the simultaneous failures that the core must survive.
 func tolerance(set *settings.Settings) replica.FaultTolerance {
 	survive := set.Survive
 	return replica.FaultTolerance{Machines: survive.Machines, Zones: survive.Zones, Regions: survive.Regions,
 		RegionOfZone: set.Zones}
 }
 
-// newCore starts a service's core.
+// newCore creates the core of a service, and runs it until workCtx ends.
 func (s *Server) newCore(service string, set choice.Settings) (*core.Core, error) {
 	c, err := core.New(core.Config{Settings: set, Seed: uint64(time.Now().UnixNano()), Upstream: s.forwarder,
 		FinishSent: true,
