--- a/internal/dataplane/slowlog/slowlog.go
+++ b/internal/dataplane/slowlog/slowlog.go
@@ -1,5 +1,5 @@
-// Package slowlog keeps the last requests that ran late or were given up, and where their time went, for
-// operators to look up. What it holds is bounded, and has no key, path or body in it.
+// Package slowlog keeps the most recent requests that were late, rejected or failed, with the time spent in
+// each phase, for operators to look up. Its size is bounded, and its entries contain no key, path or body.
 package slowlog
 
 import (
@@ -9,60 +9,61 @@
 	"time"
 )
 
-// Capacity is how many requests a Board keeps: the last ones.
+// Capacity is the maximum number of requests that a Log keeps.
 const Capacity = 512
 
-// Outcome says how a request ended.
+// Outcome is how a request in the log ended.
 type Outcome string
 
-// The ends that are kept.
+// The outcomes that are logged.
 const (
-	OutcomeLate     Outcome = "late"    // served, after its route's target
-	OutcomeRejected Outcome = "refused" // it has not run
-	OutcomeFailed   Outcome = "failed"  // it may have run
+	OutcomeLate     Outcome = "late"    // served, but after the latency target of its route
+	OutcomeRejected Outcome = "refused" // not executed by a server
+	OutcomeFailed   Outcome = "failed"  // possibly executed by a server
 )
 
-// Entry is a request that ran late or was given up. Times are counted from when it had come whole.
+// Entry is a request that was late, rejected or failed. Its times are counted from when the request was
+// received completely.
 type Entry struct {
-	At            time.Time     `json:"at"` // of its end, by this machine's time of day
-	ID            string        `json:"id"` // of the client's try
+	At            time.Time     `json:"at"` // wall clock time at which the request ended
+	ID            string        `json:"id"` // of the client's attempt: the header Attempt-Id
 	Route         string        `json:"route"`
 	Tenant        string        `json:"tenant"`
 	Service       string        `json:"service"`
-	Server        string        `json:"server"` // that it was sent to last; empty: to none
+	Server        string        `json:"server"` // to which the request was sent last; empty if it was not sent
 	Attempts      int           `json:"attempts"`
 	Outcome       Outcome       `json:"end"`
-	LatencyTarget time.Duration `json:"target"`  // of its route, in nanoseconds, as all durations here
-	Quota         time.Duration `json:"quota"`   // until its tenant's quota let it in
-	Waiting       time.Duration `json:"waiting"` // from that until it went to a first server
-	Serving       time.Duration `json:"serving"` // from that until its answer, further attempts among it
+	LatencyTarget time.Duration `json:"target"`  // of the route; all durations are encoded in nanoseconds
+	Quota         time.Duration `json:"quota"`   // until the tenant's quota admitted the request
+	Waiting       time.Duration `json:"waiting"` // from then until the request was sent to the first server
+	Serving       time.Duration `json:"serving"` // from then until the response, including further attempts
 	Total         time.Duration `json:"total"`
 }
 
-// LongestPhase names where most of a request's time went.
+// LongestPhase returns the name of the phase in which the request spent the most time.
 func (e *Entry) LongestPhase() string {
-	parts := []struct {
-		name string
-		took time.Duration
+	phases := []struct {
+		name     string
+		duration time.Duration
 	}{{"quota", e.Quota}, {"waiting", e.Waiting}, {"serving", e.Serving}}
-	most := parts[0]
-	for _, p := range parts[1:] {
-		if p.took > most.took {
-			most = p
+	longest := phases[0]
+	for _, p := range phases[1:] {
+		if p.duration > longest.duration {
+			longest = p
 		}
 	}
-	return most.name
+	return longest.name
 }
 
-// Log keeps the last of such requests. Its methods may be called from any goroutine.
+// Log keeps the last Capacity entries. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
-	entries []Entry // a ring once it is full
-	next    int
-	total   uint64
+	entries []Entry // a ring buffer once it is full
+	next    int     // index of the oldest entry once the log is full
+	total   uint64  // number of entries recorded since the start
 }
 
-// Record keeps a request.
+// Record adds an entry, and drops the oldest one if the log is full.
 func (l *Log) Record(entry Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,8 +76,7 @@
 	l.next = (l.next + 1) % Capacity
 }
 
-// Entries returns the requests that are kept, the last one first, and how many there were in all since the
-// start.
+// Entries returns the stored entries, newest first, and the number of entries recorded since the start.
 func (l *Log) Entries() (list []Entry, total uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,42 +85,42 @@
 	return list, l.total
 }
 
-// Summary is what a Board tells of one route, service, tenant and end together.
+// Summary describes all entries with the same route, tenant, service and outcome.
 type Summary struct {
 	Route        string
 	Tenant       string
 	Service      string
 	Outcome      Outcome
 	Count        int
-	Worst        time.Duration // total of the slowest
-	LongestPhase string        // where most of them spent most of their time
+	Worst        time.Duration // longest total duration
+	LongestPhase string        // the most frequent LongestPhase of the entries
 }
 
-// Summarize gathers requests, the most numerous first.
+// Summarize groups entries into summaries, sorted by descending count.
 func Summarize(list []Entry) []Summary {
 	type key struct {
 		route, tenant, service string
-		end                    Outcome
+		outcome                Outcome
 	}
-	at := map[key]*Summary{}
-	parts := map[key]map[string]int{}
+	summaries := map[key]*Summary{}
+	phaseCounts := map[key]map[string]int{}
 	for i := range list {
-		c := &list[i]
-		k := key{c.Route, c.Tenant, c.Service, c.Outcome}
-		s := at[k]
+		entry := &list[i]
+		k := key{entry.Route, entry.Tenant, entry.Service, entry.Outcome}
+		s := summaries[k]
 		if s == nil {
-			s = &Summary{Route: c.Route, Tenant: c.Tenant, Service: c.Service, Outcome: c.Outcome}
-			at[k], parts[k] = s, map[string]int{}
+			s = &Summary{Route: entry.Route, Tenant: entry.Tenant, Service: entry.Service, Outcome: entry.Outcome}
+			summaries[k], phaseCounts[k] = s, map[string]int{}
 		}
 		s.Count++
-		s.Worst = max(s.Worst, c.Total)
-		parts[k][c.LongestPhase()]++
-		if s.LongestPhase == "" || parts[k][c.LongestPhase()] > parts[k][s.LongestPhase] {
-			s.LongestPhase = c.LongestPhase()
+		s.Worst = max(s.Worst, entry.Total)
+		phaseCounts[k][entry.LongestPhase()]++
+		if s.LongestPhase == "" || phaseCounts[k][entry.LongestPhase()] > phaseCounts[k][s.LongestPhase] {
+			s.LongestPhase = entry.LongestPhase()
 		}
 	}
 	var sums []Summary
-	for _, s := range at {
+	for _, s := range summaries {
 		sums = append(sums, *s)
 	}
 	slices.SortFunc(sums, func(a, b Summary) int {
--- a/internal/dataplane/slowlog/slowlog_test.go
+++ b/internal/dataplane/slowlog/slowlog_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Given more requests than are kept, then the last ones are, the last one first, and all are counted.
-func TestTheLastOnesAreKept(t *testing.T) {
-	var b Log
+// A log that received more requests than its capacity returns the last ones, newest first, and counts all.
+func TestLogKeepsNewestEntries(t *testing.T) {
+	var l Log
 	for i := range Capacity + 7 {
-		b.Record(Entry{ID: strconv.Itoa(i)})
+		l.Record(Entry{ID: strconv.Itoa(i)})
 	}
-	list, total := b.Entries()
+	list, total := l.Entries()
 	if len(list) != Capacity || total != Capacity+7 || list[0].ID != strconv.Itoa(Capacity+6) ||
 		list[Capacity-1].ID != "7" {
-		t.Errorf("%d of %d, from %s to %s", len(list), total, list[0].ID, list[len(list)-1].ID)
+		t.Errorf("%d of %d entries, from %s to %s", len(list), total, list[0].ID, list[len(list)-1].ID)
 	}
 }
 
-// Given requests that were late for unlike reasons, when they are summed, then the most numerous stand first,
-// with where most of them spent their time.
-func TestSumsTellWhereTheTimeWent(t *testing.T) {
+// Requests that were late in different phases are grouped, the largest group first, with the phase in which
+// most of them spent most of their time.
+func TestSummarizeReportsLongestPhase(t *testing.T) {
 	slow := Entry{
 		Route:   "b",
 		Outcome: OutcomeLate,
