--- a/internal/dataplane/proxy/config.go
+++ b/internal/dataplane/proxy/config.go
@@ -14,25 +14,26 @@
 	"dunespoke/internal/routing"
 )
 
-// priorityLevels is how many priorities of tenants the gates tell apart.
+// priorityLevels is the number of tenant priorities that the cores distinguish.
 const priorityLevels = 4
 
-// What a lower priority, or an answer that comes late, is worth to the gates.
+// Weights of requests in load shedding and load balancing. The weight of a priority is 1/(1 + step*priority);
+// a larger number is a lower priority.
 const (
 	tenantPriorityStep = 0.5
 	routePriorityStep  = 0.25
-	lateShare          = 0.3
-	crossZoneCost      = 0.05
+	lateShare          = 0.3  // of its worth, for a response after the latency target
+	crossZoneCost      = 0.05 // of the mean worth of a request, for an attempt in another zone
 )
 
-// config is what requests go by: replaced whole, never changed.
+// config is the configuration that requests use. It is immutable; a new one replaces it.
 type config struct {
 	*routing.Table
 	cores   map[string]*core.Core // by service
 	classes map[*routing.Route]string
 }
 
-// SetConfig has requests go by a configuration from now on.
+// SetConfig makes all later requests use the given configuration.
 func (h *Handler) SetConfig(table *routing.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,13 +49,13 @@
 		class := classOf(route)
 		c.classes[route] = class.Name
 		for _, share := range route.Shares {
-			h.tellClass(share.Service, class)
+			h.addClass(share.Service, class)
 		}
 	}
 	h.config.Store(c)
 }
 
-// startCore starts the core of a service. The lock is held.
+// startCore starts the core of a service, and reports whether it could. It must be called with mu held.
 func (h *Handler) startCore(service string) bool {
 	c, err := h.NewCore(service, h.gateSettings())
 	if err != nil {
@@ -66,8 +67,9 @@
 	return true
 }
 
-// tellClass tells a service's core of a class that it doesn't have. The lock is held.
-func (h *Handler) tellClass(service string, class choice.Class) {
+// addClass adds a class to the core of a service, unless the core already has it. It must be called with mu
+// held.
+func (h *Handler) addClass(service string, class choice.Class) {
 	known := h.classes[service]
 	if known != nil && known[class.Name] != class {
 		known[class.Name] = class
@@ -75,7 +77,7 @@
 	}
 }
 
-// gateSettings are those of a service's gate.
+// gateSettings returns the settings of the core of a service.
 func (h *Handler) gateSettings() choice.Settings {
 	set := choice.Settings{Zone: h.Zone, Gateways: 1, MaxUnits: 1, MaxAttempts: 2, Cancel: true, QueueField: -1,
 		MaxRetryAfter: time.Second, CrossZoneCost: crossZoneCost, Tuning: h.Tuning}
@@ -86,11 +88,11 @@
 	return set
 }
 
-// planName is the gates' plan of tenants of a priority.
+// planName returns the name of the plan of tenants with the given priority.
 func planName(priority int) string { return strconv.Itoa(min(max(priority, 0), priorityLevels-1)) }
 
-// classOf is what a route's requests count as. Routes that are alike are one class, so that what is learned
-// of one holds for the others, and a configuration of many routes makes few classes.
+// classOf returns the class of the requests of a route. Routes with the same properties share one class, so
+// that what is learned about one applies to all, and a configuration with many routes has few classes.
 func classOf(route *routing.Route) choice.Class {
 	class := choice.Class{
 		Aim:       route.LatencyTarget,
@@ -111,8 +113,8 @@
 	return class
 }
 
-// find finds a request's route and tenant, or the answer of one that has none. The tenant is nil on a public
-// route, or where the configuration has no keys.
+// find returns the route and the tenant of a request, or the response to send if there is none. The tenant
+// is nil if the key is unknown and the route is public, or the configuration does not require keys.
 func (c *config) find(x *accept.Exchange) (*routing.Route, *routing.Tenant, *http1.Answer) {
 	path, _, _ := strings.Cut(x.RequestURI, "?")
 	if x.Header.Get(headerAttemptID) == "" {
--- a/internal/dataplane/proxy/connection_test.go
+++ b/internal/dataplane/proxy/connection_test.go
@@ -13,130 +13,136 @@
 	"dunespoke/internal/net/direct"
 )
 
-// wire is a TCP connection in memory from the gateway to a server, as package direct has them: the gateway
-// can leave unread what nobody asked for. What it writes is in the wire's buffer before the server reads it.
-type wire struct {
-	mu     sync.Mutex
-	news   sync.Cond
-	change int // counts what may end a wait
-
-	up, down []byte // on their way to the server and to the gateway
-	room     int    // bytes that up holds
-	fin      bool   // the server has closed: an end behind what is on its way down
-	reset    bool   // the server has reset it
-	left     bool   // the gateway has closed
-	due      [2]time.Time
-
-	// since when the gateway can see that it is not to be used again; zero: it can be
-	doubt time.Time
-	watch func(w *wire, p []byte) (went func(n int)) // is told of writes; the lock is held
-}
-
-func newWire(room int) *wire {
-	w := &wire{room: room}
-	w.news.L = &w.mu
+// memConn is an in-memory TCP connection from the gateway to a server, with the methods of package direct's
+// connections: the gateway can leave unsolicited bytes unread. Writes of the gateway go into a buffer of
+// limited capacity, which the server reads.
+type memConn struct {
+	mu         sync.Mutex
+	changed    sync.Cond
+	generation int // counts changes that may end a wait
+
+	toServer, toGateway []byte // bytes in transit in each direction
+	capacity            int    // of toServer, in bytes
+	serverClosed        bool   // the server has closed the connection; EOF follows the bytes in toGateway
+	serverReset         bool   // the server has reset the connection
+	gatewayClosed       bool   // the gateway has closed the connection
+	deadlines           [2]time.Time
+
+	// unusableSince is when the gateway could first detect that it must not reuse the connection; zero if it
+	// may reuse it.
+	unusableSince time.Time
+	// onWrite is called with mu held before each write of the gateway. The function that it returns is called
+	// with the number of bytes that were written.
+	onWrite func(w *memConn, p []byte) (written func(n int))
+}
+
+func newMemConn(capacity int) *memConn {
+	w := &memConn{capacity: capacity}
+	w.changed.L = &w.mu
 	return w
 }
 
-// touch tells of a change. The lock is held.
-func (w *wire) touch() {
-	w.change++
-	w.news.Broadcast()
+// broadcast counts a change and wakes all waiters. It must be called with mu held.
+func (w *memConn) broadcast() {
+	w.generation++
+	w.changed.Broadcast()
 }
 
-// set changes the wire.
-func (w *wire) set(f func()) {
+// update changes the connection with mu held, and wakes all waiters.
+func (w *memConn) update(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
-	w.touch()
+	w.broadcast()
 }
 
-// await waits until something has changed since. The lock is held.
-func (w *wire) await(since int, due time.Time) error {
-	for w.change == since {
-		if !due.IsZero() && !time.Now().Before(due) {
+// waitForChange waits until the generation differs from the given one, or the deadline has passed; a zero
+// deadline means no limit. It must be called with mu held.
+func (w *memConn) waitForChange(generation int, deadline time.Time) error {
+	for w.generation == generation {
+		if !deadline.IsZero() && !time.Now().Before(deadline) {
 			return os.ErrDeadlineExceeded
 		}
-		w.news.Wait()
+		w.changed.Wait()
 	}
 	return nil
 }
 
 const (
-	reads = iota
-	writes
+	readSide = iota
+	writeSide
 )
 
-func (w *wire) limit(which int, t time.Time) error {
-	w.set(func() { w.due[which] = t })
+func (w *memConn) setDeadline(which int, t time.Time) error {
+	w.update(func() { w.deadlines[which] = t })
 	if !t.IsZero() {
 		time.AfterFunc(time.Until(t), func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.news.Broadcast()
+			w.changed.Broadcast()
 		})
 	}
 	return nil
 }
 
-func (w *wire) SetReadDeadline(t time.Time) error  { return w.limit(reads, t) }
-func (w *wire) SetWriteDeadline(t time.Time) error { return w.limit(writes, t) }
-func (w *wire) SetDeadline(t time.Time) error {
-	return errors.Join(w.limit(reads, t), w.limit(writes, t))
+func (w *memConn) SetReadDeadline(t time.Time) error  { return w.setDeadline(readSide, t) }
+func (w *memConn) SetWriteDeadline(t time.Time) error { return w.setDeadline(writeSide, t) }
+func (w *memConn) SetDeadline(t time.Time) error {
+	return errors.Join(w.setDeadline(readSide, t), w.setDeadline(writeSide, t))
 }
-func (w *wire) LocalAddr() net.Addr  { return nil }
-func (w *wire) RemoteAddr() net.Addr { return nil }
+func (w *memConn) LocalAddr() net.Addr  { return nil }
+func (w *memConn) RemoteAddr() net.Addr { return nil }
 
-// Close is the gateway's.
-func (w *wire) Close() error {
-	w.set(func() { w.left = true })
+// Close closes the end of the gateway.
+func (w *memConn) Close() error {
+	w.update(func() { w.gatewayClosed = true })
 	return nil
 }
 
-// get takes what has come for the gateway. The lock is held.
-func (w *wire) get(p []byte) (n int, err error) {
+// receive reads bytes that have arrived for the gateway; n is 0 without an error if there are none. It must
+// be called with mu held.
+func (w *memConn) receive(p []byte) (n int, err error) {
 	switch {
-	case w.left:
+	case w.gatewayClosed:
 		return 0, net.ErrClosed
-	case w.reset:
+	case w.serverReset:
 		return 0, syscall.ECONNRESET
-	case len(w.down) > 0:
-		n = copy(p, w.down)
-		w.down = w.down[n:]
-	case w.fin:
+	case len(w.toGateway) > 0:
+		n = copy(p, w.toGateway)
+		w.toGateway = w.toGateway[n:]
+	case w.serverClosed:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-func (w *wire) Read(p []byte) (int, error) {
+func (w *memConn) Read(p []byte) (int, error) {
 	return w.ReadWanted(p, &sync.Mutex{}, func() bool { return true })
 }
 
-func (w *wire) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
+func (w *memConn) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
 	for {
 		w.mu.Lock()
-		since := w.change
+		generation := w.generation
 		w.mu.Unlock()
 		lock.Lock()
-		ask := wanted()
+		want := wanted()
 		w.mu.Lock()
 		unread := w.unread()
 		n, err := 0, error(nil)
-		if ask {
-			n, err = w.get(p)
+		if want {
+			n, err = w.receive(p)
 		}
 		w.mu.Unlock()
 		lock.Unlock()
 		switch {
-		case ask && (n > 0 || err != nil):
+		case want && (n > 0 || err != nil):
 			return n, err
 		case unread:
 			return 0, direct.ErrUnwanted
 		}
 		w.mu.Lock()
-		err = w.await(since, w.due[reads])
+		err = w.waitForChange(generation, w.deadlines[readSide])
 		w.mu.Unlock()
 		if err != nil {
 			return 0, err
@@ -144,36 +150,38 @@
 	}
 }
 
-func (w *wire) unread() bool { return len(w.down) > 0 || w.fin || w.reset || w.left }
+func (w *memConn) unread() bool {
+	return len(w.toGateway) > 0 || w.serverClosed || w.serverReset || w.gatewayClosed
+}
 
-func (w *wire) Unread() bool {
+func (w *memConn) Unread() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.unread()
 }
 
-func (w *wire) Write(p []byte) (n int, err error) {
+func (w *memConn) Write(p []byte) (n int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	went := w.watch(w, p)
-	defer func() { went(n) }()
+	written := w.onWrite(w, p)
+	defer func() { written(n) }()
 	for n < len(p) {
 		switch {
-		case w.left:
+		case w.gatewayClosed:
 			return n, net.ErrClosed
-		case w.reset:
+		case w.serverReset:
 			return n, syscall.ECONNRESET
-		case w.fin: // it goes out, and a reset comes back
-			w.reset = true
-			w.touch()
+		case w.serverClosed: // the bytes are sent, and the closed peer replies with a reset
+			w.serverReset = true
+			w.broadcast()
 			return len(p), nil
-		case len(w.up) < w.room:
-			m := min(w.room-len(w.up), len(p)-n)
-			w.up = append(w.up, p[n:n+m]...)
+		case len(w.toServer) < w.capacity:
+			m := min(w.capacity-len(w.toServer), len(p)-n)
+			w.toServer = append(w.toServer, p[n:n+m]...)
 			n += m
-			w.touch()
+			w.broadcast()
 		default:
-			if err := w.await(w.change, w.due[writes]); err != nil {
+			if err := w.waitForChange(w.generation, w.deadlines[writeSide]); err != nil {
 				return n, err
 			}
 		}
@@ -181,27 +189,28 @@
 	return n, nil
 }
 
-// serverRead takes at most so many bytes for the server. It reports false once none will come.
-func (w *wire) serverRead(most int) ([]byte, bool) {
+// serverRead reads up to limit bytes for the server, and waits for the first one. It reports false once no
+// more bytes can arrive.
+func (w *memConn) serverRead(limit int) ([]byte, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for len(w.up) == 0 {
-		if w.left || w.reset || w.fin {
+	for len(w.toServer) == 0 {
+		if w.gatewayClosed || w.serverReset || w.serverClosed {
 			return nil, false
 		}
-		_ = w.await(w.change, time.Time{}) // without a limit it ends by a change alone
+		_ = w.waitForChange(w.generation, time.Time{}) // without a deadline it returns no error
 	}
-	p := bytes.Clone(w.up[:min(most, len(w.up))])
-	w.up = w.up[len(p):]
-	w.touch()
+	p := bytes.Clone(w.toServer[:min(limit, len(w.toServer))])
+	w.toServer = w.toServer[len(p):]
+	w.broadcast()
 	return p, true
 }
 
-// serverWrite sends to the gateway.
-func (w *wire) serverWrite(p []byte) {
-	w.set(func() {
-		if !w.left && !w.reset && !w.fin {
-			w.down = append(w.down, p...)
+// serverWrite sends bytes from the server to the gateway, unless the connection is closed.
+func (w *memConn) serverWrite(p []byte) {
+	w.update(func() {
+		if !w.gatewayClosed && !w.serverReset && !w.serverClosed {
+			w.toGateway = append(w.toGateway, p...)
 		}
 	})
 }
--- a/internal/dataplane/proxy/endpoints.go
+++ b/internal/dataplane/proxy/endpoints.go
@@ -9,7 +9,7 @@
 	"dunespoke/internal/subset"
 )
 
-// SetEndpoints takes the list of servers.
+// SetEndpoints replaces the list of servers.
 func (h *Handler) SetEndpoints(list []message.Endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -17,7 +17,7 @@
 	h.updateCores()
 }
 
-// SetNodes takes the gateways that there are, in an agreed order.
+// SetNodes replaces the list of gateways. All gateways must receive it in the same order.
 func (h *Handler) SetNodes(list []message.Node) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -30,14 +30,14 @@
 	h.updateCores()
 }
 
-// updateCores tells all cores of their servers. The lock is held.
+// updateCores passes the current servers to all cores. It must be called with mu held.
 func (h *Handler) updateCores() {
 	for service := range h.cores {
 		h.updateCore(service)
 	}
 }
 
-// updateCore tells a service's core of its servers. The lock is held.
+// updateCore passes the current servers of a service to its core. It must be called with mu held.
 func (h *Handler) updateCore(service string) {
 	if h.endpoints == nil {
 		return
@@ -58,7 +58,8 @@
 	h.cores[service].Servers(true, servers)
 }
 
-// preferredEndpoints returns the servers of a service that this gateway tries first, of those in its zone.
+// preferredEndpoints returns the IDs of the servers of a service in this zone that this gateway tries first:
+// its subset of those that are not draining.
 func (h *Handler) preferredEndpoints(service string) []string {
 	var ids []string
 	for _, e := range h.endpoints {
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -37,175 +37,177 @@
 	"dunespoke/internal/scenario"
 )
 
-// how a server breaks off.
-type how int
+// failure is the way in which a server fails.
+type failure int
 
 const (
-	not how = iota
-	resets
-	closes
-	falls // silent
-	hows
+	noFailure failure = iota
+	failReset
+	failClose
+	failSilent // sends nothing more, and leaves the connection open
+	failureKinds
 )
 
-// word is what a server answers.
-type word int
+// answerKind is the kind of response that a server sends.
+type answerKind int
 
 const (
-	itsOwn     word = iota // sealed, and whole
-	tooLong                // the same, longer than the gateway holds
-	inChunks               // the same, in chunks
-	foreign                // another request's first, and then its own
-	full                   // 503, not run
-	moved                  // 421
-	missing                // 404
-	ranOut                 // 500
-	ranBusy                // 429, but it has run
-	ranRefused             // 503, but it has run
-	unsealed
-	nameless // without an id
-	unending // until the connection closes
-	unendingMissing
-	words
+	ownAnswer          answerKind = iota // complete, with ID and seal
+	longAnswer                           // the same, longer than the gateway buffers
+	chunkedAnswer                        // the same, with chunked encoding
+	foreignFirst                         // the response to another request, then its own
+	overloaded                           // 503 with Not-Run
+	misdirected                          // 421
+	notFound                             // 404
+	ranError                             // 500: it was executed
+	ranTooManyRequests                   // 429 without Not-Run: it was executed
+	ranUnavailable                       // 503 without Not-Run: it was executed
+	withoutSeal
+	withoutID
+	untilClose // its length is given only by the end of the connection
+	untilCloseNotFound
+	answerKinds
 )
 
-// excess is what a server sends beyond its answer.
+// excess is what a server sends after its complete response.
 type excess int
 
 const (
-	none excess = iota
-	noise
-	repeated     // the same answer
-	turned       // that a request has not run, and not which
-	othersAnswer // with an id
-	excesses
+	noExcess excess = iota
+	garbage
+	repeatedAnswer     // the same response again
+	anonymousRejection // a rejection without an ID
+	foreignAnswer      // a response with the ID of another request
+	excessKinds
 )
 
-// step is what a server does with one request.
-type step struct {
-	AtDial bool // resets the connection at once
-	Cut    int  // so many bytes of the request are read, and then
-	CutHow how
-	Word   word
-	Early  bool          // where it turns the request away: before its body
-	Slow   time.Duration // before it reads on behind the head
-	Keep   int           // seconds for which it says that it keeps idle connections; 0: it doesn't say
-	Stop   int           // so many bytes of the answer go out, and then
-	StopBy how
-	Pause  time.Duration // or it rests there, and goes on
-	Excess excess
-	Late   time.Duration // before the excess
-	Then   how           // after the answer
-	After  time.Duration
-}
-
-// ask is a client's request.
-type ask struct {
-	Writing bool
-	Body    int
-	Gap     time.Duration // before it
-	Stay    time.Duration // for its answer; 0: as long as that may take
-}
-
-// trouble is a drawn day.
-type trouble struct {
-	Room  int // bytes that a connection holds on their way to a server
-	Steps []step
-	Asks  [][]ask       // by client
-	Alone bool          // there is one server, not two
-	Wait  time.Duration // that clients have for an answer; 0: patient
-	// A seeded defect, if one is.
-	Upstream func(core.Upstream) core.Upstream
-	Wire     func(*wire) net.Conn
-}
-
-// day is a plan being played, and what was seen of it.
-type day struct {
+// serverStep is the behavior of a server for one request.
+type serverStep struct {
+	ResetAtDial      bool // reset the connection when it is established
+	ReadBytes        int  // with ReadFailure: bytes of the request that are read before the failure
+	ReadFailure      failure
+	Word             answerKind
+	Early            bool          // send a rejection before the body is read
+	BodyDelay        time.Duration // before it reads the body
+	KeepAliveSeconds int           // idle timeout in seconds to send in Keep-Alive; 0 for none
+	WriteBytes       int           // with WriteFailure or Pause: bytes of the response that are sent before it
+	WriteFailure     failure
+	Pause            time.Duration // after WriteBytes; then the rest is sent
+	Excess           excess
+	ExcessDelay      time.Duration // before Excess is sent
+	EndFailure       failure       // after the response
+	EndDelay         time.Duration // before EndFailure
+}
+
+// clientRequest is a request of a client.
+type clientRequest struct {
+	Writing    bool
+	Body       int
+	Delay      time.Duration // before the request is sent
+	LeaveAfter time.Duration // if positive, the client closes the connection after it, unread
+}
+
+// plan is the input of a simulation.
+type plan struct {
+	BufferBytes   int // of the buffer from the gateway to a server, in each connection
+	Steps         []serverStep
+	Requests      [][]clientRequest // by client
+	SingleServer  bool              // run one server instead of two
+	ClientTimeout time.Duration     // 0 means defaultClientTimeout
+	// WrapUpstream and WrapConn inject a defect into the data plane, if they are not nil.
+	WrapUpstream func(core.Upstream) core.Upstream
+	WrapConn     func(*memConn) net.Conn
+}
+
+// simulation is a running plan with its observations.
+type simulation struct {
 	t *testing.T
-	trouble
-	mu       sync.Mutex
-	next     int
-	ran      map[string]int // by id
-	sent     map[string]int // to servers, a byte at the least
-	away     map[string]int // turned away by servers
-	promised map[string]int // the status by which a client was told that it has not run
-	problems []string
-	wires    []*wire
-	bytes    [2]int // of the last request and answer
-	whole    int    // successes that came whole
-}
-
-func (d *day) fault(format string, args ...any) {
+	plan
+	mu              sync.Mutex
+	nextStep        int
+	executions      map[string]int // by request ID, as the next two
+	sends           map[string]int // to servers, of at least one byte
+	rejections      map[string]int // by servers, before execution
+	notRunStatus    map[string]int // status received by the client that means that the request was not executed
+	problems        []string
+	conns           []*memConn
+	lastSizes       [2]int // of the last request and response, in bytes
+	completeAnswers int    // complete responses with status 200
+}
+
+// problem records a violation of the rules.
+func (d *simulation) problem(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.problems = append(d.problems, fmt.Sprintf(format, args...))
 }
 
-func (d *day) count(of map[string]int, id string) {
+func (d *simulation) increment(counts map[string]int, id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	of[id]++
+	counts[id]++
 }
 
-// step returns what becomes of a request, or of a connection, if the next step is for one.
-func (d *day) step(dial bool) step {
+// step returns the next step of the plan. For a new connection it takes only a step that resets it.
+func (d *simulation) step(dial bool) serverStep {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.next == len(d.Steps) || dial && !d.Steps[d.next].AtDial {
-		return step{}
+	if d.nextStep == len(d.Steps) || dial && !d.Steps[d.nextStep].ResetAtDial {
+		return serverStep{}
 	}
-	d.next++
-	return d.Steps[d.next-1]
+	d.nextStep++
+	return d.Steps[d.nextStep-1]
 }
 
-func (d *day) dial(context.Context, string, string) (net.Conn, error) {
-	w := newWire(d.Room)
-	w.watch = d.wrote
+func (d *simulation) dial(context.Context, string, string) (net.Conn, error) {
+	w := newMemConn(d.BufferBytes)
+	w.onWrite = d.checkWrite
 	d.mu.Lock()
-	d.wires = append(d.wires, w)
+	d.conns = append(d.conns, w)
 	d.mu.Unlock()
-	if d.step(true).AtDial {
-		w.end(resets)
+	if d.step(true).ResetAtDial {
+		w.fail(failReset)
 	} else {
 		go d.serve(w)
 	}
-	if d.Wire != nil {
-		return d.Wire(w), nil
+	if d.WrapConn != nil {
+		return d.WrapConn(w), nil
 	}
 	return w, nil
 }
 
-// wrote looks at what the gateway writes. The wire's lock is held.
-func (d *day) wrote(w *wire, p []byte) (went func(n int)) {
+// checkWrite checks that a request is not sent on a connection that must not be reused. It must be called
+// with w.mu held. The function that it returns counts the request as sent.
+func (d *simulation) checkWrite(w *memConn, p []byte) (written func(n int)) {
 	_, rest, ok := bytes.Cut(p, []byte("\r\nAttempt-Id: "))
 	if !ok || !bytes.HasPrefix(p, []byte("GET ")) && !bytes.HasPrefix(p, []byte("POST ")) {
 		return func(int) {}
 	}
 	line, _, _ := bytes.Cut(rest, []byte("\r\n"))
-	if !w.doubt.IsZero() && w.doubt.Before(time.Now()) {
-		d.fault("%s is sent on a connection that is in doubt", line)
+	if !w.unusableSince.IsZero() && w.unusableSince.Before(time.Now()) {
+		d.problem("%s is sent on a connection that must not be reused", line)
 	}
 	return func(n int) {
 		if n > 0 {
-			d.count(d.sent, string(line))
+			d.increment(d.sends, string(line))
 		}
 	}
 }
 
-// end is the server's end of a connection.
-func (w *wire) end(by how) {
+// fail makes the server end of a connection fail.
+func (w *memConn) fail(by failure) {
 	switch by {
-	case resets:
-		w.set(func() { w.reset, w.doubt = true, time.Now() })
-	case closes:
-		w.set(func() { w.fin, w.doubt = true, time.Now() })
-	case falls:
-		w.set(func() { w.doubt = time.Now() })
+	case failReset:
+		w.update(func() { w.serverReset, w.unusableSince = true, time.Now() })
+	case failClose:
+		w.update(func() { w.serverClosed, w.unusableSince = true, time.Now() })
+	case failSilent:
+		w.update(func() { w.unusableSince = time.Now() })
 	}
 }
 
-// serve is a server.
-func (d *day) serve(w *wire) {
+// serve runs a server on a connection until that fails or is closed.
+func (d *simulation) serve(w *memConn) {
 	for {
 		first, ok := w.serverRead(1)
 		if !ok {
@@ -213,18 +215,18 @@
 		}
 		s := d.step(false)
 		got := first
-		// read reads to the end of something, or to where the server breaks off.
+		// read reads until the length returned by end, and reports false at a failure.
 		read := func(end func() int) bool {
 			for len(got) < end() {
-				most := end() - len(got)
-				if s.CutHow != not {
-					most = min(most, s.Cut-len(got))
+				limit := end() - len(got)
+				if s.ReadFailure != noFailure {
+					limit = min(limit, s.ReadBytes-len(got))
 				}
-				if most <= 0 {
-					w.end(s.CutHow)
+				if limit <= 0 {
+					w.fail(s.ReadFailure)
 					return false
 				}
-				p, ok := w.serverRead(most)
+				p, ok := w.serverRead(limit)
 				if !ok {
 					return false
 				}
@@ -243,133 +245,134 @@
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(got)))
 		if err != nil {
-			d.fault("a server gets %q: %v", got, err)
+			d.problem("server received an invalid request %q: %v", got, err)
 			return
 		}
 		id := r.Header.Get(headerAttemptID)
-		whole := len(got) + int(max(0, r.ContentLength))
-		away := s.Word == full || s.Word == moved
-		s.Early = s.Early && away
+		requestLength := len(got) + int(max(0, r.ContentLength))
+		rejected := s.Word == overloaded || s.Word == misdirected
+		s.Early = s.Early && rejected
 		if s.Early {
 			w.serverWrite(answer(s.Word, id))
-			d.count(d.away, id)
-			s.CutHow = not
+			d.increment(d.rejections, id)
+			s.ReadFailure = noFailure
 		}
-		time.Sleep(s.Slow)
-		if !read(func() int { return whole }) {
+		time.Sleep(s.BodyDelay)
+		if !read(func() int { return requestLength }) {
 			return
 		}
-		if s.CutHow != not && s.Cut >= whole {
-			d.count(d.ran, id)
-			w.end(s.CutHow)
+		if s.ReadFailure != noFailure && s.ReadBytes >= requestLength {
+			d.increment(d.executions, id)
+			w.fail(s.ReadFailure)
 			return
 		}
 		if _, body, _ := bytes.Cut(got, []byte("\r\n\r\n")); r.RequestURI[3:] != id ||
-			string(body) != text(id, len(body)) {
-			d.fault("a server gets a request that no client sent: %s %s", id, r.RequestURI)
+			string(body) != bodyText(id, len(body)) {
+			d.problem("server received a request that no client sent: %s %s", id, r.RequestURI)
 		}
 		if s.Early {
 			continue
 		}
-		if away {
-			d.count(d.away, id)
+		if rejected {
+			d.increment(d.rejections, id)
 		} else {
-			d.count(d.ran, id)
+			d.increment(d.executions, id)
 		}
-		out := answer(s.Word, id)
-		if s.Keep > 0 {
-			first, rest, _ := bytes.Cut(out, []byte("\r\n"))
-			out = fmt.Appendf(nil, "%s\r\nKeep-Alive: timeout=%d\r\n%s", first, s.Keep, rest)
+		response := answer(s.Word, id)
+		if s.KeepAliveSeconds > 0 {
+			first, rest, _ := bytes.Cut(response, []byte("\r\n"))
+			response = fmt.Appendf(nil, "%s\r\nKeep-Alive: timeout=%d\r\n%s", first, s.KeepAliveSeconds, rest)
 		}
 		d.mu.Lock()
-		d.bytes = [2]int{whole, len(out)}
+		d.lastSizes = [2]int{requestLength, len(response)}
 		d.mu.Unlock()
-		if s.StopBy != not && s.Stop < len(out) {
-			w.serverWrite(out[:s.Stop])
-			w.end(s.StopBy)
+		if s.WriteFailure != noFailure && s.WriteBytes < len(response) {
+			w.serverWrite(response[:s.WriteBytes])
+			w.fail(s.WriteFailure)
 			return
 		}
 		if s.Pause > 0 {
-			w.serverWrite(out[:s.Stop])
+			w.serverWrite(response[:s.WriteBytes])
 			time.Sleep(s.Pause)
-			out = out[s.Stop:]
+			response = response[s.WriteBytes:]
 		}
-		w.serverWrite(out)
-		if s.Word == unending || s.Word == unendingMissing {
-			w.end(closes)
+		w.serverWrite(response)
+		if s.Word == untilClose || s.Word == untilCloseNotFound {
+			w.fail(failClose)
 			return
 		}
-		if s.Excess != none {
-			time.Sleep(s.Late)
-			w.set(func() { w.doubt = time.Now() })
-			w.serverWrite([][]byte{noise: []byte("\x00noise\r\n\r\n"), repeated: out,
-				turned:       []byte("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-				othersAnswer: answer(itsOwn, "another")}[s.Excess])
+		if s.Excess != noExcess {
+			time.Sleep(s.ExcessDelay)
+			w.update(func() { w.unusableSince = time.Now() })
+			w.serverWrite([][]byte{garbage: []byte("\x00noise\r\n\r\n"), repeatedAnswer: response,
+				anonymousRejection: []byte("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+				foreignAnswer:      answer(ownAnswer, "another")}[s.Excess])
 		}
-		if s.Then == falls {
-			return // nobody can see it
+		if s.EndFailure == failSilent {
+			return // the gateway cannot detect it
 		}
-		if s.Then != not {
-			time.Sleep(s.After)
-			w.end(s.Then)
+		if s.EndFailure != noFailure {
+			time.Sleep(s.EndDelay)
+			w.fail(s.EndFailure)
 			return
 		}
 	}
 }
 
-// text is a body that belongs to an id.
-func text(id string, length int) string {
+// bodyText returns a body that identifies the request ID.
+func bodyText(id string, length int) string {
 	return strings.Repeat(id+".", length/(len(id)+1)+1)[:length]
 }
 
-// answer is what a server sends.
-func answer(w word, id string) []byte {
-	status, body, lines := 200, text(id, 30), headerAttemptID+": "+id+"\r\n"+headerServerSeal+": s\r\n"
+// answer returns the response of a server to the request with the given ID.
+func answer(w answerKind, id string) []byte {
+	status, body, lines := 200, bodyText(id, 30), headerAttemptID+": "+id+"\r\n"+headerServerSeal+": s\r\n"
 	switch w {
-	case tooLong:
-		body = text(id, 70<<10)
-	case foreign:
-		return append(answer(itsOwn, "another"), answer(itsOwn, id)...)
-	case full:
+	case longAnswer:
+		body = bodyText(id, 70<<10)
+	case foreignFirst:
+		return append(answer(ownAnswer, "another"), answer(ownAnswer, id)...)
+	case overloaded:
 		status, lines = 503, headerAttemptID+": "+id+"\r\n"+headerNotRun+": 1\r\n"
-	case moved:
+	case misdirected:
 		status, lines = 421, headerAttemptID+": "+id+"\r\n"
-	case missing, unendingMissing:
+	case notFound, untilCloseNotFound:
 		status = 404
-	case ranOut:
+	case ranError:
 		status = 500
-	case ranBusy:
+	case ranTooManyRequests:
 		status = 429
-	case ranRefused:
+	case ranUnavailable:
 		status = 503
-	case unsealed:
+	case withoutSeal:
 		lines = headerAttemptID + ": " + id + "\r\n"
-	case nameless:
+	case withoutID:
 		lines = headerServerSeal + ": s\r\n"
 	}
 	switch w {
-	case inChunks:
+	case chunkedAnswer:
 		body = fmt.Sprintf("%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 10, body[:10], len(body)-10, body[10:])
 		lines += "Transfer-Encoding: chunked\r\n"
-	case unending, unendingMissing:
+	case untilClose, untilCloseNotFound:
 	default:
 		lines += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	}
 	return fmt.Appendf(nil, "HTTP/1.1 %d Word\r\n%s\r\n%s", status, lines, body)
 }
 
-// patient is how long clients wait, and late how much longer an answer may be under way.
+// defaultClientTimeout is how long clients wait for a response, and answerSlack the extra time that its
+// delivery may take.
 const (
-	patient = 900 * time.Millisecond
-	late    = 100 * time.Millisecond
+	defaultClientTimeout = 900 * time.Millisecond
+	answerSlack          = 100 * time.Millisecond
 )
 
-// client plays one client, on one connection as long as that holds.
-func (d *day) client(n *scenario.Net, number int, asks []ask) {
+// client runs one client, which uses a single connection as long as it can be reused.
+func (d *simulation) client(n *scenario.Net, number int, requests []clientRequest) {
 	var c net.Conn
 	var in *bufio.Reader
-	for i, a := range asks {
-		time.Sleep(a.Gap)
+	for i, a := range requests {
+		time.Sleep(a.Delay)
 		id := fmt.Sprintf("r%d-%d", number, i)
 		if c == nil {
 			c, _ = n.Dial(context.Background(), "memory", "ingress")
@@ -380,14 +383,15 @@
 			method, path, id = "POST", "/w/", "w"+id
 		}
 		fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: one.example\r\nAttempt-Id: %s\r\nTime-Left-Ms: %d\r\n"+
-			"Content-Length: %d\r\n\r\n%s", method, path+id, id, d.Wait.Milliseconds(), a.Body, text(id, a.Body))
-		if a.Stay > 0 {
-			time.Sleep(a.Stay)
+			"Content-Length: %d\r\n\r\n%s", method, path+id, id, d.ClientTimeout.Milliseconds(), a.Body,
+			bodyText(id, a.Body))
+		if a.LeaveAfter > 0 {
+			time.Sleep(a.LeaveAfter)
 		}
-		if err := c.SetReadDeadline(time.Now().Add(d.Wait + late)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(d.ClientTimeout + answerSlack)); err != nil {
 			return
 		}
-		if a.Stay > 0 || !d.look(in, id) {
+		if a.LeaveAfter > 0 || !d.checkAnswer(in, id) {
 			c.Close()
 			c = nil
 		}
@@ -397,8 +401,8 @@
 	}
 }
 
-// look reads an answer and holds it to the rules. It reports whether the connection can be used again.
-func (d *day) look(in *bufio.Reader, id string) bool {
+// checkAnswer reads a response and checks it. It reports whether the connection can be reused.
+func (d *simulation) checkAnswer(in *bufio.Reader, id string) bool {
 	r, err := http.ReadResponse(in, nil)
 	var body []byte
 	if err == nil {
@@ -408,55 +412,57 @@
 	var slow net.Error
 	switch {
 	case err != nil:
-		if errors.As(err, &slow) && slow.Timeout() && r == nil { // else a server's silence, which is waited out
-			d.fault("%s gets no answer in time", id)
+		// A timeout within a response is no problem: the gateway waits for a server that is silent there.
+		if errors.As(err, &slow) && slow.Timeout() && r == nil {
+			d.problem("%s received no response in time", id)
 		}
 		return false
 	case r.Header.Get(headerAttemptID) != "" && r.Header.Get(headerAttemptID) != id:
-		d.fault("%s gets the answer to %s", id, r.Header.Get(headerAttemptID))
+		d.problem("%s received the response to %s", id, r.Header.Get(headerAttemptID))
 	case r.StatusCode == http.StatusOK && (r.Header.Get(headerServerSeal) == "" ||
 		r.Header.Get(headerAttemptID) == ""):
-		d.fault("%s gets a success that is not the server's", id)
+		d.problem("%s received a success without ID or seal", id)
 	case (r.StatusCode == http.StatusOK || r.Header.Get(headerAttemptID) != "") &&
-		string(body) != text(id, max(30, len(body))):
-		d.fault("%s gets a body of %d bytes that is not the server's", id, len(body))
+		string(body) != bodyText(id, max(30, len(body))):
+		d.problem("%s received a wrong body of %d bytes", id, len(body))
 	}
 	switch r.StatusCode {
 	case http.StatusOK:
 		d.mu.Lock()
-		d.whole++
+		d.completeAnswers++
 		d.mu.Unlock()
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
 		d.mu.Lock()
-		d.promised[id] = r.StatusCode
+		d.notRunStatus[id] = r.StatusCode
 		d.mu.Unlock()
 	}
 	return !r.Close
 }
 
-// end holds the whole day to the rules.
-func (d *day) end() {
-	for id, n := range d.ran {
+// checkExecutions checks that no write was executed twice, executed though its client was told that it was
+// not, or sent again without a rejection.
+func (d *simulation) checkExecutions() {
+	for id, n := range d.executions {
 		if id[0] == 'w' && n > 1 {
-			d.fault("%s has run %d times", id, n)
+			d.problem("%s was executed %d times", id, n)
 		}
-		if status := d.promised[id]; id[0] == 'w' && status != 0 {
-			d.fault("%s has run, and its client was told by %d that it has not", id, status)
+		if status := d.notRunStatus[id]; id[0] == 'w' && status != 0 {
+			d.problem("%s was executed, and its client received status %d, which means that it was not", id, status)
 		}
 	}
-	for id, n := range d.sent {
-		if id[0] == 'w' && n > 1+d.away[id] {
-			d.fault("%s is sent %d times, and was turned away %d times", id, n, d.away[id])
+	for id, n := range d.sends {
+		if id[0] == 'w' && n > 1+d.rejections[id] {
+			d.problem("%s was sent %d times, and rejected %d times", id, n, d.rejections[id])
 		}
 	}
 }
 
-// play plays a plan and returns what was wrong.
-func play(t *testing.T, p trouble) *day {
-	d := &day{t: t, trouble: p, ran: map[string]int{}, sent: map[string]int{}, away: map[string]int{},
-		promised: map[string]int{}}
-	d.Room, d.Wait = cmp.Or(p.Room, 1<<20), cmp.Or(p.Wait, patient)
+// simulate runs a plan and returns the simulation with the problems found.
+func simulate(t *testing.T, p plan) *simulation {
+	d := &simulation{t: t, plan: p, executions: map[string]int{}, sends: map[string]int{},
+		rejections: map[string]int{}, notRunStatus: map[string]int{}}
+	d.BufferBytes, d.ClientTimeout = cmp.Or(p.BufferBytes, 1<<20), cmp.Or(p.ClientTimeout, defaultClientTimeout)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		up := core.Upstream(forward.New(forward.Config{Dial: d.dial, DialTimeout: time.Second,
@@ -464,8 +470,8 @@
 				Body: 64 << 10}, Log: zerolog.Nop(),
 			Judge:   func(*http1.Response) core.Result { return core.Result{Code: choice.Reset} },
 			Streams: func(*http.Response) core.Result { return core.Result{Code: choice.Reset} }}))
-		if p.Upstream != nil {
-			up = p.Upstream(up)
+		if p.WrapUpstream != nil {
+			up = p.WrapUpstream(up)
 		}
 		start := time.Now()
 		f := New(Options{Zone: "a", SlowLog: &slowlog.Log{}, Log: func(events.Event, ...any) {},
@@ -479,14 +485,14 @@
 				}
 				return c, err
 			}})
-		config, err := routing.Parse([]byte(`{"version":"r1","items_of":[` + route("r", "read_only") + "," +
-			route("w", "writing") + `,{"item_kind":"backends","metadata":{"name":"s"},"desired":{}}]}`))
+		config, err := routing.Parse([]byte(`{"version":"r1","items_of":[` + routeJSON("r", "read_only") + "," +
+			routeJSON("w", "writing") + `,{"item_kind":"backends","metadata":{"name":"s"},"desired":{}}]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
 		servers := []message.Endpoint{{ID: "s1", Service: "s", Addr: "a:1", Zone: "a", Capacity: 4},
 			{ID: "s2", Service: "s", Addr: "a:2", Zone: "a", Capacity: 4}}
-		if p.Alone {
+		if p.SingleServer {
 			servers = servers[:1]
 		}
 		f.SetEndpoints(servers)
@@ -495,131 +501,134 @@
 		l, _ := n.Listen("memory", "ingress")
 		in := accept.NewStreams(l, f, 50, accept.Streams{Head: 16 << 10, Short: 64 << 10, Wait: 3 * time.Second,
 			Idle: 15 * time.Second, Store: flow.NewStore(4 << 20)}, zerolog.Nop())
-		go func() { _ = in.Serve() }() // it ends with the test
+		go func() { _ = in.Serve() }() // it returns when the test ends
 		time.Sleep(time.Second)
 		var clients sync.WaitGroup
-		for i, asks := range p.Asks {
-			clients.Go(func() { d.client(n, i, asks) })
+		for i, requests := range p.Requests {
+			clients.Go(func() { d.client(n, i, requests) })
 		}
 		clients.Wait()
 		in.Drain()
 		time.Sleep(time.Second)
 		stop()
-		for _, w := range d.wires {
-			w.end(resets)
+		for _, w := range d.conns {
+			w.fail(failReset)
 		}
-		time.Sleep(time.Minute) // whatever still waits runs into its limit
+		time.Sleep(time.Minute) // let all remaining waits time out
 	})
-	d.end()
+	d.checkExecutions()
 	return d
 }
 
-func route(name, kind string) string {
+func routeJSON(name, kind string) string {
 	return fmt.Sprintf(`{"item_kind":"routes","metadata":{"name":%q},"desired":{"domain":"one.example",
 "path_start":"/%[1]s/","kind":%q,"give_up_s":60,"target_s":0.25,"rank":0,"backend":"s","tries":2,
 "public":true}}`, name, kind)
 }
 
-var writing = ask{Writing: true, Body: 40, Gap: 10 * time.Millisecond}
+var writeRequest = clientRequest{Writing: true, Body: 40, Delay: 10 * time.Millisecond}
 
-// Given a request on a new connection or a kept one, when the server resets, closes or falls silent at any
-// byte of the request or of the answer, then what may not be repeated is sent once, and nobody is told that
-// it has not run.
-func TestABreakAtAnyByte(t *testing.T) {
+// A server resets, closes or goes silent at any byte of the request or the response, on a new or a reused
+// connection. A request that is not idempotent must then be sent only once, and no client may be told that
+// it was not executed.
+func TestServerFailureAtAnyByte(t *testing.T) {
 	t.Parallel()
-	for _, before := range [][]step{nil, {{}}} {
-		asks := [][]ask{make([]ask, len(before)+2)}
-		for i := range asks[0] {
-			asks[0][i] = writing
+	for _, before := range [][]serverStep{nil, {{}}} {
+		requests := [][]clientRequest{make([]clientRequest, len(before)+2)}
+		for i := range requests[0] {
+			requests[0][i] = writeRequest
 		}
-		size := play(t, trouble{Asks: asks}).bytes
-		for by := resets; by < hows; by++ {
+		size := simulate(t, plan{Requests: requests}).lastSizes
+		for by := failReset; by < failureKinds; by++ {
 			for cut := 1; cut <= size[0]; cut++ {
-				check(t, trouble{Room: 24, Asks: asks, Steps: append(before, step{Cut: cut, CutHow: by})})
+				check(t, plan{BufferBytes: 24, Requests: requests,
+					Steps: append(before, serverStep{ReadBytes: cut, ReadFailure: by})})
 			}
-			// Where all of it has gone into the buffers, the gateway can't tell one byte from another.
+			// With a buffer that takes the whole request, all cuts look the same to the gateway.
 			for _, cut := range []int{1, size[0] - 1, size[0]} {
-				check(t, trouble{Asks: asks, Steps: append(before, step{Cut: cut, CutHow: by})})
+				check(t, plan{Requests: requests,
+					Steps: append(before, serverStep{ReadBytes: cut, ReadFailure: by})})
 			}
 			for stop := range size[1] {
-				check(t, trouble{Asks: asks, Steps: append(before, step{Stop: stop, StopBy: by})})
+				check(t, plan{Requests: requests,
+					Steps: append(before, serverStep{WriteBytes: stop, WriteFailure: by})})
 			}
 		}
 	}
 }
 
-func check(t *testing.T, p trouble) {
+func check(t *testing.T, p plan) {
 	t.Helper()
-	if d := play(t, p); len(d.problems) > 0 {
-		t.Errorf("room %d, steps %+v: %q", p.Room, p.Steps, d.problems)
+	if d := simulate(t, p); len(d.problems) > 0 {
+		t.Errorf("buffer of %d bytes, steps %+v: %q", p.BufferBytes, p.Steps, d.problems)
 	}
 }
 
-// drawn draws a plan.
-func drawn() gopter.Gen {
+// genPlan generates random plans.
+func genPlan() gopter.Gen {
 	times := gen.OneConstOf(time.Duration(0), time.Millisecond, 2*time.Millisecond, 3*time.Millisecond,
 		10*time.Millisecond, 30*time.Millisecond)
-	steps := gen.SliceOfN(8, gen.Struct(reflect.TypeFor[step](), map[string]gopter.Gen{
-		"AtDial": seldom(hows).Map(func(h how) bool { return h == resets }),
-		"Cut":    gen.IntRange(1, 300), "CutHow": seldom(hows),
-		"Word":  gen.IntRange(0, int(words)-1).Map(func(i int) word { return word(i) }),
-		"Early": gen.Bool(), "Slow": times,
-		"Stop": gen.IntRange(0, 200), "StopBy": seldom(hows),
-		"Excess": seldom(excesses), "Late": times,
-		"Then": seldom(hows), "After": times}))
-	asks := gen.SliceOfN(4, gen.Struct(reflect.TypeFor[ask](), map[string]gopter.Gen{"Writing": gen.Bool(),
-		"Body": gen.OneConstOf(0, 40, 65<<10), "Gap": times,
-		"Stay": gen.Weighted([]gen.WeightedGen{{Weight: 4, Gen: gen.Const(time.Duration(0))},
+	steps := gen.SliceOfN(8, gen.Struct(reflect.TypeFor[serverStep](), map[string]gopter.Gen{
+		"ResetAtDial": genMostlyNone(failureKinds).Map(func(h failure) bool { return h == failReset }),
+		"ReadBytes":   gen.IntRange(1, 300), "ReadFailure": genMostlyNone(failureKinds),
+		"Word":  gen.IntRange(0, int(answerKinds)-1).Map(func(i int) answerKind { return answerKind(i) }),
+		"Early": gen.Bool(), "BodyDelay": times,
+		"WriteBytes": gen.IntRange(0, 200), "WriteFailure": genMostlyNone(failureKinds),
+		"Excess": genMostlyNone(excessKinds), "ExcessDelay": times,
+		"EndFailure": genMostlyNone(failureKinds), "EndDelay": times}))
+	requests := gen.SliceOfN(4, gen.Struct(reflect.TypeFor[clientRequest](), map[string]gopter.Gen{
+		"Writing": gen.Bool(), "Body": gen.OneConstOf(0, 40, 65<<10), "Delay": times,
+		"LeaveAfter": gen.Weighted([]gen.WeightedGen{{Weight: 4, Gen: gen.Const(time.Duration(0))},
 			{Weight: 1, Gen: times}})}))
-	return gopter.CombineGens(gen.OneConstOf(200, 4<<10, 1<<20), steps, gen.SliceOfN(3, asks)).Map(
-		func(v []any) trouble {
-			return trouble{Room: v[0].(int), Steps: v[1].([]step), Asks: v[2].([][]ask)}
+	return gopter.CombineGens(gen.OneConstOf(200, 4<<10, 1<<20), steps, gen.SliceOfN(3, requests)).Map(
+		func(v []any) plan {
+			return plan{BufferBytes: v[0].(int), Steps: v[1].([]serverStep), Requests: v[2].([][]clientRequest)}
 		})
 }
 
-// seldom draws one of a kind of faults, whose first is none, and mostly that.
-func seldom[T ~int](kinds T) gopter.Gen {
+// genMostlyNone generates a kind of fault, mostly the zero value, which is none.
+func genMostlyNone[T ~int](kinds T) gopter.Gen {
 	return gen.Weighted([]gen.WeightedGen{{Weight: 3, Gen: gen.Const(T(0))},
 		{Weight: 1, Gen: gen.IntRange(1, int(kinds)-1).Map(func(i int) T { return T(i) })}})
 }
 
-// Given clients whose requests meet any mix of faults, then every answer is its request's and whole, and what
-// may not be repeated runs once, and not at all if its client was told so.
-func TestDrawnFaults(t *testing.T) {
+// With any mix of faults, each response must be complete and belong to its request, and a request that is
+// not idempotent must be executed at most once, and not at all if its client was told so.
+func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	set := gopter.DefaultTestParametersWithSeed(5)
 	set.MinSuccessfulTests = 150
 	p := gopter.NewProperties(set)
-	p.Property("rules", prop.ForAll(func(p trouble) (string, error) {
-		return strings.Join(play(t, p).problems, "; "), nil
-	}, drawn()))
+	p.Property("invariants", prop.ForAll(func(p plan) (string, error) {
+		return strings.Join(simulate(t, p).problems, "; "), nil
+	}, genPlan()))
 	p.TestingRun(t)
 }
 
-// upstream is one whose attempts are meddled with.
-type upstream struct {
+// modifyingUpstream changes the attempts that it passes on.
+type modifyingUpstream struct {
 	core.Upstream
-	meddle func(a core.Attempt) core.Attempt
+	modify func(a core.Attempt) core.Attempt
 }
 
-func (u upstream) Start(a core.Attempt) core.Running { return u.Upstream.Start(u.meddle(a)) }
+func (u modifyingUpstream) Start(a core.Attempt) core.Running { return u.Upstream.Start(u.modify(a)) }
 
-// blind is a connection on which nobody sees what nobody asked for.
-type blind struct{ *wire }
+// unobservedConn hides unsolicited bytes and closed connections from the gateway.
+type unobservedConn struct{ *memConn }
 
-func (b blind) Unread() bool { return false }
+func (b unobservedConn) Unread() bool { return false }
 
-func (b blind) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
+func (b unobservedConn) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
 	for {
 		b.mu.Lock()
-		since := b.change
+		generation := b.generation
 		b.mu.Unlock()
-		n, err := b.wire.ReadWanted(p, lock, wanted)
+		n, err := b.memConn.ReadWanted(p, lock, wanted)
 		if !errors.Is(err, direct.ErrUnwanted) {
 			return n, err
 		}
 		b.mu.Lock()
-		err = b.await(since, b.due[reads])
+		err = b.waitForChange(generation, b.deadlines[readSide])
 		b.mu.Unlock()
 		if err != nil {
 			return 0, err
@@ -627,18 +636,19 @@
 	}
 }
 
-// credulous is a message that takes any answer for its own.
-type credulous struct{ *upstreamRequest }
+// trustingRequest accepts any response as its own.
+type trustingRequest struct{ *upstreamRequest }
 
-func (c credulous) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
+func (c trustingRequest) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
 	r.Header.Set(headerAttemptID, c.id)
 	return c.upstreamRequest.Judge(r, a)
 }
 
-// Given a fault of the data plane's own, then the rules find it, and without it the same day keeps them.
+// Each injected defect of the data plane must be detected, and the same plan without the defect must have no
+// problems.
 func TestSeededDefects(t *testing.T) {
-	again := func(next core.Upstream) core.Upstream {
-		return upstream{next, func(a core.Attempt) core.Attempt {
+	retryAfterReset := func(next core.Upstream) core.Upstream {
+		return modifyingUpstream{next, func(a core.Attempt) core.Attempt {
 			end := a.End
 			a.End = func(r core.Result) {
 				if r.Code == choice.Reset {
@@ -649,103 +659,116 @@
 			return a
 		}}
 	}
-	trusts := func(next core.Upstream) core.Upstream {
-		return upstream{next, func(a core.Attempt) core.Attempt {
-			a.Payload = credulous{a.Payload.(*upstreamRequest)}
+	trustAnyAnswer := func(next core.Upstream) core.Upstream {
+		return modifyingUpstream{next, func(a core.Attempt) core.Attempt {
+			a.Payload = trustingRequest{a.Payload.(*upstreamRequest)}
 			return a
 		}}
 	}
-	two := []ask{writing, {Writing: true, Body: 40, Gap: 9 * time.Millisecond}}
+	twoWrites := []clientRequest{writeRequest, {Writing: true, Body: 40, Delay: 9 * time.Millisecond}}
 	for name, c := range map[string]struct {
-		trouble
+		plan
 		want string
 	}{
-		"sent again after a reset with its head written": {trouble{Upstream: again, Asks: [][]ask{two},
-			Steps: []step{{Cut: 100, CutHow: resets}}}, "wr0-0 is sent 2 times"},
-		"sent again after it has run": {trouble{Upstream: again, Asks: [][]ask{two},
-			Steps: []step{{StopBy: closes, Stop: 20}}}, "wr0-0 has run 2 times"},
-		"a connection with bytes to spare used again": {trouble{Asks: [][]ask{two},
-			Wire:  func(w *wire) net.Conn { return blind{w} },
-			Steps: []step{{Excess: noise, Late: time.Millisecond}}}, "wr0-1 is sent on a connection that is in doubt"},
-		"a connection used again that its server has closed": {trouble{Asks: [][]ask{two},
-			Wire:  func(w *wire) net.Conn { return blind{w} },
-			Steps: []step{{Then: closes, After: time.Millisecond}}}, "wr0-1 is sent on a connection that is in doubt"},
-		"a late answer taken for the next request's": {trouble{Upstream: trusts, Asks: [][]ask{two},
-			Steps: []step{{Excess: repeated, Late: 10 * time.Millisecond}}}, "wr0-1 gets a body of 30"},
+		"retry after a reset when the head was written": {plan{WrapUpstream: retryAfterReset,
+			Requests: [][]clientRequest{twoWrites},
+			Steps:    []serverStep{{ReadBytes: 100, ReadFailure: failReset}}},
+			"wr0-0 was sent 2 times"},
+		"retry after execution": {plan{WrapUpstream: retryAfterReset,
+			Requests: [][]clientRequest{twoWrites},
+			Steps:    []serverStep{{WriteFailure: failClose, WriteBytes: 20}}},
+			"wr0-0 was executed 2 times"},
+		"reuse of a connection with unsolicited bytes": {plan{Requests: [][]clientRequest{twoWrites},
+			WrapConn: func(w *memConn) net.Conn { return unobservedConn{w} },
+			Steps:    []serverStep{{Excess: garbage, ExcessDelay: time.Millisecond}}},
+			"wr0-1 is sent on a connection that must not be reused"},
+		"reuse of a connection that the server closed": {plan{Requests: [][]clientRequest{twoWrites},
+			WrapConn: func(w *memConn) net.Conn { return unobservedConn{w} },
+			Steps:    []serverStep{{EndFailure: failClose, EndDelay: time.Millisecond}}},
+			"wr0-1 is sent on a connection that must not be reused"},
+		"late response accepted for the next request": {plan{WrapUpstream: trustAnyAnswer,
+			Requests: [][]clientRequest{twoWrites},
+			Steps:    []serverStep{{Excess: repeatedAnswer, ExcessDelay: 10 * time.Millisecond}}},
+			"wr0-1 received a wrong body of 30"},
 	} {
-		if got := strings.Join(play(t, c.trouble).problems, "; "); !strings.Contains(got, c.want) {
-			t.Errorf("%s: found %q, want %q", name, got, c.want)
+		if got := strings.Join(simulate(t, c.plan).problems, "; "); !strings.Contains(got, c.want) {
+			t.Errorf("%s: problems %q, want %q", name, got, c.want)
 		}
-		c.Upstream, c.Wire = nil, nil
-		if got := play(t, c.trouble).problems; len(got) > 0 {
-			t.Errorf("without %s: %q", name, got)
+		c.WrapUpstream, c.WrapConn = nil, nil
+		if got := simulate(t, c.plan).problems; len(got) > 0 {
+			t.Errorf("without the defect (%s): problems %q", name, got)
 		}
 	}
 }
 
-// Given a server that tells how long it keeps idle connections, then a request goes by a kept one only well
-// within that time.
-func TestIdleConnectionsGoByTheirServersTime(t *testing.T) {
-	for gap, want := range map[time.Duration]int{1100 * time.Millisecond: 1, 1300 * time.Millisecond: 2} {
-		d := play(t, trouble{Asks: [][]ask{{writing, {Writing: true, Gap: gap}}},
-			Steps: []step{{Keep: 2, Then: closes, After: 2 * time.Second}}})
-		if len(d.wires) != want || len(d.problems) > 0 {
-			t.Errorf("after %v: %d connections, want %d; %q", gap, len(d.wires), want, d.problems)
+// An idle connection must be reused only well within the idle timeout that its server sends.
+func TestIdleConnectionRespectsServerKeepAlive(t *testing.T) {
+	for idle, want := range map[time.Duration]int{1100 * time.Millisecond: 1, 1300 * time.Millisecond: 2} {
+		d := simulate(t, plan{Requests: [][]clientRequest{{writeRequest, {Writing: true, Delay: idle}}},
+			Steps: []serverStep{{KeepAliveSeconds: 2, EndFailure: failClose, EndDelay: 2 * time.Second}}})
+		if len(d.conns) != want || len(d.problems) > 0 {
+			t.Errorf("after %v: %d connections, want %d; %q", idle, len(d.conns), want, d.problems)
 		}
 	}
 }
 
-// Given a server that falls silent in the midst of a long answer, for as long as its client waits, then the
-// answer is not cut.
-func TestAServersSilenceEndsNoAnswer(t *testing.T) {
-	d := play(t, trouble{Wait: 40 * time.Second, Asks: [][]ask{{writing}}, Alone: true,
-		Steps: []step{{Word: tooLong, Stop: 66 << 10, Pause: 30 * time.Second}}})
-	if len(d.problems) > 0 || d.whole != 1 {
-		t.Errorf("%d answers came whole, %q", d.whole, d.problems)
+// A server that pauses within a long response, for less than its client waits, must not cause a truncated
+// response.
+func TestPausingServerDoesNotTruncateAnswer(t *testing.T) {
+	d := simulate(t, plan{ClientTimeout: 40 * time.Second, Requests: [][]clientRequest{{writeRequest}},
+		SingleServer: true,
+		Steps:        []serverStep{{Word: longAnswer, WriteBytes: 66 << 10, Pause: 30 * time.Second}}})
+	if len(d.problems) > 0 || d.completeAnswers != 1 {
+		t.Errorf("%d complete responses, want 1; problems %q", d.completeAnswers, d.problems)
 	}
 }
 
-// Given a request that is sent again, or answered before its end, then the connection serves no other request
-// as long as it owes an answer, or the rest of the body is on its way.
-func TestAConnectionInDoubtServesNobody(t *testing.T) {
+// After a retry, or a response before the end of the request, a connection must not be reused while a
+// response is outstanding or the rest of the body is still being sent.
+func TestConnectionWithOutstandingDataIsNotReused(t *testing.T) {
 	const ms = time.Millisecond
-	reading, long := ask{Gap: 10 * ms}, ask{Writing: true, Body: 65 << 10, Gap: 10 * ms}
-	for name, p := range map[string]trouble{
-		"a late second answer to a request that is sent again": {
-			Asks:  [][]ask{{reading, reading, reading, reading, reading, writing}},
-			Steps: []step{{}, {}, {}, {}, {Word: ranOut, Excess: repeated, Late: 3 * ms}, {Slow: 30 * ms}}},
-		"an answer before the body's end": {Room: 200,
-			Asks:  [][]ask{{reading, long}, {{Writing: true, Gap: 25 * ms}}},
-			Steps: []step{{}, {Word: full, Early: true, Slow: 30 * ms}, {Slow: 30 * ms}}},
+	readRequest, longWrite := clientRequest{Delay: 10 * ms},
+		clientRequest{Writing: true, Body: 65 << 10, Delay: 10 * ms}
+	for name, p := range map[string]plan{
+		"late second response to a request that is retried": {
+			Requests: [][]clientRequest{{readRequest, readRequest, readRequest, readRequest, readRequest,
+				writeRequest}},
+			Steps: []serverStep{{}, {}, {}, {}, {Word: ranError, Excess: repeatedAnswer, ExcessDelay: 3 * ms},
+				{BodyDelay: 30 * ms}}},
+		"response before the end of the body": {BufferBytes: 200,
+			Requests: [][]clientRequest{{readRequest, longWrite}, {{Writing: true, Delay: 25 * ms}}},
+			Steps:    []serverStep{{}, {Word: overloaded, Early: true, BodyDelay: 30 * ms}, {BodyDelay: 30 * ms}}},
 	} {
-		p.Alone = true
-		if d := play(t, p); len(d.problems) > 0 || d.next < len(p.Steps) || len(d.wires) < 2 {
-			t.Errorf("%s: %d steps, %d connections, %q", name, d.next, len(d.wires), d.problems)
+		p.SingleServer = true
+		if d := simulate(t, p); len(d.problems) > 0 || d.nextStep < len(p.Steps) || len(d.conns) < 2 {
+			t.Errorf("%s: %d steps, %d connections, %q", name, d.nextStep, len(d.conns), d.problems)
 		}
 	}
 }
 
-// busy is a connection whose writer hears only a while after that its bytes have left, as on a busy core.
-type busy struct {
-	*wire
-	after time.Duration
+// slowWriterConn returns from Write some time after the bytes were sent, as on a busy CPU.
+type slowWriterConn struct {
+	*memConn
+	delay time.Duration
 }
 
-func (l busy) Write(p []byte) (int, error) {
-	n, err := l.wire.Write(p)
-	time.Sleep(l.after)
+func (l slowWriterConn) Write(p []byte) (int, error) {
+	n, err := l.memConn.Write(p)
+	time.Sleep(l.delay)
 	return n, err
 }
 
-// Given answers that are here before their requests' writers run on, then the connection is kept; and if the
-// writer is still held up when a connection would have rested, it counts as answered early, and is not. (The
-// second request is the first to race: a new connection is read only once its first request is written.)
-func TestAnAnswerBeforeItsWriterRunsOnKeepsTheConnection(t *testing.T) {
+// A response may arrive before the write of its request has returned. The connection must still be reused;
+// but if the write returns only after the time that an early response is waited for, the response counts as
+// early, and the connection is closed. (The second request is the first that can race: a new connection is
+// read only once its first request is written.)
+func TestConnectionIsKeptWhenAnswerPrecedesWriter(t *testing.T) {
 	for after, want := range map[time.Duration]int{0: 1, time.Millisecond: 1, 5 * time.Millisecond: 2} {
-		d := play(t, trouble{Alone: true, Asks: [][]ask{{writing, writing, writing}},
-			Wire: func(w *wire) net.Conn { return busy{w, after} }})
-		if len(d.wires) != want || len(d.problems) > 0 {
-			t.Errorf("%v late: %d connections, want %d; %q", after, len(d.wires), want, d.problems)
+		d := simulate(t, plan{SingleServer: true,
+			Requests: [][]clientRequest{{writeRequest, writeRequest, writeRequest}},
+			WrapConn: func(w *memConn) net.Conn { return slowWriterConn{w, after} }})
+		if len(d.conns) != want || len(d.problems) > 0 {
+			t.Errorf("write delayed by %v: %d connections, want %d; %q", after, len(d.conns), want, d.problems)
 		}
 	}
 }
--- a/internal/dataplane/proxy/handler.go
+++ b/internal/dataplane/proxy/handler.go
@@ -1,6 +1,6 @@
-// Package proxy is the data plane: its Handler finds a request's route and its tenant, holds the tenant to
-// its quota, and hands the request to the core of the route's service, whose gate decides on server, retries
-// and rejections.
+// Package proxy is the data plane. Its Handler finds the route and the tenant of a request, enforces the
+// tenant's quota, and submits the request to the core of the route's service, which selects a server and
+// decides on retries and load shedding.
 package proxy
 
 import (
@@ -21,59 +21,60 @@
 
 var _ accept.Streamer = (*Handler)(nil)
 
-// Options are what New needs.
+// Options are the dependencies and settings of a Handler.
 type Options struct {
-	NodeAddr   string // this gateway among the nodes
+	NodeAddr   string // address of this gateway, as in SetNodes
 	Zone       string
 	Tuning     choice.Tuning
 	Limiter    *ratelimit.Limiter
-	Clock      func() time.Duration // of the limiter
-	BodyBudget *flow.Budget         // of long bodies
-	SlowLog    *slowlog.Log         // of what ran late or was given up
-	// NewCore starts a core for a service.
+	Clock      func() time.Duration // monotonic time; the limiter uses the same clock
+	BodyBudget *flow.Budget         // memory for long bodies
+	SlowLog    *slowlog.Log         // receives requests that were late, rejected or failed
+	// NewCore creates and starts the core of a service.
 	NewCore func(service string, set choice.Settings) (*core.Core, error)
 	Log     func(e events.Event, pairs ...any)
-	// Observer is told of each request that has ended; nil: nobody is.
+	// Observer is notified of each request that has ended. It may be nil.
 	Observer RequestObserver
 }
 
-// Outcome is how a request with a route and a tenant has ended.
+// Outcome is how a request ended that was submitted to a core or was over its quota.
 type Outcome string
 
 // The outcomes.
 const (
-	OutcomeServed    Outcome = "served"     // by a server's answer, within its route's latency target
-	OutcomeLate      Outcome = "late"       // the same, after that
-	OutcomeRejected  Outcome = "rejected"   // 503: it has not run
-	OutcomeFailed    Outcome = "failed"     // 502 or 504: it may have run
-	OutcomeOverQuota Outcome = "over_quota" // 429: beyond its tenant's quota
+	OutcomeServed    Outcome = "served"     // a server responded within the latency target of the route
+	OutcomeLate      Outcome = "late"       // a server responded after the latency target
+	OutcomeRejected  Outcome = "rejected"   // status 503: not executed by a server
+	OutcomeFailed    Outcome = "failed"     // status 502 or 504: possibly executed by a server
+	OutcomeOverQuota Outcome = "over_quota" // status 429: over the quota of the tenant
 )
 
-// RequestObserver is told of requests, from any goroutine. It must not block.
+// RequestObserver is notified of requests. Its method is called concurrently, and must not block.
 type RequestObserver interface {
-	// RequestEnded tells of a request that came whole so long ago.
+	// RequestEnded reports the end of a request, took after it was received.
 	RequestEnded(route *routing.Route, outcome Outcome, took time.Duration)
 }
 
-// Handler answers clients. Its methods may be called from any goroutine.
+// Handler handles client requests. It is safe for concurrent use.
 type Handler struct {
 	Options
-	config atomic.Pointer[config] // in force; nil: none yet
+	config atomic.Pointer[config] // the current configuration; nil until the first one
 
 	mu        sync.Mutex
 	cores     map[string]*core.Core // by service
 	endpoints []message.Endpoint
-	zoneNodes []string                           // addresses of the gateways of this zone
-	classes   map[string]map[string]choice.Class // that each core has, by service and name
+	zoneNodes []string                           // addresses of the gateways in this zone
+	classes   map[string]map[string]choice.Class // known to each core, by service and class name
 }
 
-// New returns a handler that rejects all until it has a configuration.
+// New returns a handler that rejects all requests until it has a configuration.
 func New(options Options) *Handler {
 	return &Handler{Options: options, cores: map[string]*core.Core{},
 		classes: map[string]map[string]choice.Class{}}
 }
 
-// Ready reports whether requests can be served: a configuration is in force, and servers are known.
+// Ready reports whether requests can be served: there is a configuration, and the core of at least one
+// service knows its servers.
 func (h *Handler) Ready() bool {
 	c := h.config.Load()
 	if c == nil {
@@ -87,7 +88,8 @@
 	return false
 }
 
-// Limits are those of a tenant, by the configuration in force.
+// Limits returns the rate limits of a tenant in the current configuration. They are zero for an unknown
+// tenant.
 func (h *Handler) Limits(tenant string) ratelimit.Limits {
 	if c := h.config.Load(); c != nil {
 		if t := c.Tenants[tenant]; t != nil {
@@ -97,15 +99,15 @@
 	return ratelimit.Limits{}
 }
 
-// What clients are held to where the configuration doesn't say.
+// Limits of client connections that the configuration does not set.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultHeaderTimeout  = 3 * time.Second
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// ClientLimits are what clients are held to when they connect, by the configuration in force; what that
-// leaves out is filled in.
+// ClientLimits returns the limits of client connections in the current configuration, with defaults for
+// those that it does not set.
 func (h *Handler) ClientLimits() routing.Limits {
 	limits := routing.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, HeaderTimeout: defaultHeaderTimeout,
 		IdleTimeout: defaultIdleTimeout}
@@ -119,9 +121,9 @@
 	return limits
 }
 
-func firstPositive[T int | time.Duration](value, otherwise T) T {
+func firstPositive[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -12,10 +12,11 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// minRetryAfter is the least that a client is told when its request was shed.
+// minRetryAfter is the minimum Retry-After of a request that was shed.
 const minRetryAfter = 20 * time.Millisecond
 
-// rejection is a promise that the request has not run and never will.
+// rejection returns a response with a status that guarantees that the request was not and will not be
+// executed.
 func rejection(status int, text string, retryAfter time.Duration) *http1.Answer {
 	a := http1.Plain(status, text)
 	if retryAfter > 0 {
@@ -25,21 +26,21 @@
 	return a
 }
 
-func overQuota(retryAfter time.Duration) *http1.Answer {
+func overQuotaAnswer(retryAfter time.Duration) *http1.Answer {
 	return rejection(http.StatusTooManyRequests, "beyond the quota", retryAfter)
 }
 
-// reply hands a final answer on.
+// reply sends the final answer of the core to the client.
 func (h *Handler) reply(x *accept.Exchange, service *core.Core, in core.Request, a core.Answer) {
 	h.recordEnd(in.Payload.(*upstreamRequest), a.Kind)
 	switch {
 	case a.Kind == core.Served:
-		if long, ok := a.Body.(*transfer.Reply); ok {
+		if streamed, ok := a.Body.(*transfer.Reply); ok {
 			x.OnEnd(service.TrackResponse(in.Class))
-			if room, _ := h.BodyBudget.Admit(service.Now()); room != nil {
-				x.Widen(room, service.Now)
+			if reservation, _ := h.BodyBudget.Admit(service.Now()); reservation != nil {
+				x.Widen(reservation, service.Now)
 			}
-			x.Pass(long)
+			x.Pass(streamed)
 			return
 		}
 		x.Answer(a.Body.(*http1.Answer))
@@ -53,13 +54,14 @@
 	}
 }
 
-// denyOverQuota answers a request that is beyond its tenant's quota.
+// denyOverQuota rejects a request that is over the quota of its tenant.
 func (h *Handler) denyOverQuota(x *accept.Exchange, request *upstreamRequest, retryAfter time.Duration) {
 	h.observe(request, OutcomeOverQuota, h.Clock())
-	x.Answer(overQuota(retryAfter))
+	x.Answer(overQuotaAnswer(retryAfter))
 }
 
-// recordEnd notes how a request has ended, and keeps one that ran late or was given up.
+// recordEnd reports the end of a request to the observer, and adds the request to the slow log if it was
+// late, rejected or failed.
 func (h *Handler) recordEnd(request *upstreamRequest, kind core.Kind) {
 	now := h.Clock()
 	outcome, slow := request.trace.outcome(now, kind)
@@ -69,14 +71,15 @@
 	h.observe(request, observedOutcome(outcome, slow), now)
 }
 
-// observe tells the observer, if there is one, of a request that has ended.
+// observe reports the end of a request to the observer, if there is one.
 func (h *Handler) observe(request *upstreamRequest, outcome Outcome, now time.Duration) {
 	if h.Observer != nil {
 		h.Observer.RequestEnded(request.trace.route, outcome, now-request.trace.receivedAt)
 	}
 }
 
-// observedOutcome is what an observer is told of an outcome.
+// observedOutcome returns the outcome to report to an observer. slow reports whether the request belongs in
+// the slow log.
 func observedOutcome(outcome slowlog.Outcome, slow bool) Outcome {
 	switch {
 	case !slow:
@@ -89,7 +92,8 @@
 	return OutcomeLate
 }
 
-// outcome is how a request ended; slow reports whether it is to be kept.
+// outcome returns how a request ended; slow reports whether it belongs in the slow log. If slow is false, it
+// was served in time.
 func (t *requestTrace) outcome(now time.Duration, kind core.Kind) (outcome slowlog.Outcome, slow bool) {
 	switch kind {
 	case core.Refused:
--- a/internal/dataplane/proxy/stream.go
+++ b/internal/dataplane/proxy/stream.go
@@ -15,20 +15,21 @@
 	"dunespoke/internal/routing"
 )
 
-// deadlineMargin is how long before the client gives up its answer is due: the answer's way there, and a late
-// turn on the core.
+// deadlineMargin is how long before the client gives up the response is due. It covers the way of the
+// response to the client, and late scheduling of the core.
 const deadlineMargin = 16 * time.Millisecond
 
-// maxTimeLeft is the most that a client may say it waits, in milliseconds; what is longer is no time.
+// maxTimeLeft is the largest valid value of the header Time-Left-Ms, in milliseconds. Larger values are
+// ignored.
 const maxTimeLeft = 1e7
 
-// Retry-After of what is rejected before the core has it.
+// Retry-After of requests that are rejected before they are submitted to a core.
 const (
-	startupRetryAfter = 300 * time.Millisecond // while this process knows no configuration yet
-	bodyRetryAfter    = 200 * time.Millisecond // while there is no room for a long body
+	startupRetryAfter = 300 * time.Millisecond // until there is a configuration, and a core for the service
+	bodyRetryAfter    = 200 * time.Millisecond // while the budget does not admit another long body
 )
 
-// Stream takes a request of a client.
+// Stream handles a client request. It implements accept.Streamer.
 func (h *Handler) Stream(x *accept.Exchange) (leave func()) {
 	c := h.config.Load()
 	if c == nil {
@@ -51,7 +52,7 @@
 	if tenant != nil {
 		in.Customer, in.Plan, request.tenant = tenantID(tenant.Name), planName(tenant.Priority), tenant.Name
 	}
-	if !h.hold(x, request, &in, service, route) {
+	if !h.applyLimits(x, request, &in, service, route) {
 		x.Answer(rejection(http.StatusServiceUnavailable, "no room for a long body now", bodyRetryAfter))
 		return nil
 	}
@@ -71,40 +72,40 @@
 	return request
 }
 
-// hold sets the request's deadline and what its connection is held to. It reports false if there is no room
-// for its body.
-func (h *Handler) hold(x *accept.Exchange, request *upstreamRequest, in *core.Request, service *core.Core,
-	route *routing.Route) bool {
+// applyLimits sets the deadline of a request and the terms of its exchange. It reports false if the budget
+// does not admit its body.
+func (h *Handler) applyLimits(x *accept.Exchange, request *upstreamRequest, in *core.Request,
+	service *core.Core, route *routing.Route) bool {
 	now := service.Now()
 	left := timeLeft(x.Header.Get(headerTimeLeft), route.Timeout)
-	var room *flow.Transfer
+	var reservation *flow.Transfer
 	if x.Long {
-		if room, _ = h.BodyBudget.Admit(now); room == nil {
+		if reservation, _ = h.BodyBudget.Admit(now); reservation == nil {
 			return false
 		}
-		held := defaultTerms
-		held.Head, request.terms = left, &held
+		longTerms := defaultTerms
+		longTerms.Head, request.terms = left, &longTerms
 		left += defaultTerms.ClientUp.Grace
 	}
-	if left > request.terms.ServerDown.Stall { // a server's silence ends no answer before its time
-		patient := *request.terms
-		patient.ServerDown.Stall, request.terms = left, &patient
+	if left > request.terms.ServerDown.Stall { // a silent server must not end a response before its deadline
+		extendedTerms := *request.terms
+		extendedTerms.ServerDown.Stall, request.terms = left, &extendedTerms
 	}
-	if ends, known := x.Left(); known { // an answer after the process's end is none
-		left = min(left, ends-deadlineMargin)
+	if processEnd, known := x.Left(); known { // a response after the end of the process would be lost
+		left = min(left, processEnd-deadlineMargin)
 	}
 	in.Deadline = now + left
 	stripHopHeaders(request.header)
-	for _, name := range ownHeaders {
+	for _, name := range generatedHeaders {
 		delete(request.header, name)
 	}
-	x.Hold(request.terms, room, 0, service.Now)
+	x.Hold(request.terms, reservation, 0, service.Now)
 	request.upload = x.Upload
 	return true
 }
 
-// timeLeft is how long a request may be held: until its client gives up, but not longer than its route
-// allows.
+// timeLeft returns how long a request may take: until its client gives up, but not longer than the timeout
+// of its route.
 func timeLeft(text string, timeout time.Duration) time.Duration {
 	millis, ok := http1.Decimal(text)
 	if !ok || millis > maxTimeLeft {
@@ -113,26 +114,27 @@
 	return min(time.Duration(millis*float64(time.Millisecond))-deadlineMargin, timeout)
 }
 
-// tenantID is the number that the gates know a tenant by.
+// tenantID returns the number that identifies a tenant to the cores.
 func tenantID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// limitedRequest is a request that waits for its tenant's quota, and may be left meanwhile.
+// limitedRequest is a request that waits for the quota of its tenant. Its client may cancel it meanwhile.
 type limitedRequest struct {
 	handler *Handler
 	x       *accept.Exchange
 	service *core.Core
 	in      core.Request
 
-	mu        sync.Mutex
-	left      bool
-	submitted func() // leaves the core; nil: it does not have the request yet
+	mu              sync.Mutex
+	canceled        bool
+	cancelSubmitted func() // cancels the request in the core; nil until it is submitted
 }
 
-// submitLimited hands a request to the core once its tenant's quota lets it in.
+// submitLimited submits a request to the core once the quota of its tenant admits it, and rejects it if it
+// is over the quota.
 func (h *Handler) submitLimited(x *accept.Exchange, service *core.Core, in core.Request,
 	tenant *routing.Tenant) (leave func()) {
 	request := &limitedRequest{handler: h, x: x, service: service, in: in}
@@ -143,16 +145,16 @@
 		h.denyOverQuota(x, in.Payload.(*upstreamRequest), retryAfter)
 		return nil
 	}
-	return request.leave
+	return request.cancel
 }
 
-// submit hands the request to the core.
+// submit submits the request to the core, and returns the function that cancels it there.
 func (r *limitedRequest) submit() (leave func()) {
 	r.in.Payload.(*upstreamRequest).trace.recordAdmitted(r.handler.Clock())
 	return r.service.Submit(r.in).Leave
 }
 
-// decide takes the limiter's decision on a request that has waited.
+// decide handles the decision of the limiter on a request that had to wait.
 func (r *limitedRequest) decide(allowed bool, retryAfter time.Duration) {
 	if !allowed {
 		r.handler.denyOverQuota(r.x, r.in.Payload.(*upstreamRequest), retryAfter)
@@ -160,17 +162,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.left {
-		r.submitted = r.submit()
+	if !r.canceled {
+		r.cancelSubmitted = r.submit()
 	}
 }
 
-// leave notes that the client has gone.
-func (r *limitedRequest) leave() {
+// cancel handles the disconnect of the client.
+func (r *limitedRequest) cancel() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = true
-	if r.submitted != nil {
-		r.submitted()
+	r.canceled = true
+	if r.cancelSubmitted != nil {
+		r.cancelSubmitted()
 	}
 }
--- a/internal/dataplane/proxy/upstream_request.go
+++ b/internal/dataplane/proxy/upstream_request.go
@@ -25,41 +25,42 @@
 	_ forward.Judging  = (*upstreamRequest)(nil)
 )
 
-// upstreamRequest is a request as servers get it. It is a forward.Streamed that judges its answers itself.
+// upstreamRequest is a request as it is sent to servers. It implements forward.Streamed, and forward.Judging
+// to validate its own responses.
 type upstreamRequest struct {
 	handler *Handler
 	method  string
 	target  string
 	host    string
 	id      string
-	header  http.Header // that goes on
+	header  http.Header // to forward
 	tenant  string
 	upload  *transfer.Upload
 	terms   *transfer.Terms
 	trace   requestTrace
 }
 
-// requestTrace is a request's way so far, for operators. The front and the goroutines of connections write
-// it.
+// requestTrace records the progress of a request for the slow log. It is safe for concurrent use: the
+// handler and the goroutines of upstream connections write to it.
 type requestTrace struct {
 	mu         sync.Mutex
 	route      *routing.Route
 	service    string
-	receivedAt time.Duration // of the front's clock, as the others
-	admittedAt time.Duration // by its tenant's quota
-	sentAt     time.Duration // to the first server; 0: to none yet
-	server     string        // the last
+	receivedAt time.Duration // on Handler.Clock, as the other times
+	admittedAt time.Duration // by the quota of the tenant; 0 if not yet
+	sentAt     time.Duration // to the first server; 0 if not yet
+	server     string        // to which it was sent last
 	attempts   int
 }
 
-// recordAdmitted notes that the quota lets it in.
+// recordAdmitted records that the quota admitted the request.
 func (t *requestTrace) recordAdmitted(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.admittedAt = now
 }
 
-// recordSent notes that it goes to a server.
+// recordSent records that the request is sent to a server.
 func (t *requestTrace) recordSent(now time.Duration, server string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +70,7 @@
 	t.server = server
 }
 
-// entry tells the trip of a request that has ended.
+// entry returns the slow log entry of a request that has ended.
 func (t *requestTrace) entry(now time.Duration, u *upstreamRequest, outcome slowlog.Outcome) slowlog.Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,9 +91,9 @@
 	return entry
 }
 
-// defaultTerms are what every exchange is held to. What a server is still giving is not cut off: only one
-// that stands still for long is given up. Only Not-Run says that a request has not run: of one that has left
-// in part nothing is promised, too.
+// defaultTerms are the time limits of every exchange. A server that keeps sending is not cut off; only one
+// that stalls for long is. There is no guarantee for a request that was sent in part: only Not-Run means
+// that a request was not executed.
 var defaultTerms = transfer.Terms{
 	ClientUp:   flow.Pace{MinRate: 32 << 10, Grace: 3 * time.Second},
 	ClientDown: flow.Pace{MinRate: 32 << 10, Grace: 5 * time.Second},
@@ -101,7 +102,7 @@
 	Awaited:    true,
 }
 
-// Names of the protocol's headers, as package http writes them.
+// Names of the protocol's headers in canonical form.
 const (
 	headerAttemptID    = "Attempt-Id"
 	headerTimeLeft     = "Time-Left-Ms"
@@ -112,14 +113,14 @@
 	headerNotRun       = "Not-Run"
 )
 
-// stripHopHeaders drops what concerns one connection only.
+// stripHopHeaders deletes the headers that apply to a single connection only.
 func stripHopHeaders(h http.Header) {
 	http1.DropHops(h, headerAttemptID, headerServerSeal)
-	delete(h, "Expect") // it is between the client and this program
+	delete(h, "Expect") // it applies only between the client and this process
 }
 
-// ownHeaders are lines that this program words itself.
-var ownHeaders = []string{
+// generatedHeaders are the headers that this process generates itself. Those of the client are dropped.
+var generatedHeaders = []string{
 	headerAttemptID,
 	headerTimeLeft,
 	headerTargetServer,
@@ -129,10 +130,11 @@
 	"Content-Length",
 }
 
-// Append writes the head for a server.
+// Append appends the head of the request, as it is sent to server s, to buf. wait is the time left for the
+// attempt.
 func (u *upstreamRequest) Append(buf []byte, s core.Server, wait time.Duration) []byte {
 	u.trace.recordSent(u.handler.Clock(), s.Name)
-	if u.terms.Head > 0 { // the attempt's time holds that of sending the body
+	if u.terms.Head > 0 { // wait also covers sending the body, Head does not
 		wait = u.terms.Head
 	}
 	buf = append(append(buf, u.method...), ' ')
@@ -156,48 +158,51 @@
 	return append(buf, "\r\n"...)
 }
 
-// Upload is the body.
+// Upload returns the request body.
 func (u *upstreamRequest) Upload() *transfer.Upload { return u.upload }
 
-// Terms are what the exchange is held to.
+// Terms returns the time limits of the exchange.
 func (u *upstreamRequest) Terms() *transfer.Terms { return u.terms }
 
-// Method is the request's.
+// Method returns the HTTP method.
 func (u *upstreamRequest) Method() string { return u.method }
 
-// Judge says what a whole answer is to this request. Only one that bears the request's id, and if it tells of
-// success the server's seal, is the server's word on it.
+// Judge validates a complete response. A response counts as the server's response to this request only if it
+// carries the request's attempt ID and, on success, the server's seal.
 func (u *upstreamRequest) Judge(r *http1.Response, a forward.Arrival) (core.Result, forward.Fit) {
 	id := r.Header.Get(headerAttemptID)
 	if id != "" && id != u.id {
 		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode)
 		return core.Result{Code: choice.Reset}, forward.Foreign
 	}
-	result, fit := u.verdict(r.Response, id, a)
+	result, fit := u.classify(r.Response, id, a)
 	if result.Code == choice.OK {
 		result.Body = &http1.Answer{Status: r.StatusCode, Header: responseHeaders(r.Header), Body: r.Content}
 	}
 	return result, fit
 }
 
-// JudgeHead judges the head of a long answer.
+// JudgeHead validates the head of a response that is too long to buffer.
 func (u *upstreamRequest) JudgeHead(r *http.Response, a forward.Arrival) core.Result {
 	id := r.Header.Get(headerAttemptID)
 	if id != "" && id != u.id {
 		return core.Result{Code: choice.Reset}
 	}
-	result, _ := u.verdict(r, id, a)
+	result, _ := u.classify(r, id, a)
 	if result.Code == choice.OK {
 		stripHopHeaders(r.Header)
 	}
 	return result
 }
 
-func (u *upstreamRequest) verdict(r *http.Response, id string, a forward.Arrival) (core.Result, forward.Fit) {
+// classify returns the result of a response, and whether its connection can be reused. id is the attempt ID
+// of the response; it is either empty or that of the request.
+func (u *upstreamRequest) classify(r *http.Response, id string,
+	a forward.Arrival) (core.Result, forward.Fit) {
 	_, notRun := r.Header[headerNotRun]
 	switch {
-	case id == "" && !a.First: // it may be what came late for another request
-		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no id")
+	case id == "" && !a.First: // it may be a late response to another request
+		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "missing attempt ID")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode == http.StatusMisdirectedRequest:
 		u.handler.Log(events.AddressReused)
@@ -205,23 +210,23 @@
 	case notRun:
 		return core.Result{Code: choice.Busy}, forward.Good
 	case id == "":
-		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no id")
+		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "missing attempt ID")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode >= 500 || r.StatusCode < 200 || http1.Promises(r.StatusCode):
 		return core.Result{Code: choice.Error}, forward.Good
-	case a.Closed: // it may have been cut
-		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no known end")
+	case a.Closed: // it may be truncated
+		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "response length unknown")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	case r.StatusCode >= 300:
 		return core.Result{Code: choice.OK}, forward.Good
 	case r.Header.Get(headerServerSeal) == "" || r.Header.Get("Content-Encoding") != "":
-		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "no seal, or encoded")
+		u.handler.Log(events.ResponseInvalid, "status", r.StatusCode, "error", "missing seal, or encoded")
 		return core.Result{Code: choice.Reset}, forward.Doubtful
 	}
 	return core.Result{Code: choice.OK}, forward.Good
 }
 
-// responseHeaders returns the header lines of an answer that go on to the client, in a fixed order.
+// responseHeaders returns the headers of a response that are passed on to the client, sorted by name.
 func responseHeaders(h http.Header) [][2]string {
 	stripHopHeaders(h)
 	delete(h, "Content-Length")
--- a/internal/dataplane/proxy/upstream_request_test.go
+++ b/internal/dataplane/proxy/upstream_request_test.go
@@ -16,7 +16,7 @@
 	"dunespoke/internal/routing"
 )
 
-func given() *upstreamRequest {
+func newTestRequest() *upstreamRequest {
 	return &upstreamRequest{
 		handler: &Handler{Options: Options{Log: func(events.Event, ...any) {},
 			Clock: func() time.Duration { return time.Hour }, SlowLog: &slowlog.Log{}}},
@@ -31,9 +31,9 @@
 	}
 }
 
-// Given an answer, when it is judged, then only the request's own and whole answer is passed on.
-func TestOnlyTheRequestsOwnAnswerIsPassedOn(t *testing.T) {
-	kept, first, closed := forward.Arrival{}, forward.Arrival{First: true}, forward.Arrival{Closed: true}
+// A response is passed on only if it is complete and belongs to the request.
+func TestOnlyMatchingCompleteAnswersArePassedOn(t *testing.T) {
+	reused, first, closed := forward.Arrival{}, forward.Arrival{First: true}, forward.Arrival{Closed: true}
 	seal := http.Header{headerAttemptID: {"id-1"}, headerServerSeal: {"s"}}
 	with := func(name, value string) http.Header {
 		h := seal.Clone()
@@ -41,71 +41,71 @@
 		return h
 	}
 	for _, c := range []struct {
-		name   string
-		status int
-		header http.Header
-		come   forward.Arrival
-		code   choice.Code
-		fit    forward.Fit
+		name    string
+		status  int
+		header  http.Header
+		arrival forward.Arrival
+		code    choice.Code
+		fit     forward.Fit
 	}{
-		{"its own", 200, seal, kept, choice.OK, forward.Good},
-		{"another's", 200, with(headerAttemptID, "id-0"), kept, choice.Reset, forward.Foreign},
-		{"nobody's", 200, http.Header{headerServerSeal: {"s"}}, kept, choice.Reset, forward.Doubtful},
-		{"nobody's, on a new connection", 200, http.Header{headerServerSeal: {"s"}}, first, choice.Reset,
+		{"own response", 200, seal, reused, choice.OK, forward.Good},
+		{"response to another request", 200, with(headerAttemptID, "id-0"), reused, choice.Reset, forward.Foreign},
+		{"no ID", 200, http.Header{headerServerSeal: {"s"}}, reused, choice.Reset, forward.Doubtful},
+		{"no ID, on a new connection", 200, http.Header{headerServerSeal: {"s"}}, first, choice.Reset,
 			forward.Doubtful},
-		{"without a seal", 200, http.Header{headerAttemptID: {"id-1"}}, kept, choice.Reset, forward.Doubtful},
-		{"with an end that may be early", 200, seal, closed, choice.Reset, forward.Doubtful},
-		{"a no with such an end", 404, seal, closed, choice.Reset, forward.Doubtful},
-		{"encoded", 200, with("Content-Encoding", "gzip"), kept, choice.Reset, forward.Doubtful},
-		{"turned away", 503, with(headerNotRun, "1"), kept, choice.Busy, forward.Good},
-		{"turned away, and not told who", 503, http.Header{headerNotRun: {"1"}}, kept, choice.Reset,
+		{"no seal", 200, http.Header{headerAttemptID: {"id-1"}}, reused, choice.Reset, forward.Doubtful},
+		{"length unknown", 200, seal, closed, choice.Reset, forward.Doubtful},
+		{"error status, length unknown", 404, seal, closed, choice.Reset, forward.Doubtful},
+		{"content encoding", 200, with("Content-Encoding", "gzip"), reused, choice.Reset, forward.Doubtful},
+		{"rejected", 503, with(headerNotRun, "1"), reused, choice.Busy, forward.Good},
+		{"rejected without ID", 503, http.Header{headerNotRun: {"1"}}, reused, choice.Reset,
 			forward.Doubtful},
-		{"turned away on a new connection", 503, http.Header{headerNotRun: {"1"}}, first, choice.Busy,
+		{"rejected without ID on a new connection", 503, http.Header{headerNotRun: {"1"}}, first, choice.Busy,
 			forward.Good},
-		{"of another server", 421, seal, kept, choice.Busy, forward.Doubtful},
-		{"of another server on a new connection", 421, http.Header{}, first, choice.Busy, forward.Doubtful},
-		{"of another server, to somebody", 421, http.Header{}, kept, choice.Reset, forward.Doubtful},
-		{"failed, and may have run", 503, seal, kept, choice.Error, forward.Good},
-		{"the same by 429", 429, seal, kept, choice.Error, forward.Good},
-		{"the same by 408", 408, seal, kept, choice.Error, forward.Good},
-		{"the server's own no", 404, seal, kept, choice.OK, forward.Good},
+		{"misdirected", 421, seal, reused, choice.Busy, forward.Doubtful},
+		{"misdirected without ID on a new connection", 421, http.Header{}, first, choice.Busy, forward.Doubtful},
+		{"misdirected without ID", 421, http.Header{}, reused, choice.Reset, forward.Doubtful},
+		{"503 that may have been executed", 503, seal, reused, choice.Error, forward.Good},
+		{"429 that may have been executed", 429, seal, reused, choice.Error, forward.Good},
+		{"408 that may have been executed", 408, seal, reused, choice.Error, forward.Good},
+		{"error status of the server", 404, seal, reused, choice.OK, forward.Good},
 	} {
-		m := given()
-		res, fit := m.Judge(&http1.Response{Response: &http.Response{StatusCode: c.status,
+		u := newTestRequest()
+		res, fit := u.Judge(&http1.Response{Response: &http.Response{StatusCode: c.status,
 			Header: c.header.Clone()},
-			Content: []byte("body")}, c.come)
+			Content: []byte("body")}, c.arrival)
 		if res.Code != c.code || fit != c.fit {
 			t.Errorf("%s: %v, %v; want %v, %v", c.name, res.Code, fit, c.code, c.fit)
 		}
 		if a, ok := res.Body.(*http1.Answer); c.code == choice.OK && (!ok || a.Status != c.status) {
-			t.Errorf("%s: passed on as %v", c.name, res.Body)
+			t.Errorf("%s: passed on %v", c.name, res.Body)
 		}
 	}
 }
 
-// Given a request with lines of its own, when a server gets it, then it names that server and the tenant, and
-// not the key.
-func TestWhatAServerGets(t *testing.T) {
-	m := given()
-	m.header = http.Header{"X-Own": {"kept"}, "Connection": {"close, X-Hop"}, "X-Hop": {"dropped"},
+// The head that a server receives names that server and the tenant. It contains neither the key nor protocol
+// headers forged by the client.
+func TestRequestHeadSentToServer(t *testing.T) {
+	u := newTestRequest()
+	u.header = http.Header{"X-Own": {"kept"}, "Connection": {"close, X-Hop"}, "X-Hop": {"dropped"},
 		"Key":      {"secret"},
 		"Customer": {"forged"}, "Target-Server": {"forged"}, "Time-Left-Ms": {"900"}}
-	stripHopHeaders(m.header)
-	for _, name := range ownHeaders {
-		delete(m.header, name)
+	stripHopHeaders(u.header)
+	for _, name := range generatedHeaders {
+		delete(u.header, name)
 	}
-	got := string(m.Append(nil, core.Server{Name: "i-7"}, 640*time.Millisecond))
+	got := string(u.Append(nil, core.Server{Name: "i-7"}, 640*time.Millisecond))
 	want := "POST /x/2?q=1 HTTP/1.1\r\nHost: one.example\r\nAttempt-Id: id-1\r\nTime-Left-Ms: 640\r\n" +
 		"Target-Server: i-7\r\nCustomer: t1\r\nX-Own: kept\r\nContent-Length: 3\r\n\r\n"
 	if got != want {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
 	if strings.Contains(got, "secret") || strings.Contains(got, "forged") {
-		t.Error("the key, or what the client forged, went on")
+		t.Error("the key, or a forged header, was forwarded")
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want time.Duration
@@ -117,8 +117,8 @@
 	}
 }
 
-// Given routes that are alike, then they are one class: a configuration of many routes makes few.
-func TestRoutesThatAreAlikeAreOneClass(t *testing.T) {
+// Routes with the same properties share a class, so that a configuration with many routes has few classes.
+func TestEquivalentRoutesShareAClass(t *testing.T) {
 	a := routing.Route{Name: "a", Kind: routing.Writing, LatencyTarget: time.Second, Timeout: 2 * time.Second,
 		MaxAttempts: 2}
 	b := a
@@ -128,32 +128,32 @@
 	}
 	b.Timeout = 3 * time.Second
 	if classOf(&a) == classOf(&b) {
-		t.Error("routes that give up at other times are one class")
+		t.Error("routes with different timeouts share a class")
 	}
 }
 
-// Given a request that waits, is sent twice and is answered after its target, then operators can look up
-// where its time went; one that was in time is not kept.
-func TestWhatRanLateCanBeLookedUp(t *testing.T) {
-	m := given()
+// A request that waited, was sent twice and was answered after its target is in the slow log with the time
+// spent in each phase; a request that met its target is not.
+func TestSlowLogRecordsLateRequests(t *testing.T) {
+	u := newTestRequest()
 	now := time.Hour
-	m.handler.Clock = func() time.Duration { return now }
-	m.trace.route = &routing.Route{Name: "transfers", LatencyTarget: 250 * time.Millisecond}
-	m.trace.service, m.trace.receivedAt = "paymove", now
+	u.handler.Clock = func() time.Duration { return now }
+	u.trace.route = &routing.Route{Name: "transfers", LatencyTarget: 250 * time.Millisecond}
+	u.trace.service, u.trace.receivedAt = "paymove", now
 	now += 20 * time.Millisecond
-	m.trace.recordAdmitted(now)
+	u.trace.recordAdmitted(now)
 	now += 30 * time.Millisecond
-	m.Append(nil, core.Server{Name: "i-1"}, time.Second)
+	u.Append(nil, core.Server{Name: "i-1"}, time.Second)
 	now += 50 * time.Millisecond
-	m.handler.recordEnd(m, core.Served)
-	if list, _ := m.handler.SlowLog.Entries(); len(list) != 0 {
-		t.Fatalf("in time, and kept: %+v", list)
+	u.handler.recordEnd(u, core.Served)
+	if list, _ := u.handler.SlowLog.Entries(); len(list) != 0 {
+		t.Fatalf("request within its target is in the log: %+v", list)
 	}
 	now += 200 * time.Millisecond
-	m.Append(nil, core.Server{Name: "i-2"}, time.Second)
+	u.Append(nil, core.Server{Name: "i-2"}, time.Second)
 	now += 100 * time.Millisecond
-	m.handler.recordEnd(m, core.Served)
-	list, _ := m.handler.SlowLog.Entries()
+	u.handler.recordEnd(u, core.Served)
+	list, _ := u.handler.SlowLog.Entries()
 	want := slowlog.Entry{
 		ID:            "id-1",
 		Route:         "transfers",
@@ -169,7 +169,7 @@
 		Total:         400 * time.Millisecond,
 	}
 	if len(list) != 1 {
-		t.Fatalf("%d kept", len(list))
+		t.Fatalf("%d entries, want 1", len(list))
 	}
 	if list[0].At = (time.Time{}); list[0] != want {
 		t.Errorf("got  %+v\nwant %+v", list[0], want)
