--- a/internal/dataplane/proxy/connection_test.go
+++ b/internal/dataplane/proxy/connection_test.go
@@ -36,6 +36,7 @@
 	onWrite func(w *memConn, p []byte) (written func(n int))
 }
 
+// newMemConn returns a connection whose buffer to the server has the given capacity in bytes.
 func newMemConn(capacity int) *memConn {
 	w := &memConn{capacity: capacity}
 	w.changed.L = &w.mu
@@ -73,6 +74,7 @@
 	writeSide
 )
 
+// setDeadline sets the deadline of one side, and wakes the waiters when it passes.
 func (w *memConn) setDeadline(which int, t time.Time) error {
 	w.update(func() { w.deadlines[which] = t })
 	if !t.IsZero() {
@@ -120,6 +122,8 @@
 	return w.ReadWanted(p, &sync.Mutex{}, func() bool { return true })
 }
 
+// ReadWanted reads if wanted, which is called with lock held, reports true. Otherwise it returns
+// direct.ErrUnwanted as soon as there are bytes to read or the connection is closed.
 func (w *memConn) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
 	for {
 		w.mu.Lock()
@@ -150,6 +154,8 @@
 	}
 }
 
+// unread reports whether there are bytes to read or the connection is closed. It must be called with mu
+// held.
 func (w *memConn) unread() bool {
 	return len(w.toGateway) > 0 || w.serverClosed || w.serverReset || w.gatewayClosed
 }
@@ -160,6 +166,7 @@
 	return w.unread()
 }
 
+// Write writes into the buffer to the server, and blocks while that is full.
 func (w *memConn) Write(p []byte) (n int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/dataplane/proxy/faults_test.go
+++ b/internal/dataplane/proxy/faults_test.go
@@ -159,6 +159,7 @@
 	return d.Steps[d.nextStep-1]
 }
 
+// dial opens a connection to a server. The next step of the plan may reset it at once.
 func (d *simulation) dial(context.Context, string, string) (net.Conn, error) {
 	w := newMemConn(d.BufferBytes)
 	w.onWrite = d.checkWrite
@@ -520,6 +521,7 @@
 	return d
 }
 
+// routeJSON returns a public route with the path prefix "/name/" in the format of the configuration.
 func routeJSON(name, kind string) string {
 	return fmt.Sprintf(`{"item_kind":"routes","metadata":{"name":%q},"desired":{"domain":"one.example",
 "path_start":"/%[1]s/","kind":%q,"give_up_s":60,"target_s":0.25,"rank":0,"backend":"s","tries":2,
@@ -557,6 +559,7 @@
 	}
 }
 
+// check runs a plan and fails the test if there are problems.
 func check(t *testing.T, p plan) {
 	t.Helper()
 	if d := simulate(t, p); len(d.problems) > 0 {
--- a/internal/dataplane/proxy/upstream_request_test.go
+++ b/internal/dataplane/proxy/upstream_request_test.go
@@ -16,6 +16,7 @@
 	"dunespoke/internal/routing"
 )
 
+// newTestRequest returns a POST request of the tenant t1 with the attempt ID id-1.
 func newTestRequest() *upstreamRequest {
 	return &upstreamRequest{
 		handler: &Handler{Options: Options{Log: func(events.Event, ...any) {},
