--- a/internal/controlplane/replica/bootstrap.go
+++ b/internal/controlplane/replica/bootstrap.go
@@ -9,60 +9,61 @@
 	"dunespoke/internal/events"
 )
 
-// Times of the first start.
+// Timing of the first start.
 const (
-	bootstrapQuietPeriod = 400 * time.Millisecond  // without another candidate, before the core is proposed
-	seedStartTimeout     = 1500 * time.Millisecond // for a seed that may be starting yet
-	// bootstrapFallbackAfter is when fewer candidates than survive asks for will do: quiet_s + confirm_s is 7 s.
+	bootstrapQuietPeriod = 400 * time.Millisecond  // without a new candidate, before the core is proposed
+	seedStartTimeout     = 1500 * time.Millisecond // for each preceding seed that may still be starting
+	// bootstrapFallbackAfter is when fewer candidates than the tolerance requires are accepted: quiet_s +
+	// confirm_s is 7 s.
 	bootstrapFallbackAfter = 5 * time.Second
 )
 
-// BootstrapState is what a seed keeps of the first start, until a core is named.
+// BootstrapState is what a seed stores about the first start, until the core is decided.
 type BootstrapState struct {
-	// Trusted says that this disk holds all that the seed promised: it was made in the first life of the system.
-	// A seed on another disk may have promised what it doesn't know.
+	// Trusted reports that this disk has everything that the seed promised, because its store was created during
+	// the first start of the system. A seed on another disk may have made promises that it doesn't know of.
 	Trusted         bool
-	Seeds           []string // of the first start
-	PromisedBallot  uint64   // it accepts no proposal below this ballot
-	AcceptedBallot  uint64   // of the proposal that it accepted last; 0: none
+	Seeds           []string // at the first start
+	PromisedBallot  uint64   // proposals below this ballot are not accepted
+	AcceptedBallot  uint64   // of the proposal accepted last; 0: none
 	AcceptedMembers []message.Node
 }
 
-// BootstrapPhase is what a Bootstrapper is in.
+// BootstrapPhase is the phase of a Bootstrapper.
 type BootstrapPhase int
 
 // The phases of a Bootstrapper.
 const (
 	BootstrapGathering BootstrapPhase = iota // candidates announce themselves
-	BootstrapPreparing                       // it has asked the seeds for promises
-	BootstrapAccepting                       // it has handed out a proposal
-	BootstrapDecided                         // a majority of the seeds has accepted it: it is the core
+	BootstrapPreparing                       // promises have been requested from the seeds
+	BootstrapAccepting                       // a proposal has been sent to the seeds
+	BootstrapDecided                         // a majority of the seeds has accepted the proposal: it is the core
 )
 
 func (p BootstrapPhase) String() string {
 	return [...]string{"gathering", "preparing", "accepting", "decided"}[p]
 }
 
-// BootstrapOptions are what NewBootstrapper needs.
+// BootstrapOptions are the options of NewBootstrapper.
 type BootstrapOptions struct {
 	Self      string
-	Seeds     []string // in order
+	Seeds     []string // in order of precedence
 	Tolerance FaultTolerance
-	Saved     BootstrapState // as found on the disk
+	Saved     BootstrapState // as found on disk
 	Actions   Actions
-	// Save writes what there is to keep and syncs it, and calls onSaved once that is done. A seed without a disk
-	// calls it at once: what its process forgets, it may not vote on again.
+	// Save writes and syncs a state, and then calls onSaved. A seed without a disk calls onSaved at once; after
+	// a restart it has forgotten its votes and must not vote again.
 	Save func(state BootstrapState, onSaved func())
-	// ClusterKnown tells whether a core is known here: all is decided then.
+	// ClusterKnown reports whether a core is already known here. If so, there is nothing left to decide.
 	ClusterKnown func() bool
 }
 
-// Bootstrapper names the members of the core at the first start of the whole system. One runs at each seed;
-// the seeds are the same everywhere then. The first live one in their order proposes whom it has heard of,
-// and a majority of the seeds decides, by single-decree Paxos, as for a view: whoever dies midway, and
-// however many propose at once, no two cores are named. A seed that may have forgotten what it promised
-// proposes nothing, and its promise counts only beside those of all other seeds: whatever is decided, one of
-// them knows.
+// Bootstrapper chooses the members of the core at the first start of the whole system. One runs at each seed;
+// the list of seeds is the same everywhere at that time. The first live seed in the list proposes the
+// candidates that it has heard, and a majority of the seeds decides by single-decree Paxos, as for a view. At
+// most one core is decided, whichever seeds fail and however many propose at the same time. A seed that may
+// have forgotten its promises proposes nothing, and its promise counts only when all other seeds have also
+// promised: then at least one of them knows of any earlier decision.
 type Bootstrapper struct {
 	options    BootstrapOptions
 	now        time.Duration
@@ -72,25 +73,25 @@
 
 	candidates      map[string]message.Node
 	lastCandidateAt time.Duration
-	announcedAt     map[string]time.Duration // when each candidate was last heard
+	announcedAt     map[string]time.Duration // when each candidate last announced itself
 	seedHeardAt     map[string]time.Duration
 
-	pending BootstrapState // what is kept, once all saves under way are done
+	pending BootstrapState // the state on disk once all saves in progress are done
 
-	ballot         uint64
-	responses      map[string]bool // by seed: its promise is trusted, or it has accepted
-	newestAccepted uint64          // ballot of the proposal that was told
-	proposal       []message.Node
+	ballot               uint64
+	responses            map[string]bool // by seed: whether its promise is trusted, or true if it has accepted
+	newestAcceptedBallot uint64          // highest ballot of an accepted proposal among the promises
+	proposal             []message.Node
 }
 
-// NewBootstrapper returns a seed's bootstrapper.
+// NewBootstrapper returns the Bootstrapper of a seed.
 func NewBootstrapper(now time.Duration, options BootstrapOptions) *Bootstrapper {
 	return &Bootstrapper{options: options, now: now, startedAt: now, phaseSince: now, lastCandidateAt: now,
 		candidates: map[string]message.Node{}, announcedAt: map[string]time.Duration{},
 		seedHeardAt: map[string]time.Duration{}, pending: options.Saved}
 }
 
-// transition is the one place where the phase changes.
+// transition changes the phase. The phase changes nowhere else.
 func (b *Bootstrapper) transition(to BootstrapPhase) {
 	b.options.Actions.Log(events.BootstrapState, "from", b.phase.String(), "to", to.String(),
 		"machines", len(b.proposal))
@@ -98,7 +99,7 @@
 	b.responses = map[string]bool{}
 }
 
-// Members returns the members of the core once they are decided here; nil before.
+// Members returns the members of the core once they are decided here, and nil before.
 func (b *Bootstrapper) Members() []message.Node {
 	if b.phase != BootstrapDecided {
 		return nil
@@ -106,10 +107,10 @@
 	return b.proposal
 }
 
-// HandleAnnounce notes a process that knows of no core.
+// HandleAnnounce records an announcement of a process that knows of no core.
 func (b *Bootstrapper) HandleAnnounce(now time.Duration, from string, announce *message.Announce) {
 	b.now = now
-	// one that forgot its votes proposes nothing
+	// a seed that forgot its votes proposes nothing, so the others don't wait for it
 	if announce.FirstStart && slices.Contains(b.options.Seeds, from) {
 		b.seedHeardAt[from] = now
 	}
@@ -123,7 +124,7 @@
 	b.Tick(now)
 }
 
-// Tick does what is due.
+// Tick runs the actions that are due at the time now.
 func (b *Bootstrapper) Tick(now time.Duration) {
 	b.now = now
 	switch {
@@ -139,8 +140,8 @@
 	}
 }
 
-// isFirstLiveSeed reports whether no seed before this one lives. One that has not been heard of yet is given
-// time.
+// isFirstLiveSeed reports whether no seed before this one in the list is live. A seed that has not been heard
+// yet is given time to start.
 func (b *Bootstrapper) isFirstLiveSeed() bool {
 	rank := slices.Index(b.options.Seeds, b.options.Self)
 	for i, seed := range b.options.Seeds[:rank] {
@@ -153,10 +154,12 @@
 	return true
 }
 
-// proposableMembers is a core that tolerates what may be lost at once, if enough candidates are there for one
-// and no more come. All of the core have a vote at once: they are named by the ids of their stores, on which
-// all is that they will have acknowledged. After a while it is those that are there then, if no loss of
-// machines covers them: one more would be one too many that is not, or is another store by now.
+// proposableMembers returns a core that provides the required fault tolerance, once enough candidates are
+// present and no new one has announced itself for bootstrapQuietPeriod; nil if there is none yet. All members
+// of the core can vote at once: they are identified by the ids of their stores, which will have everything
+// that they acknowledge. After bootstrapFallbackAfter it returns the candidates that are still heard, if
+// there are more of them than machines that may fail. A candidate that is no longer heard is left out,
+// because it may be down or may have another store by now.
 func (b *Bootstrapper) proposableMembers() []message.Node {
 	tolerance := b.options.Tolerance
 	members, tolerated := tolerance.bootstrapMembers(b.sortedCandidates())
@@ -180,11 +183,11 @@
 	return slices.SortedFunc(maps.Values(b.candidates), compareAddress)
 }
 
-// propose asks for promises, under a ballot that no other seed uses.
+// propose requests promises under a ballot that no other seed uses.
 func (b *Bootstrapper) propose(members []message.Node) {
 	rank := uint64(slices.Index(b.options.Seeds, b.options.Self))
 	b.ballot = nextEpoch(max(b.ballot, b.pending.PromisedBallot), rank)
-	b.newestAccepted, b.proposal = 0, withProposerIDs(members)
+	b.newestAcceptedBallot, b.proposal = 0, withProposerIDs(members)
 	b.transition(BootstrapPreparing)
 	b.broadcast(&message.BootstrapPrepare{Ballot: b.ballot, Seeds: b.options.Seeds})
 }
@@ -195,12 +198,12 @@
 	}
 }
 
-// Step takes a message of the first start.
+// Step handles a message of the first start.
 func (b *Bootstrapper) Step(now time.Duration, from string, m *message.Message) {
 	b.now = now
 	seeds := b.options.Seeds
 	prepare, isPrepare := m.Body.(*message.BootstrapPrepare)
-	if isPrepare && !b.pending.Trusted { // this seed's settings may name others by now
+	if isPrepare && !b.pending.Trusted { // the settings of this seed may name other seeds by now
 		seeds = prepare.Seeds
 	}
 	if !slices.Contains(seeds, from) || !slices.Contains(seeds, b.options.Self) {
@@ -218,11 +221,11 @@
 	}
 }
 
-// handlePrepare promises to accept no proposal under a lower ballot, and tells the one that was accepted
-// last.
+// handlePrepare promises to accept no proposal under a lower ballot, and reports the proposal that was
+// accepted last.
 func (b *Bootstrapper) handlePrepare(from string, m *message.Message, prepare *message.BootstrapPrepare) {
 	if prepare.Ballot <= b.pending.PromisedBallot || b.options.ClusterKnown() {
-		return // who asks tries again, under a higher one
+		return // the proposer tries again under a higher ballot
 	}
 	b.pending.PromisedBallot, b.pending.Seeds = prepare.Ballot, prepare.Seeds
 	b.save(func(saved BootstrapState) {
@@ -231,7 +234,7 @@
 	})
 }
 
-// save saves, and goes on unless something newer has come since.
+// save saves the pending state and then calls onSaved, unless a higher ballot has been promised since.
 func (b *Bootstrapper) save(onSaved func(saved BootstrapState)) {
 	saved := b.pending
 	b.options.Save(saved, func() {
@@ -241,14 +244,14 @@
 	})
 }
 
-// handlePromise counts a promise. The newest proposal that any of them has accepted may be decided already:
-// it is the one.
+// handlePromise counts a promise. The accepted proposal with the highest ballot among the promises may
+// already be decided, so this seed has to propose it.
 func (b *Bootstrapper) handlePromise(from string, promise *message.BootstrapPromise) {
 	if b.phase != BootstrapPreparing || promise.Ballot != b.ballot {
 		return
 	}
-	if promise.AcceptedBallot > b.newestAccepted && len(promise.AcceptedMembers) > 0 {
-		b.newestAccepted, b.proposal = promise.AcceptedBallot, promise.AcceptedMembers
+	if promise.AcceptedBallot > b.newestAcceptedBallot && len(promise.AcceptedMembers) > 0 {
+		b.newestAcceptedBallot, b.proposal = promise.AcceptedBallot, promise.AcceptedMembers
 	}
 	b.responses[from] = promise.Trusted
 	if hasQuorum(b.hasResponse, b.options.Seeds) || len(b.responses) == len(b.options.Seeds) {
@@ -257,15 +260,15 @@
 	}
 }
 
-// hasResponse reports whether a seed's response counts.
+// hasResponse reports whether a seed has sent a response that counts towards a quorum.
 func (b *Bootstrapper) hasResponse(seed string) bool { return b.responses[seed] }
 
-// handleAccept accepts a proposal.
+// handleAccept accepts a proposal, unless a higher ballot was promised.
 func (b *Bootstrapper) handleAccept(from string, m *message.Message, accept *message.BootstrapAccept) {
 	if accept.Ballot < b.pending.PromisedBallot || len(accept.Members) == 0 || b.options.ClusterKnown() {
 		return
 	}
-	if !b.pending.Trusted && accept.Ballot != b.pending.PromisedBallot { // it may have promised a later one
+	if !b.pending.Trusted && accept.Ballot != b.pending.PromisedBallot { // it may have promised a higher one
 		return
 	}
 	b.pending.PromisedBallot, b.pending.AcceptedBallot = accept.Ballot, accept.Ballot
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -7,60 +7,63 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Times and bounds of the chain.
+// Timing and bounds of the chain.
 const (
-	relayRetryInterval = 300 * time.Millisecond // of what goes down the chain
-	maxProposalAge     = 5 * time.Second        // after which nobody waits for a proposal any more
-	maxProposals       = 64                     // that wait at the head
+	relayRetryInterval = 300 * time.Millisecond // of messages down the chain
+	maxProposalAge     = 5 * time.Second        // no client waits longer for a response
+	maxProposals       = 64                     // that may be pending at the head
 )
 
-// clientRequest is who asked, and what its response has to repeat.
+// clientRequest identifies a request of a client, as needed to respond to it.
 type clientRequest struct {
 	addr        string
 	incarnation uint64
 	requestID   uint64
 }
 
-// respond sends the response to a client.
+// respond sends a response to a client.
 func (r *Replica) respond(to clientRequest, body message.Body) {
 	r.options.Actions.Send(to.addr, &message.Message{RequestID: to.requestID, Incarnation: to.incarnation,
 		Body: body})
 }
 
-// proposal is a configuration that waits to be acknowledged.
+// proposal is a configuration that has not been acknowledged yet.
 type proposal struct {
 	client     clientRequest
 	accepted   message.AcceptedVersion
 	config     []byte
 	receivedAt time.Duration
-	// replicating says that it has gone down the chain in this view: what that ends with is its response.
+	// replicating reports that the proposal was sent down the chain in this view. Once its version is committed,
+	// it can be answered without another confirmation.
 	replicating bool
-	confirmedAt time.Duration // when a quorum was last asked on its behalf; 0: not yet
+	confirmedAt time.Duration // when a quorum was last requested to confirm the view for it; 0: never
 }
 
-// replication is the replica's part in the chain: what waits at the head, and what it handed down last.
+// replication is the state of this replica as a part of the chain: the proposals pending at the head, and the
+// version that it sent down the chain last.
 type replication struct {
 	proposals      []proposal
 	relayedVersion uint64
 	relayedAt      time.Duration
 }
 
-// suspend notes that the view has ended: whether what went down its chain is committed, the next one says.
-func (c *replication) suspend() {
+// resetReplicating marks all proposals as not replicating, because the view has ended. The next view decides
+// whether what was sent down the chain is committed.
+func (c *replication) resetReplicating() {
 	for i := range c.proposals {
 		c.proposals[i].replicating = false
 	}
 }
 
-// waits reports whether a proposal of a client waits already.
-func (c *replication) waits(client clientRequest) bool {
+// hasProposalOf reports whether a proposal of a client's request is already pending.
+func (c *replication) hasProposalOf(client clientRequest) bool {
 	return slices.ContainsFunc(c.proposals, func(p proposal) bool { return p.client == client })
 }
 
-// shared returns the configuration of a proposal that waits with the same version and digest, else the
-// one given: operators send the same one through several nodes, and a long one is not to be kept for
-// each.
-func (c *replication) shared(accepted message.AcceptedVersion, config []byte) []byte {
+// sharedConfig returns the configuration of a pending proposal with the same version and digest, or else the
+// given one. Operators send the same configuration through several nodes, and a long one should be stored
+// only once.
+func (c *replication) sharedConfig(accepted message.AcceptedVersion, config []byte) []byte {
 	i := slices.IndexFunc(c.proposals, func(p proposal) bool { return p.accepted == accepted })
 	if i < 0 {
 		return config
@@ -68,19 +71,19 @@
 	return c.proposals[i].config
 }
 
-// take removes and returns the proposals for which a condition holds.
-func (c *replication) take(done func(p *proposal) bool) (taken []proposal) {
+// removeProposals removes and returns the proposals for which matches returns true.
+func (c *replication) removeProposals(matches func(p *proposal) bool) (removed []proposal) {
 	c.proposals = slices.DeleteFunc(c.proposals, func(p proposal) bool {
-		if !done(&p) {
+		if !matches(&p) {
 			return false
 		}
-		taken = append(taken, p)
+		removed = append(removed, p)
 		return true
 	})
-	return taken
+	return removed
 }
 
-// stepChain takes a message of the chain.
+// stepChain handles a message of the chain.
 func (r *Replica) stepChain(from string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.Put:
@@ -92,7 +95,7 @@
 	}
 }
 
-// chainPosition is this replica's in the chain; -1: in none.
+// chainPosition returns the position of this replica in the chain, or -1 if it doesn't serve in one.
 func (r *Replica) chainPosition() int {
 	if r.state != StateServing {
 		return -1
@@ -100,19 +103,19 @@
 	return slices.Index(r.chain, r.self)
 }
 
-// redirect tells a client that this is not the replica to ask, and which view it knows.
+// redirect rejects a client's request that this replica can't serve, and reports the view that it knows.
 func (r *Replica) redirect(from string, request *message.Message) {
 	r.reply(from, request, &message.Reject{Epoch: r.epoch, Chain: r.chain})
 }
 
-// handlePut takes a configuration at the head.
+// handlePut handles a configuration that is sent to the head.
 func (r *Replica) handlePut(from string, m *message.Message, put *message.Put) {
 	if r.chainPosition() != 0 || len(r.replication.proposals) >= maxProposals {
 		r.redirect(from, m)
 		return
 	}
 	client := clientRequest{from, m.Incarnation, m.RequestID}
-	if put.Config == nil || r.replication.waits(client) {
+	if put.Config == nil || r.replication.hasProposalOf(client) {
 		return
 	}
 	config, err := put.Config.Apply(0, nil)
@@ -121,19 +124,19 @@
 	}
 	accepted := message.AcceptedVersion{Version: put.Version, Digest: message.DigestOf(config)}
 	r.replication.proposals = append(r.replication.proposals, proposal{client: client, accepted: accepted,
-		config: r.replication.shared(accepted, config), receivedAt: r.now})
+		config: r.replication.sharedConfig(accepted, config), receivedAt: r.now})
 	r.proposeNext()
 }
 
-// proposeNext responds to what is committed, and starts on the next: all that wait go down the chain at once,
-// the highest version with its configuration, those below it as accepted versions.
+// proposeNext answers the proposals that are committed, and then sends all other pending proposals down the
+// chain at once: the highest version with its configuration, the lower ones as accepted versions only.
 func (r *Replica) proposeNext() {
 	if r.chainPosition() != 0 {
 		return
 	}
 	r.respondToCommitted()
 	pending := &r.store.pending
-	if pending.Version > r.committed { // one is on its way
+	if pending.Version > r.committed { // a proposal is still being replicated
 		return
 	}
 	var batch []message.AcceptedVersion
@@ -156,11 +159,11 @@
 	r.saveAndRelay()
 }
 
-// respondToCommitted responds to those whose versions are not above what is committed. What has gone down the
-// chain in this view was accepted by all of it; for the rest a quorum is asked first whether this is the head
-// still.
+// respondToCommitted answers the proposals whose versions are not above the committed one. A proposal that
+// was sent down the chain in this view has been accepted by all its replicas. For the others, a quorum first
+// has to confirm that this replica is still the head.
 func (r *Replica) respondToCommitted() {
-	settled := r.replication.take(func(p *proposal) bool {
+	settled := r.replication.removeProposals(func(p *proposal) bool {
 		return p.accepted.Version <= r.committed && p.replicating
 	})
 	for i := range settled {
@@ -180,19 +183,21 @@
 	}
 }
 
-// confirmAndRespond responds to a client that waits, once a quorum has said that this is the head still.
+// confirmAndRespond answers a client's request once a quorum has confirmed that this replica is still the
+// head.
 func (r *Replica) confirmAndRespond(client clientRequest) {
 	r.confirmEpoch(func() {
-		confirmed := r.replication.take(func(p *proposal) bool { return p.client == client })
+		confirmed := r.replication.removeProposals(func(p *proposal) bool { return p.client == client })
 		for i := range confirmed {
 			r.respondToProposal(&confirmed[i])
 		}
 	})
 }
 
-// respondToProposal responds for a version that is not above what is committed: one that was accepted with
-// the same content is acknowledged, however often it comes, and with another is a conflict. One of which
-// nothing is remembered is acknowledged and changes nothing, since the highest version wins.
+// respondToProposal answers a proposal whose version is not above the committed one. If that version was
+// accepted with the same content, the proposal is acknowledged, however often it is sent; with other content
+// it is a conflict. A version that is no longer remembered is acknowledged and changes nothing, since the
+// highest version wins.
 func (r *Replica) respondToProposal(p *proposal) {
 	digest, known := r.store.pending.digestOf(p.accepted.Version)
 	if known && digest != p.accepted.Digest {
@@ -202,7 +207,7 @@
 	r.respond(p.client, &message.Committed{Version: r.committed, OK: true})
 }
 
-// saveAndRelay saves what came down the chain, and hands it on; the tail says that it is committed.
+// saveAndRelay saves what was received from the chain and then relays it, unless the view has changed since.
 func (r *Replica) saveAndRelay() {
 	epoch := r.epoch
 	r.save(func() {
@@ -212,19 +217,20 @@
 	})
 }
 
-// relay hands what is on disk down the chain.
+// relay sends the saved version to the next replica of the chain. The tail instead reports to the other
+// replicas that the version is committed.
 func (r *Replica) relay() {
 	position := r.chainPosition()
 	if position < 0 {
 		return
 	}
 	saved := &r.store.saved
-	again := r.replication.relayedVersion == saved.Version // the first time did not do it: in full
+	retransmission := r.replication.relayedVersion == saved.Version // the first attempt failed: send it in full
 	r.replication.relayedAt, r.replication.relayedVersion = r.now, saved.Version
 	if position < len(r.chain)-1 {
 		r.send(r.chain[position+1], &message.Replicate{Epoch: r.epoch, Version: saved.Version,
 			AcceptedVersions: saved.acceptedAbove(r.committed),
-			Config:           r.history.delta(saved.configVersion(), r.committed, !again)})
+			Config:           r.history.delta(saved.configVersion(), r.committed, !retransmission)})
 		return
 	}
 	committed := &message.Committed{Epoch: r.epoch, Version: saved.Version}
@@ -234,7 +240,7 @@
 	r.handleCommitted(committed)
 }
 
-// handleReplicate takes what comes down the chain.
+// handleReplicate handles a version that the preceding replica of the chain has sent.
 func (r *Replica) handleReplicate(from string, m *message.Replicate) {
 	position := r.chainPosition()
 	pending := &r.store.pending
@@ -243,21 +249,21 @@
 	}
 	switch {
 	case m.Version > pending.Version && m.Config != nil:
-		// The head starts on the next once what came before is committed.
+		// The head proposes the next version only after the previous one is committed.
 		r.handleCommitted(&message.Committed{Epoch: r.epoch, Version: r.store.saved.Version})
 		config, err := m.Config.Apply(pending.Version, pending.Config)
 		if err != nil {
-			return // it comes again, in full
+			return // it is sent again, in full
 		}
 		pending.Value = Value{AcceptedEpoch: r.epoch, Version: m.Version, Config: config,
 			AcceptedVersions: AppendAccepted(pending.AcceptedVersions, m.AcceptedVersions...)}
 		r.saveAndRelay()
-	case m.Version == r.store.saved.Version: // once more: a response was lost
+	case m.Version == r.store.saved.Version: // a repetition: a response was lost
 		r.relay()
 	}
 }
 
-// handleCommitted takes that the tail has a version: it is committed.
+// handleCommitted handles the report that the tail has saved a version, so that it is committed.
 func (r *Replica) handleCommitted(m *message.Committed) {
 	if r.state != StateServing || m.Epoch != r.epoch || m.Version <= r.committed ||
 		m.Version > r.store.saved.Version {
@@ -268,7 +274,7 @@
 	r.proposeNext()
 }
 
-// commit notes that a version can't be lost any more.
+// commit records that a version is committed and can't be lost any more.
 func (r *Replica) commit(version uint64) {
 	r.committed = max(r.committed, version)
 	if r.store.saved.Version == r.committed {
@@ -276,19 +282,19 @@
 	}
 }
 
-// commitOverdue reports whether something has been on this disk for long, and is not known to be committed:
-// it may be, and acknowledged, and this replica alone has not been told.
+// commitOverdue reports whether the version on disk has been there for longer than contactTimeout without
+// being known as committed. It may have been committed and acknowledged without this replica being notified.
 func (r *Replica) commitOverdue() bool {
 	return r.store.saved.Version > r.committed && r.now > r.store.versionSince+contactTimeout
 }
 
-// retryReplication sends again what may have been lost on its way, and drops what has waited too long.
+// retryReplication resends messages that may have been lost, and drops proposals that have expired.
 func (r *Replica) retryReplication() {
 	if r.chainPosition() == 0 && r.store.saved.Version > r.committed &&
 		r.now >= r.replication.relayedAt+relayRetryInterval {
 		r.relay()
 	}
-	r.replication.take(func(p *proposal) bool { return r.now > p.receivedAt+maxProposalAge })
-	r.proposeNext() // for those that a quorum has not been heard about
+	r.replication.removeProposals(func(p *proposal) bool { return r.now > p.receivedAt+maxProposalAge })
+	r.proposeNext() // retries those that no quorum has confirmed yet
 	r.confirmations.expire(r.now)
 }
--- a/internal/controlplane/replica/config_history.go
+++ b/internal/controlplane/replica/config_history.go
@@ -6,16 +6,17 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// maxConfigHistory is how many committed configurations are kept, to tell newer ones as deltas over them.
+// maxConfigHistory is how many committed configurations are kept as bases of deltas to newer ones.
 const maxConfigHistory = 4
 
-// deltaKey names a delta by its version and the base; base 0: in full.
+// deltaKey identifies a delta by its version and the version of its base; base 0 means the full
+// configuration.
 type deltaKey struct{ version, base uint64 }
 
-// configHistory is the configurations that were committed last, and the deltas between them, each made once
-// for all who ask for the same.
+// configHistory stores the configurations that were committed last and caches the deltas between them, so
+// that each delta is computed once for all readers.
 type configHistory struct {
-	committed []message.ConfigVersion // in rising order
+	committed []message.ConfigVersion // in ascending order
 	deltas    map[deltaKey]*message.Delta
 }
 
@@ -23,7 +24,7 @@
 	return configHistory{deltas: map[deltaKey]*message.Delta{}}
 }
 
-// add takes a configuration that was committed.
+// add adds a committed configuration, unless it is already the newest one.
 func (h *configHistory) add(c message.ConfigVersion) {
 	if h.newest() == c.Version && len(h.committed) > 0 {
 		return
@@ -32,13 +33,13 @@
 	if len(h.committed) > maxConfigHistory {
 		h.committed = h.committed[1:]
 	}
-	h.forgetDeltas()
+	h.clearDeltas()
 }
 
-// forgetDeltas drops deltas that may be of another value under the same version.
-func (h *configHistory) forgetDeltas() { clear(h.deltas) }
+// clearDeltas drops all deltas, because they may have been computed from another value of the same version.
+func (h *configHistory) clearDeltas() { clear(h.deltas) }
 
-// newest is the version that was committed last; 0: none.
+// newest returns the version that was committed last; 0 if there is none.
 func (h *configHistory) newest() uint64 {
 	if len(h.committed) == 0 {
 		return 0
@@ -55,13 +56,14 @@
 	return h.committed[i], true
 }
 
-// contains reports whether a version is kept.
+// contains reports whether the configuration of a version is kept.
 func (h *configHistory) contains(version uint64) bool {
 	_, ok := h.find(version)
 	return ok
 }
 
-// delta returns a configuration as a delta over a version, if that is wanted and kept; else in full.
+// delta returns a configuration as a delta to a base version, if asDelta is set and the base is kept, or else
+// in full.
 func (h *configHistory) delta(c message.ConfigVersion, base uint64, asDelta bool) *message.Delta {
 	older, known := h.find(base)
 	if !known || !asDelta {
--- a/internal/controlplane/replica/endpoints.go
+++ b/internal/controlplane/replica/endpoints.go
@@ -7,21 +7,22 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// endpointsStaleAfter is after how long without a reading under a view the list that there is goes on.
+// endpointsStaleAfter is how long a view may serve without reading the list itself before an older list is
+// distributed.
 const endpointsStaleAfter = 2 * time.Second
 
-// endpointTable is the list of servers, as the holder of the role EndpointReader has read it last.
+// endpointTable is the list of servers that the holder of the role EndpointReader read last.
 type endpointTable struct {
-	list   message.EndpointList // epoch 0: none
-	digest message.Digest       // of the servers in it; zero: not computed yet
+	list   message.EndpointList // Epoch is 0 if there is none
+	digest message.Digest       // of the servers in the list; zero: not computed yet
 }
 
-// version is the list's epoch and sequence alone.
+// version returns the epoch and the sequence number of the list, without its content.
 func (t *endpointTable) version() *message.EndpointList {
 	return &message.EndpointList{Epoch: t.list.Epoch, Sequence: t.list.Sequence}
 }
 
-// set takes a reading under an epoch. It reports whether the list has changed.
+// set stores a list that was read under an epoch, and reports whether the list has changed.
 func (t *endpointTable) set(epoch uint64, endpoints []message.Endpoint) bool {
 	if t.list.Epoch == epoch && slices.Equal(endpoints, t.list.Endpoints) {
 		return false
@@ -34,13 +35,13 @@
 	return true
 }
 
-// replace takes a newer list.
+// replace stores a newer list.
 func (t *endpointTable) replace(list message.EndpointList) {
 	t.list, t.digest = list, message.Digest{}
 }
 
-// sameAs reports whether the servers in the list are those that a watcher holds.
-func (t *endpointTable) sameAs(watch *message.Watch) bool {
+// hasSameContent reports whether a watcher already has the servers of the list.
+func (t *endpointTable) hasSameContent(watch *message.Watch) bool {
 	if watch.Endpoints == nil || watch.EndpointsDigest == (message.Digest{}) {
 		return false
 	}
@@ -50,9 +51,10 @@
 	return watch.EndpointsDigest == t.digest
 }
 
-// SetEndpoints takes the list of servers as this replica has read it by its role, and the epoch under which
-// it held that when it began to read: the list's fencing token. A reading that was held up while another view
-// came is older than what the next holder has told by then, and is dropped.
+// SetEndpoints stores the list of servers that this replica has read as the EndpointReader. startedUnder is
+// the epoch in which it held the role when it began to read, and is the fencing token of the list. If the
+// view has changed during the read, the list may be older than the one that the next holder has distributed,
+// so it is dropped.
 func (r *Replica) SetEndpoints(now time.Duration, startedUnder uint64, endpoints []message.Endpoint) {
 	epoch, ok := r.HoldsRole(now, EndpointReader)
 	if !ok || startedUnder != epoch {
@@ -65,7 +67,7 @@
 	}
 }
 
-// sendEndpoints sends the list to those of the chain that have an older one.
+// sendEndpoints sends the list to the replicas of the chain that have an older one.
 func (r *Replica) sendEndpoints() {
 	list := &r.endpoints.list
 	for _, to := range r.chain {
@@ -78,15 +80,15 @@
 }
 
 func (r *Replica) sendEndpointsTo(to string, p *peerState) {
-	// a copy: this replica's own may change before it is sent
+	// a copy, because this replica's own list may change before it is sent
 	list := r.endpoints.list
-	p.endpointsEpoch, p.endpointsSequence = list.Epoch, list.Sequence // until its heartbeat says otherwise
+	p.endpointsEpoch, p.endpointsSequence = list.Epoch, list.Sequence // assumed until the peer's next heartbeat
 	r.send(to, &message.EndpointUpdate{Endpoints: &list})
 }
 
-// sendNewerEndpoints has the list go on where none was read under this view for long, since the platform may
-// be down: to the replica whose role that is, if others have a newer one, and from there to those that are
-// behind. It keeps its fencing token.
+// sendNewerEndpoints distributes an older view's list if the list has not been read in this view for
+// endpointsStaleAfter, since the platform may be down. Replicas that have a newer list than the holder of the
+// role send it to the holder, which sends it to those with an older one. The list keeps its fencing token.
 func (r *Replica) sendNewerEndpoints(to string, p *peerState) {
 	holder := RoleHolder(r.chain, EndpointReader)
 	if r.state != StateServing || r.now < r.stateSince+endpointsStaleAfter ||
@@ -100,7 +102,7 @@
 	}
 }
 
-// handleEndpointUpdate takes the list of servers from the replica that reads it.
+// handleEndpointUpdate stores the list of servers that another replica has sent, if it is newer.
 func (r *Replica) handleEndpointUpdate(update *message.EndpointUpdate) {
 	if update.Endpoints == nil || !update.Endpoints.Newer(&r.endpoints.list) {
 		return
--- a/internal/controlplane/replica/failure_detector.go
+++ b/internal/controlplane/replica/failure_detector.go
@@ -8,46 +8,50 @@
 	"dunespoke/internal/events"
 )
 
-// Times of heartbeats.
+// Timing of heartbeats.
 const (
-	heartbeatInterval = 150 * time.Millisecond // four in the time after which silence counts
-	// of them one tells of nodes: leases last for four of those
+	heartbeatInterval = 150 * time.Millisecond // four within failureTimeout
+	// every so many heartbeats, one reports node leases; a lease lasts for four of those reports
 	heartbeatsPerLeaseReport = 5
-	failureTimeout           = 650 * time.Millisecond // some lost packets and a slow turn are no failure
-	// Sequence numbers of heartbeats have their incarnation above so many bits.
-	heartbeatsPerIncarnationBits = 20
-	// unresponsiveTimeout is for a replica that is heard and doesn't answer: within sync_s.
+	failureTimeout           = 650 * time.Millisecond // tolerates some lost packets and a scheduling delay
+	// The sequence number of a heartbeat has the incarnation of its process above this many low bits.
+	heartbeatSequenceBits = 20
+	// unresponsiveTimeout is how long a replica that sends heartbeats but doesn't answer a phase of a view
+	// change is left out: within sync_s.
 	unresponsiveTimeout = 2 * time.Second
 )
 
-// How old the news of a replica may be. Both go by the teller's own steady clock, which runs on while its
-// process stands still.
+// Bounds on the age of what a replica reports. Both are measured by the steady clock of the reporting
+// replica, which continues while its process is suspended.
 const (
-	// contactTimeout is the most for what is told as fresh: silence that counts as failure, and a round trip.
+	// contactTimeout is the maximum age of what is reported as fresh: failureTimeout plus a round trip.
 	contactTimeout = failureTimeout + 100*time.Millisecond
-	// MaxStaleness is the same, for others.
+	// MaxStaleness is the same bound, for other packages.
 	MaxStaleness = contactTimeout
-	// MaxWatchSilence is for how long a replica that is out of touch holds a watch at most.
+	// MaxWatchSilence is the maximum time for which a replica without contact to a quorum leaves a watch
+	// pending.
 	MaxWatchSilence = contactTimeout + viewChangeAllowance
 )
 
-// heartbeatHistorySize is how many heartbeats of its own a replica remembers the times of: ten seconds of
-// them.
+// heartbeatHistorySize is the number of its own heartbeats whose send times a replica remembers: about ten
+// seconds.
 const heartbeatHistorySize = 64
 
-// heartbeatHistory has the times of the heartbeats that a replica sent last, by their sequence numbers.
+// heartbeatHistory stores when the last heartbeats of this replica were sent, by sequence number.
 type heartbeatHistory struct {
-	last   uint64 // each incarnation begins with another, so that none is taken for one of an earlier
+	// last starts at a different number in each incarnation, so that heartbeats of different ones aren't mixed
+	// up.
+	last   uint64
 	sentAt [heartbeatHistorySize]time.Duration
-	count  uint64 // in this incarnation
+	count  uint64 // sent in this incarnation
 }
 
 func newHeartbeatHistory(incarnation uint64) heartbeatHistory {
 	const incarnations = 1 << 28
-	return heartbeatHistory{last: incarnation % incarnations << heartbeatsPerIncarnationBits}
+	return heartbeatHistory{last: incarnation % incarnations << heartbeatSequenceBits}
 }
 
-// record counts a heartbeat that is sent now, and returns its sequence number.
+// record records a heartbeat that is sent now, and returns its sequence number.
 func (h *heartbeatHistory) record(now time.Duration) uint64 {
 	h.last++
 	h.count++
@@ -55,77 +59,78 @@
 	return h.last
 }
 
-// sentTime returns when a heartbeat was sent; false: it is none of those remembered.
+// sentTime returns when a heartbeat was sent; ok is false if its time is not remembered.
 func (h *heartbeatHistory) sentTime(sequence uint64) (at time.Duration, ok bool) {
-	if back := h.last - sequence; back >= min(heartbeatHistorySize, h.count) {
+	if distance := h.last - sequence; distance >= min(heartbeatHistorySize, h.count) {
 		return 0, false
 	}
 	return h.sentAt[sequence%heartbeatHistorySize], true
 }
 
-// peerState is what a replica knows of another by its heartbeats. Each concern reads its own group of fields.
+// peerState is what a replica knows about a peer from its heartbeats. Each component reads its own group of
+// fields.
 type peerState struct {
-	// Whether it is alive, for the failure detector.
-	lastHeard   time.Duration // the last heartbeat that was not held up
+	// For the failure detector.
+	lastHeard   time.Duration // the last heartbeat that was not delayed
 	down        bool          // its address has refused a connection since: no process listens there
-	joinableAt  time.Duration // when it has been heard without a break for long enough to join a chain
-	restartedAt time.Duration // when its process was last found to be another one
-	lastHealthy time.Duration // the last one of a replica that could be counted on
+	joinableAt  time.Duration // when it has been heard without interruption for long enough to join a chain
+	restartedAt time.Duration // when its process was last found to have been replaced by another one
+	lastHealthy time.Duration // the last heartbeat that did not report it as unhealthy
 	unhealthy   bool
-	unreachable []string // members that it does not hear
+	unreachable []string // members that it doesn't hear
 
-	// When it last told its view, by this replica's clock; 0: not known.
+	// When it last reported its view, by this replica's clock; 0: not known.
 	contactAt time.Duration
-	epoch     uint64 // of that view
+	epoch     uint64 // of the reported view
 
-	// What it last sent, to be echoed.
+	// Of its last heartbeat, to be echoed.
 	lastSequence    uint64
 	lastHeartbeatAt time.Duration
 
-	// Who it is, for view changes and membership.
-	storeID            uint64
-	caughtUp           bool
-	draining, joint    bool
-	membershipEpoch    uint64
-	lastServingWithUs  time.Duration // when it last served in the same view
-	unresponsiveUntil  time.Duration // until then it is not asked for promises: it has answered none
-	endpointsEpoch     uint64        // of its list of endpoints
-	endpointsSequence  uint64
-	leaseSentAt        time.Duration // when this replica sent the heartbeat that the peer's last one echoes
-	sawUsInEpoch       uint64        // of the view in which it has heard this replica
-	releasedEpoch      uint64        // of the last view in which it has given up the allocator's role
-	oldLeasesExpiredIn uint64        // epoch under which it said that none outside the chain holds a lease of it
+	// For view changes and membership.
+	storeID               uint64
+	caughtUp              bool
+	draining, joint       bool
+	membershipEpoch       uint64
+	lastInSameView        time.Duration // when it last served in the same view as this replica
+	unresponsiveUntil     time.Duration // until then no promise is requested: it has not answered a phase
+	endpointsEpoch        uint64        // of its list of endpoints
+	endpointsSequence     uint64
+	leaseSentAt           time.Duration // when this replica sent the heartbeat that the peer's last one echoes
+	heardSelfInEpoch      uint64        // of the view in which it has heard this replica
+	releasedEpoch         uint64        // of the last view in which it released the allocator role
+	oldLeasesExpiredEpoch uint64        // epoch in which it reported that no lease of an earlier view is valid
 }
 
-// heard reports whether a peer is heard.
+// heard reports whether a peer is heard: it isn't down, and its last heartbeat is recent.
 func (p *peerState) heard(now time.Duration) bool { return !p.down && now < p.lastHeard+failureTimeout }
 
-// silent reports whether a peer has fallen silent.
+// silent reports whether a peer is down or has sent no heartbeat for longer than failureTimeout.
 func (p *peerState) silent(now time.Duration) bool { return p.down || now > p.lastHeard+failureTimeout }
 
-// recordContact notes what a heartbeat tells of its sender's view. One that was sent before another changes
-// nothing.
+// recordContact records the view that a heartbeat reports and when the heartbeat was sent. A heartbeat that
+// was sent before the last recorded one changes nothing.
 func (p *peerState) recordContact(epoch uint64, at time.Duration) {
 	if at >= p.contactAt {
 		p.contactAt, p.epoch = at, epoch
 	}
 }
 
-// leaving reports whether a peer's process has said that it is about to end.
+// leaving reports whether a peer's process has announced that it is about to end.
 func (p *peerState) leaving() bool { return p.draining && p.unhealthy }
 
-// received notes that a heartbeat came, held up or not, and whether another process sent it than the one
-// before.
-func (p *peerState) received(now time.Duration, h *message.Heartbeat) (restarted bool) {
-	known, before := p.lastSequence != 0, p.incarnation()
+// recordHeartbeat records that a heartbeat was received, delayed or not, and reports whether it comes from
+// another process than the previous one.
+func (p *peerState) recordHeartbeat(now time.Duration, h *message.Heartbeat) (restarted bool) {
+	known, previous := p.lastSequence != 0, p.incarnation()
 	p.lastSequence, p.lastHeartbeatAt = h.Sequence, now
-	return known && p.incarnation() != before
+	return known && p.incarnation() != previous
 }
 
-// incarnation tells one process of the peer from another, by the last heartbeat that came.
-func (p *peerState) incarnation() uint64 { return p.lastSequence >> heartbeatsPerIncarnationBits }
+// incarnation identifies the process of the peer, by its last heartbeat.
+func (p *peerState) incarnation() uint64 { return p.lastSequence >> heartbeatSequenceBits }
 
-// update takes what a heartbeat tells of its sender now.
+// update records the state that a heartbeat reports about its sender.
 func (p *peerState) update(now time.Duration, h *message.Heartbeat, restarted bool) {
 	if p.silent(now) || restarted {
 		p.joinableAt = now + p.rejoinDelay(now, restarted)
@@ -142,9 +147,9 @@
 	p.draining, p.joint, p.membershipEpoch = h.Draining, h.Joint, h.MembershipEpoch
 }
 
-// rejoinDelay is for how long a peer that came back must be heard before it joins a chain. A link that
-// flaps would have it come and go; a process that was restarted has a reason to have been away, unless
-// that happens again and again.
+// rejoinDelay returns how long a peer that was silent must be heard before it joins a chain. The longer delay
+// prevents a flapping link from making it join and leave repeatedly. The absence of a restarted process is
+// explained by its restart, unless it restarts repeatedly.
 func (p *peerState) rejoinDelay(now time.Duration, restarted bool) time.Duration {
 	if restarted && (p.restartedAt == 0 || now >= p.restartedAt+restartLoopWindow) {
 		return restartRejoinDelay
@@ -152,7 +157,7 @@
 	return flapRejoinDelay
 }
 
-// failureDetector knows which peers are alive, by their heartbeats.
+// failureDetector tracks which peers are live, by their heartbeats.
 type failureDetector struct {
 	self          string
 	startedAt     time.Duration
@@ -166,7 +171,7 @@
 		sent: newHeartbeatHistory(options.Incarnation), nextHeartbeat: now}
 }
 
-// heartbeatDue reports whether a heartbeat is to be sent, once in each interval.
+// heartbeatDue reports whether a heartbeat has to be sent now, which is once in each interval.
 func (d *failureDetector) heartbeatDue(now time.Duration) bool {
 	if now < d.nextHeartbeat {
 		return false
@@ -175,10 +180,10 @@
 	return true
 }
 
-// starting reports whether peers may not have been heard yet after this process's start.
+// starting reports whether this process started so recently that it may not have heard all peers yet.
 func (d *failureDetector) starting(now time.Duration) bool { return now <= d.startedAt+failureTimeout }
 
-// peer returns what is known of a peer, from its first heartbeat on.
+// peer returns the state of a peer, which is created at its first heartbeat.
 func (d *failureDetector) peer(now time.Duration, addr string) *peerState {
 	p := d.byAddr[addr]
 	if p == nil {
@@ -188,7 +193,7 @@
 	return p
 }
 
-// reachable returns which of some members are heard, this replica among them.
+// reachable returns the addresses of the members that are heard, including this replica.
 func (d *failureDetector) reachable(now time.Duration, members []message.Node) (list []string) {
 	for _, m := range members {
 		if p := d.byAddr[m.Addr]; m.Addr == d.self || p != nil && p.heard(now) {
@@ -198,7 +203,7 @@
 	return list
 }
 
-// unreachable returns which of some members are not heard. After a start it gives them time.
+// unreachable returns the addresses of the members that are not heard; none while this process is starting.
 func (d *failureDetector) unreachable(now time.Duration, members []message.Node) (list []string) {
 	if d.starting(now) {
 		return nil
@@ -211,17 +216,17 @@
 	return list
 }
 
-// partitioned reports whether a replica and one of some others don't hear each other: they can't be in one
-// chain.
+// partitioned reports whether a replica and any of others can't hear each other, so that they can't be in the
+// same chain.
 func (d *failureDetector) partitioned(addr string, others []string) bool {
-	misses := func(a, b string) bool { return a != d.self && slices.Contains(d.byAddr[a].unreachable, b) }
+	cannotReach := func(a, b string) bool { return a != d.self && slices.Contains(d.byAddr[a].unreachable, b) }
 	return slices.ContainsFunc(others, func(other string) bool {
-		return misses(addr, other) || misses(other,
+		return cannotReach(addr, other) || cannotReach(other,
 			addr)
 	})
 }
 
-// echo has a heartbeat name the last one that came from who it goes to.
+// echo adds the last heartbeat that was received from the recipient to a copy of a heartbeat.
 func (d *failureDetector) echo(now time.Duration, to string, h message.Heartbeat) *message.Heartbeat {
 	if p := d.byAddr[to]; p != nil && p.lastSequence != 0 {
 		h.EchoSequence = p.lastSequence
@@ -230,10 +235,10 @@
 	return &h
 }
 
-// sentTime returns when a peer sent a heartbeat, by this replica's clock, or a little earlier: it names the
-// last heartbeat of this one that it had, and how long before it had that. What waited on its way, in a
-// socket or before a process that stood still, is as old as it is, however late it is read. False: it has
-// heard none.
+// sentTime returns when a peer sent a heartbeat, by this replica's clock, or slightly earlier. The heartbeat
+// echoes the last heartbeat that the peer received from this replica and the delay since it received that.
+// Time that the heartbeat spent in a socket or waiting for a suspended process counts towards its age. ok is
+// false if the echoed heartbeat is not known.
 func (d *failureDetector) sentTime(now time.Duration, h *message.Heartbeat) (at time.Duration, ok bool) {
 	echoed, ok := d.sent.sentTime(h.EchoSequence)
 	if !ok {
@@ -242,11 +247,11 @@
 	return min(now, echoed+time.Duration(h.EchoDelayMillis)*time.Millisecond), true
 }
 
-// ReachableMembers returns the members of the core that are heard now, this one among them.
+// ReachableMembers returns the addresses of the members of the core that are heard now, including this one.
 func (r *Replica) ReachableMembers() []string { return r.peers.reachable(r.now, r.store.saved.Members) }
 
-// hearsQuorum reports whether this replica hears a quorum, or may yet after its start. One that doesn't is of
-// no use to those who hear it.
+// hearsQuorum reports whether this replica hears a quorum, or is still starting. A replica that hears none is
+// of no use to the members that hear it.
 func (r *Replica) hearsQuorum() bool {
 	if r.peers.starting(r.now) {
 		return true
@@ -256,12 +261,12 @@
 	}, r.store.saved.electorates()...)
 }
 
-// inContact reports whether a peer said a moment ago that it serves in this replica's view.
+// inContact reports whether a peer recently reported that it serves in this replica's view.
 func (r *Replica) inContact(p *peerState) bool {
 	return p != nil && p.epoch == r.epoch && p.contactAt != 0 && r.now < p.contactAt+contactTimeout
 }
 
-// sendHeartbeats tells the other members how this replica is.
+// sendHeartbeats sends the state of this replica to the other members.
 func (r *Replica) sendHeartbeats() {
 	h := r.heartbeat()
 	for _, m := range r.store.saved.allMembers() {
@@ -274,13 +279,13 @@
 // heartbeat returns the next heartbeat, without an echo.
 func (r *Replica) heartbeat() message.Heartbeat {
 	saved := &r.store.saved
-	alone := !r.hearsQuorum()
-	if alone {
+	isolated := !r.hearsQuorum()
+	if isolated {
 		r.releaseAllocatorRole()
 	}
 	h := message.Heartbeat{
 		CaughtUp:  saved.CaughtUp && r.store.pending.CaughtUp,
-		Unhealthy: r.DiskUnhealthy() || alone || r.leaving, ReleasedEpoch: r.allocator.releasedEpoch,
+		Unhealthy: r.DiskUnhealthy() || isolated || r.leaving, ReleasedEpoch: r.allocator.releasedEpoch,
 		StoreID: saved.StoreID, MembershipEpoch: saved.MembershipEpoch, Joint: len(saved.OutgoingMembers) > 0,
 		Draining:           r.draining,
 		UnreachableMembers: r.peers.unreachable(r.now, saved.allMembers()),
@@ -288,18 +293,17 @@
 		Endpoints:          r.endpoints.version(),
 	}
 	if r.peers.sent.count%heartbeatsPerLeaseReport == 0 {
-		h.Nodes = r.nodes.renewedHere(r.now)
+		h.Nodes = r.nodes.renewedLocally(r.now)
 	}
 	if r.state == StateServing {
 		h.Epoch, h.Version = r.epoch, r.committed
-		h.OldLeasesExpired = r.noteHeartbeatInView(h.Sequence)
+		h.OldLeasesExpired = r.recordHeartbeatInView(h.Sequence)
 	}
 	return h
 }
 
-// HandleDisconnected tells that a connection to a process has ended, by its end or a reset. A member is
-// sent a heartbeat at once: by a new connection if it lives, and if its process is gone, the address
-// refuses that.
+// HandleDisconnected handles the end or reset of a connection to a process. A member is sent a heartbeat at
+// once, which opens a new connection: if the process has ended, its address refuses that.
 func (r *Replica) HandleDisconnected(now time.Duration, addr string) {
 	r.now = now
 	if r.isMemberAddress(addr) && r.peers.byAddr[addr] != nil {
@@ -307,9 +311,9 @@
 	}
 }
 
-// HandleRefused tells that an address has refused a connection: no process listens there. That is no more
-// than a reason to do without the peer, until it is heard again: where a firewall refuses in its place,
-// it lives, and what was promised to it holds on.
+// HandleRefused handles a refused connection: no process listens at the address. The peer is only considered
+// down until it is heard again. It may still be running behind a firewall that refuses the connection, so
+// what was promised to it stays valid.
 func (r *Replica) HandleRefused(now time.Duration, addr string) {
 	r.now = now
 	p := r.peers.byAddr[addr]
@@ -321,26 +325,26 @@
 	r.evaluateView()
 }
 
-// handleHeartbeat takes a heartbeat, and what each concern reads of it.
+// handleHeartbeat records what a heartbeat reports, for each component that uses it.
 func (r *Replica) handleHeartbeat(from string, h *message.Heartbeat) {
 	if !r.admitHeartbeat(from, h) {
 		return
 	}
 	p := r.peers.peer(r.now, from)
 	heardQuorum := r.hearsQuorum()
-	restarted := p.received(r.now, h)
+	restarted := p.recordHeartbeat(r.now, h)
 	sentAt, known := r.peers.sentTime(r.now, h)
-	if p.storeID != h.StoreID { // what was heard is of another store
+	if p.storeID != h.StoreID { // the recorded contact was with another store
 		p.contactAt = 0
 	}
 	p.recordContact(h.Epoch, sentAt)
-	delayed := known && r.now >= sentAt+failureTimeout // it tells how the peer was, not how it is
-	cameBack := p.silent(r.now)
+	delayed := known && r.now >= sentAt+failureTimeout // it reports a past state of the peer
+	wasSilent := p.silent(r.now)
 	if !delayed {
 		p.update(r.now, h, restarted)
 	}
 	if !heardQuorum && r.hearsQuorum() {
-		r.sendHeartbeats() // who waits for this replica need not wait for its next heartbeat
+		r.sendHeartbeats() // peers may be waiting for this replica
 	}
 	for _, node := range h.Nodes {
 		if known {
@@ -353,23 +357,23 @@
 	}
 	r.followView(from, p, h, delayed)
 	r.sendNewerEndpoints(from, p)
-	if cameBack && r.state == StateStandby { // a view may be possible now
+	if wasSilent && r.state == StateStandby { // a view may be possible now
 		r.evaluateView()
 	}
 }
 
-// followView takes what a heartbeat tells of its sender's view.
+// followView handles what a heartbeat reports about its sender's view.
 func (r *Replica) followView(from string, p *peerState, h *message.Heartbeat, delayed bool) {
 	switch {
-	case h.Epoch > r.epoch && r.state == StateServing: // this replica was left out: what it knows may be old
+	case h.Epoch > r.epoch && r.state == StateServing: // not in the newer view: its state may be outdated
 		r.epoch, r.chain = h.Epoch, nil
 		r.transition(StateStandby)
-		r.sendHeartbeats() // who waits for its lease to end need not wait for the next one
+		r.sendHeartbeats() // the next holder of the role may be waiting for its lease to end
 	case h.Epoch == r.epoch && r.state == StateServing:
 		r.handleCommitted(&message.Committed{Epoch: h.Epoch, Version: h.Version})
 	}
 	if p.epoch == r.epoch && !delayed {
-		p.lastServingWithUs = r.now
+		p.lastInSameView = r.now
 	}
 	r.recordAllocatorLease(p, h)
 	if p.epoch == r.epoch && !r.quorumSeen && r.ServingWithQuorum() {
@@ -377,7 +381,7 @@
 		r.answerDueWatchers()
 		r.notifyWatchers() // of the view
 	}
-	// it missed that
+	// the peer has missed the activation of this view
 	if r.state == StateServing && h.CaughtUp && h.Epoch < r.epoch && slices.Contains(r.chain, from) {
 		r.send(from, &message.ActivateView{Epoch: r.epoch, Chain: r.chain, Version: r.committed})
 	}
--- a/internal/controlplane/replica/failure_detector_test.go
+++ b/internal/controlplane/replica/failure_detector_test.go
@@ -7,8 +7,8 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Given heartbeats that were sent, when one is asked for, then its time is told as long as it is remembered,
-// and that of none that was never sent.
+// Given heartbeats that were sent, when the send time of one is requested, then it is returned as long as it
+// is remembered, and none is returned for a heartbeat that was never sent.
 func TestHeartbeatHistory(t *testing.T) {
 	h := newHeartbeatHistory(7)
 	first := h.record(time.Second)
@@ -18,10 +18,10 @@
 		at       time.Duration
 		known    bool
 	}{
-		{"the only one", first, time.Second, true},
-		{"one before it", first - 1, 0, false},
-		{"one to come", first + 1, 0, false},
-		{"of another incarnation", newHeartbeatHistory(8).last + 1, 0, false},
+		{"the only heartbeat", first, time.Second, true},
+		{"previous sequence number", first - 1, 0, false},
+		{"next sequence number", first + 1, 0, false},
+		{"another incarnation", newHeartbeatHistory(8).last + 1, 0, false},
 	} {
 		if at, known := h.sentTime(c.sequence); at != c.at || known != c.known {
 			t.Errorf("%s: sent at %v, %v; want %v, %v", c.name, at, known, c.at, c.known)
@@ -31,12 +31,12 @@
 		h.record(2 * time.Second)
 	}
 	if _, known := h.sentTime(first); known {
-		t.Error("one that was overwritten is known")
+		t.Error("an overwritten heartbeat is still known")
 	}
 }
 
-// Given a peer that was heard once, when time passes, then it is reachable until the failure timeout, and
-// unreachable afterwards; a peer that was never heard has as long after the start.
+// Given a peer that was heard once, when time passes, then it is reachable until the failure timeout and
+// unreachable afterwards. A peer that was never heard has the same time after the start.
 func TestPeersAreUnreachableAfterTheFailureTimeout(t *testing.T) {
 	members := []message.Node{{Addr: "self"}, {Addr: "heard"}, {Addr: "never"}}
 	d := newFailureDetector(0, Options{Self: members[0]})
@@ -45,7 +45,7 @@
 		now                    time.Duration
 		reachable, unreachable int
 	}{
-		{failureTimeout, 2, 0}, // nobody is missed at the start
+		{failureTimeout, 2, 0}, // no peer is reported while starting
 		{time.Second + failureTimeout - 1, 2, 1},
 		{time.Second + failureTimeout + 1, 1, 2},
 	} {
@@ -56,9 +56,9 @@
 	}
 }
 
-// Given a heartbeat that waited on its way, when it is read, then it is as old as it is: contact counts from
-// when it was sent, and an earlier one changes nothing.
-func TestContactCountsFromTheSending(t *testing.T) {
+// Given a heartbeat that was delayed, when it is received, then contact counts from when it was sent, and an
+// earlier heartbeat changes nothing.
+func TestContactTimeIsHeartbeatSendTime(t *testing.T) {
 	d := newFailureDetector(0, Options{})
 	echoed := d.sent.record(time.Second)
 	h := &message.Heartbeat{EchoSequence: echoed, EchoDelayMillis: 100}
@@ -67,11 +67,11 @@
 		t.Errorf("sent at %v, %v; want %v", at, known, want)
 	}
 	if at, _ := d.sentTime(1050*time.Millisecond, h); at != 1050*time.Millisecond {
-		t.Errorf("sent in the future, at %v", at)
+		t.Errorf("send time %v is in the future", at)
 	}
 	p := &peerState{}
 	p.recordContact(64, 2*time.Second)
 	if p.recordContact(128, time.Second); p.epoch != 64 || p.contactAt != 2*time.Second {
-		t.Errorf("contact at %v under %d by an earlier heartbeat", p.contactAt, p.epoch)
+		t.Errorf("an earlier heartbeat changed the contact to %v in epoch %d", p.contactAt, p.epoch)
 	}
 }
--- a/internal/controlplane/replica/fault_tolerance.go
+++ b/internal/controlplane/replica/fault_tolerance.go
@@ -9,22 +9,23 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// FaultTolerance is what may be lost at once with nothing acknowledged lost and a quorum left: so many
-// machines of the core, or all those of so many zones, or of so many regions.
+// FaultTolerance is what may fail at the same time without losing acknowledged data or the quorum: a number
+// of machines of the core, or all its machines in a number of zones, or in a number of regions.
 type FaultTolerance struct {
-	Machines, Zones, Regions int // how many of each
-	// RegionOfZone is that of each zone. Zones that it doesn't name count as one region by themselves.
+	Machines, Zones, Regions int // number of each that may fail
+	// RegionOfZone maps each zone to its region. All zones that are not in it count as one region.
 	RegionOfZone map[string]string
 }
 
-// domainKind is one kind of failure domain, and how many of it may be lost at once.
+// domainKind is a kind of failure domain, and how many domains of it may fail at the same time.
 type domainKind struct {
-	name string
-	lost int
-	of   func(m message.Node) string
+	name     string
+	maxLost  int
+	domainOf func(m message.Node) string
 }
 
-// domainKinds are those of which any may be lost; machines always, since a chain has at least one.
+// domainKinds returns the kinds of domains that may fail. Machines are always included, since a chain has at
+// least one.
 func (t FaultTolerance) domainKinds() []domainKind {
 	list := []domainKind{{"machine", t.Machines, func(m message.Node) string { return m.Addr }}}
 	if t.Zones > 0 {
@@ -38,24 +39,24 @@
 
 func (t FaultTolerance) regionOf(m message.Node) string { return t.RegionOfZone[m.Zone] }
 
-// isZero reports whether nothing has to be tolerated.
+// isZero reports whether no failure has to be tolerated.
 func (t FaultTolerance) isZero() bool { return t.Machines == 0 && !t.coversDomains() }
 
-// coversDomains reports whether more may be lost at once than single machines.
+// coversDomains reports whether failures of zones or regions have to be tolerated.
 func (t FaultTolerance) coversDomains() bool { return t.Zones > 0 || t.Regions > 0 }
 
-// domain is a failure domain, and how many of some machines it has.
+// domain is a failure domain, and how many of the given machines are in it.
 type domain struct {
 	name string
 	size int
 }
 
-// domains are those of some machines, the smallest first.
+// domains returns the domains of the machines in list, the smallest first.
 func (k domainKind) domains(list []message.Node) (all []domain) {
 	for _, m := range list {
-		i := slices.IndexFunc(all, func(d domain) bool { return d.name == k.of(m) })
+		i := slices.IndexFunc(all, func(d domain) bool { return d.name == k.domainOf(m) })
 		if i < 0 {
-			i, all = len(all), append(all, domain{name: k.of(m)})
+			i, all = len(all), append(all, domain{name: k.domainOf(m)})
 		}
 		all[i].size++
 	}
@@ -65,8 +66,8 @@
 	return all
 }
 
-// remaining is how many of some machines are left after the loss of so many domains at worst, and which those
-// are.
+// remaining returns how many machines of list remain after the failure of its largest domains, whose number
+// is lost, and the names of these domains.
 func (k domainKind) remaining(list []message.Node, lost int) (n int, names []string) {
 	all := k.domains(list)
 	n = len(list)
@@ -77,14 +78,14 @@
 	return n, names
 }
 
-// requiredDomains is the fewest domains over which a chain has to be spread, so that no loss of what may be
-// lost covers it; of a membership that is all covered, all that it has.
+// requiredDomains returns the minimum number of domains over which a chain must be spread, so that no
+// tolerated failure covers all of it. If a tolerated failure can cover the whole membership, it is the number
+// of domains of the membership.
 func (k domainKind) requiredDomains(members []message.Node) int {
-	return min(k.lost+1, len(k.domains(members)))
+	return min(k.maxLost+1, len(k.domains(members)))
 }
 
-// chainSuffices reports whether a chain may serve: what it acknowledges outlives any loss of what may be
-// lost.
+// chainSuffices reports whether a chain may serve: what it acknowledges survives any tolerated failure.
 func (t FaultTolerance) chainSuffices(chain, members []message.Node) bool {
 	for _, k := range t.domainKinds() {
 		if len(k.domains(chain)) < k.requiredDomains(members) {
@@ -94,44 +95,46 @@
 	return true
 }
 
-// requiredMembers is how many members have to be left after a loss: a quorum, and enough for a chain.
+// requiredMembers returns how many members must remain after a failure: a quorum, and enough for a chain.
 func (t FaultTolerance) requiredMembers(members []message.Node) int {
 	return max(majority(members), min(t.Machines+1, len(members)))
 }
 
-// toleratedFailures is how many single machines may be lost of those that are well, so that the others serve.
-func (t FaultTolerance) toleratedFailures(well, members []message.Node) int {
-	n := len(well) - t.requiredMembers(members)
+// toleratedFailures returns how many machines may fail of those in healthy while the remaining ones can
+// serve.
+func (t FaultTolerance) toleratedFailures(healthy, members []message.Node) int {
+	n := len(healthy) - t.requiredMembers(members)
 	for _, k := range t.domainKinds()[1:] {
-		// The smallest domains, machine by machine, until too few are left to be spread over.
-		all, until := k.domains(well), 0
+		// Remove machines from the smallest domains until too few domains are left for a chain.
+		all, losses := k.domains(healthy), 0
 		for _, d := range all[:max(0, len(all)-k.requiredDomains(members)+1)] {
-			until += d.size
+			losses += d.size
 		}
-		n = min(n, until-1)
+		n = min(n, losses-1)
 	}
 	return max(0, n)
 }
 
-// gap tells why not all that may be lost at once can be lost of those that are well; "": it can. In a
-// membership that can tolerate it, no permitted loss holds a quorum, so that none covers a chain.
-func (t FaultTolerance) gap(well, members []message.Node) string {
-	need := t.requiredMembers(members)
+// gap explains why the tolerated failures can't all be tolerated with the machines in healthy; it is empty if
+// they can. In a membership that can tolerate them, no tolerated failure includes a quorum, so none covers a
+// chain.
+func (t FaultTolerance) gap(healthy, members []message.Node) string {
+	required := t.requiredMembers(members)
 	for _, k := range t.domainKinds() {
-		if n, names := k.remaining(well, k.lost); n < need && k.lost > 0 {
-			return fmt.Sprintf("after the loss of %s %s %d of the %d members would be left, and %d have to be",
-				k.name, strings.Join(names, " and "), n, len(members), need)
+		if n, names := k.remaining(healthy, k.maxLost); n < required && k.maxLost > 0 {
+			return fmt.Sprintf("after the loss of %s %s, %d of the %d members would remain, but %d are required",
+				k.name, strings.Join(names, " and "), n, len(members), required)
 		}
 	}
 	return ""
 }
 
-// shortfall is how many losses fewer can be tolerated by a membership than may come, all kinds together.
+// shortfall returns how many of the required failures a membership can't tolerate, summed over all kinds.
 func (t FaultTolerance) shortfall(members []message.Node) (n int) {
-	need := t.requiredMembers(members)
+	required := t.requiredMembers(members)
 	for _, k := range t.domainKinds() {
-		for lost := k.lost; lost > 0; lost-- {
-			if left, _ := k.remaining(members, lost); left >= need {
+		for lost := k.maxLost; lost > 0; lost-- {
+			if left, _ := k.remaining(members, lost); left >= required {
 				break
 			}
 			n++
@@ -140,39 +143,41 @@
 	return n
 }
 
-// imbalance is how badly a membership is spread, to be compared: by what it can't tolerate, then by the
-// squares of its domains, so that the domain that lacks members is filled first.
+// imbalance returns a score of how badly a membership is spread, to be compared element by element: first the
+// shortfall, then for each kind the sum of the squared domain sizes, so that the domain that lacks members is
+// filled first.
 func (t FaultTolerance) imbalance(members []message.Node) []int {
-	by := []int{t.shortfall(members)}
+	scores := []int{t.shortfall(members)}
 	for _, k := range slices.Backward(t.domainKinds()[1:]) {
 		squares := 0
 		for _, d := range k.domains(members) {
 			squares += d.size * d.size
 		}
-		by = append(by, squares)
+		scores = append(scores, squares)
 	}
-	return by
+	return scores
 }
 
-// bestAddition is the one of some machines that a membership is best spread with; of alike ones the first of
-// a zone, else the first.
-func (t FaultTolerance) bestAddition(members, learners []message.Node, zone string) (best int) {
-	var least []int
+// bestAddition returns the index of the learner with which a membership is spread best. Among equal ones, it
+// is the first one in the given zone, or else the first one.
+func (t FaultTolerance) bestAddition(members, learners []message.Node, zone string) (bestIndex int) {
+	var bestScore []int
 	for i, m := range learners {
-		by := t.imbalance(append(slices.Clip(members), m))
-		if by = append(by, 0); m.Zone != zone {
-			by[len(by)-1] = 1
+		score := t.imbalance(append(slices.Clip(members), m))
+		if score = append(score, 0); m.Zone != zone {
+			score[len(score)-1] = 1
 		}
-		if i == 0 || slices.Compare(by, least) < 0 {
-			best, least = i, by
+		if i == 0 || slices.Compare(score, bestScore) < 0 {
+			bestIndex, bestScore = i, score
 		}
 	}
-	return best
+	return bestIndex
 }
 
-// improvement is a change by which more can be tolerated: a machine that comes besides the members or, where
-// none helps so, takes the place of one in a domain that has too many. It is the first of a row of such
-// changes.
+// improvement returns a change that lets the membership tolerate more failures, as the learner's index i and
+// the address old of the member that it replaces. If adding learners doesn't help, a learner replaces a
+// member of a domain that has too many; otherwise old is empty. The change may be the first of a sequence
+// that improves the tolerance only as a whole.
 func (t FaultTolerance) improvement(members, learners []message.Node) (old string, i int, ok bool) {
 	switch {
 	case len(learners) == 0 || t.shortfall(members) == 0:
@@ -186,56 +191,59 @@
 	return old, i, ok
 }
 
-// improvementSequence is the first of a row of changes after which more can be tolerated, if there is one.
+// improvementSequence returns the first change of a sequence of additions, or of replacements, that improves
+// the tolerance; ok is false if there is none.
 func (t FaultTolerance) improvementSequence(
 	members, learners []message.Node,
-	swaps bool,
+	replaceMembers bool,
 ) (old string, i int, ok bool) {
-	missing := t.shortfall(members)
+	initialShortfall := t.shortfall(members)
 	for step := 0; len(learners) > 0; step++ {
-		out, in := "", t.bestAddition(members, learners, "")
-		if swaps {
-			out, in = t.bestReplacement(members, learners)
+		replaced, added := "", t.bestAddition(members, learners, "")
+		if replaceMembers {
+			replaced, added = t.bestReplacement(members, learners)
 		}
-		next := append(withoutAddress(members, out), learners[in])
-		if swaps && slices.Compare(t.imbalance(next), t.imbalance(members)) >= 0 {
+		next := append(withoutAddress(members, replaced), learners[added])
+		if replaceMembers && slices.Compare(t.imbalance(next), t.imbalance(members)) >= 0 {
 			break
 		}
 		if members = next; step == 0 {
-			old, i = out, in
+			old, i = replaced, added
 		}
-		if t.shortfall(members) < missing {
+		if t.shortfall(members) < initialShortfall {
 			return old, i, true
 		}
-		learners = slices.Delete(slices.Clone(learners), in, in+1)
+		learners = slices.Delete(slices.Clone(learners), added, added+1)
 	}
 	return "", 0, false
 }
 
-// bestRemoval is the member to go without a successor, of a domain that has too many, the first of a row
-// after which more can be tolerated; "": none.
+// bestRemoval returns the address of a member that should leave without a replacement, from a domain that has
+// too many, as the first of a sequence of removals that improves the tolerance; it is empty if there is none.
 func (t FaultTolerance) bestRemoval(members []message.Node) (first string) {
-	missing := t.shortfall(members)
-	for missing > 0 && len(members) > 2*t.Machines+1 {
-		var least []int
+	initialShortfall := t.shortfall(members)
+	for initialShortfall > 0 && len(members) > 2*t.Machines+1 {
+		var bestScore []int
 		var old string
 		for _, m := range members {
-			if by := t.imbalance(withoutAddress(members, m.Addr)); least == nil || slices.Compare(by, least) < 0 {
-				old, least = m.Addr, by
+			if score := t.imbalance(withoutAddress(members, m.Addr)); bestScore == nil ||
+				slices.Compare(score, bestScore) < 0 {
+				old, bestScore = m.Addr, score
 			}
 		}
 		first = cmp.Or(first, old)
-		if members = withoutAddress(members, old); least[0] < missing {
+		if members = withoutAddress(members, old); bestScore[0] < initialShortfall {
 			return first
 		}
 	}
 	return ""
 }
 
-// bestReplacement is the member whose place one of some machines takes best, and that machine.
+// bestReplacement returns the address of the member whose replacement by one of the learners spreads the
+// membership best, and the index of that learner.
 func (t FaultTolerance) bestReplacement(members, learners []message.Node) (old string, best int) {
-	var least []int
-	seen := map[string]bool{} // a zone's members are alike
+	var bestScore []int
+	seen := map[string]bool{} // members of the same zone are equivalent
 	for _, m := range members {
 		if seen[m.Zone] {
 			continue
@@ -243,15 +251,17 @@
 		seen[m.Zone] = true
 		rest := withoutAddress(members, m.Addr)
 		i := t.bestAddition(rest, learners, "")
-		if by := t.imbalance(append(rest, learners[i])); least == nil || slices.Compare(by, least) < 0 {
-			old, best, least = m.Addr, i, by
+		if score := t.imbalance(append(rest, learners[i])); bestScore == nil ||
+			slices.Compare(score, bestScore) < 0 {
+			old, best, bestScore = m.Addr, i, score
 		}
 	}
 	return old, best
 }
 
-// bootstrapMembers is the core that some machines make: all of them, or, where a domain has too many, the
-// most that can tolerate what may be lost; ok is false where none can, and it is all.
+// bootstrapMembers returns the core that is formed from the given machines: all of them or, if a domain has
+// too many, the largest set that can tolerate the required failures. ok is false if no set can, and then all
+// machines are returned.
 func (t FaultTolerance) bootstrapMembers(all []message.Node) (core []message.Node, ok bool) {
 	if t.shortfall(all) == 0 {
 		return all, true
@@ -259,9 +269,9 @@
 	if !t.coversDomains() {
 		return all, false
 	}
-	for ofZone := range len(all) {
-		for ofRegion := range len(all) {
-			list := t.limitedPerDomain(all, ofZone+1, ofRegion+1)
+	for perZone := range len(all) {
+		for perRegion := range len(all) {
+			list := t.limitedPerDomain(all, perZone+1, perRegion+1)
 			if len(list) > len(core) && t.shortfall(list) == 0 {
 				core = list
 			}
@@ -273,15 +283,17 @@
 	return core, true
 }
 
-// limitedPerDomain is some machines with at most so many of each zone and of each region; a region's zones
-// give theirs in turn.
-func (t FaultTolerance) limitedPerDomain(all []message.Node, ofZone, ofRegion int) (list []message.Node) {
-	region := map[string]int{}
-	for turn := range ofZone {
-		zone := map[string]int{}
+// limitedPerDomain returns as many of the machines as the limits per zone and per region allow, choosing from
+// the zones of a region in turn.
+func (t FaultTolerance) limitedPerDomain(
+	all []message.Node, maxPerZone, maxPerRegion int,
+) (list []message.Node) {
+	regionCounts := map[string]int{}
+	for round := range maxPerZone {
+		zoneCounts := map[string]int{}
 		for _, m := range all {
-			if zone[m.Zone]++; zone[m.Zone] == turn+1 && region[t.regionOf(m)] < ofRegion {
-				region[t.regionOf(m)]++
+			if zoneCounts[m.Zone]++; zoneCounts[m.Zone] == round+1 && regionCounts[t.regionOf(m)] < maxPerRegion {
+				regionCounts[t.regionOf(m)]++
 				list = append(list, m)
 			}
 		}
--- a/internal/controlplane/replica/fault_tolerance_test.go
+++ b/internal/controlplane/replica/fault_tolerance_test.go
@@ -8,16 +8,16 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// The checks below go through sets of machines one by one, where the code counts. A set is the bits of a
-// list's machines.
+// These tests check the code, which computes by counting, against an exhaustive search over sets of machines.
+// A set is a bit mask over the machines of a list.
 
-// small calls do with all small sets of machines over three regions of which one has two zones, and with all
-// that may be lost of them.
-func small(most int, do func(t FaultTolerance, all []message.Node)) {
+// forEachSmallCluster calls check with all clusters of up to maxMachines machines in three regions, one of
+// which has two zones, and with all required fault tolerances.
+func forEachSmallCluster(maxMachines int, check func(t FaultTolerance, all []message.Node)) {
 	region := map[string]string{"a": "r1", "b": "r1", "c": "r2", "d": "r3"}
 	for layout := range 4 * 4 * 4 * 4 {
 		if a, b, c, d := layout%4, layout>>2%4, layout>>4%4, layout>>6; a < b || c < d {
-			continue // as another one, but for the names
+			continue // the same as another layout, except for the names
 		}
 		var all []message.Node
 		for i, zone := range []string{"a", "b", "c", "d"} {
@@ -25,20 +25,20 @@
 				all = append(all, message.Node{Addr: fmt.Sprint(zone, j), Zone: zone})
 			}
 		}
-		for what := range 3 * 3 * 2 {
-			t := FaultTolerance{Machines: what % 3, Zones: what / 3 % 3, Regions: what / 9, RegionOfZone: region}
-			if len(all) > 0 && len(all) <= most && !t.isZero() {
-				do(t, all)
+		for limits := range 3 * 3 * 2 {
+			t := FaultTolerance{Machines: limits % 3, Zones: limits / 3 % 3, Regions: limits / 9, RegionOfZone: region}
+			if len(all) > 0 && len(all) <= maxMachines && !t.isZero() {
+				check(t, all)
 			}
 		}
 	}
 }
 
-// losses are all sets of so many domains of one kind.
-func losses(all []message.Node, most int, of func(m message.Node) string) (list []int) {
+// losses returns all sets of machines that consist of up to maxDomains domains of one kind.
+func losses(all []message.Node, maxDomains int, domainOf func(m message.Node) string) (list []int) {
 	bits := map[string]int{}
 	for i, m := range all {
-		bits[of(m)] |= 1 << i
+		bits[domainOf(m)] |= 1 << i
 	}
 	var sets []int
 	for _, set := range bits {
@@ -51,18 +51,18 @@
 				lost, n = lost|set, n+1
 			}
 		}
-		if n <= most {
+		if n <= maxDomains {
 			list = append(list, lost)
 		}
 	}
 	return list
 }
 
-// serves reports whether a set of members may be a chain: a quorum that no permitted loss covers, as far as
-// the members themselves are not covered.
+// serves reports whether a set of members may be a chain: a quorum that is not covered by any tolerated
+// failure, unless that covers all members.
 func serves(t FaultTolerance, all []message.Node, chain int) bool {
 	for _, k := range t.domainKinds() {
-		for _, lost := range losses(all, min(k.lost, len(k.domains(all))-1), k.of) {
+		for _, lost := range losses(all, min(k.maxLost, len(k.domains(all))-1), k.domainOf) {
 			if chain&^lost == 0 {
 				return false
 			}
@@ -71,11 +71,11 @@
 	return len(membersIn(all, chain)) >= majority(all)
 }
 
-// tolerates reports whether a set of members serves after every permitted loss.
-func tolerates(t FaultTolerance, all []message.Node, well int) bool {
+// tolerates reports whether a set of members can serve after every tolerated failure.
+func tolerates(t FaultTolerance, all []message.Node, healthy int) bool {
 	for _, k := range t.domainKinds() {
-		for _, lost := range losses(all, k.lost, k.of) {
-			if !serves(t, all, well&^lost) {
+		for _, lost := range losses(all, k.maxLost, k.domainOf) {
+			if !serves(t, all, healthy&^lost) {
 				return false
 			}
 		}
@@ -92,85 +92,91 @@
 	return list
 }
 
-// Given all small memberships and what may be lost, when any members are well, then whether they may serve,
-// whether they tolerate what may be lost, and how many machines are to spare, is what going through all says.
-func TestToleranceIsWhatEveryLossSays(t *testing.T) {
-	small(5, func(o FaultTolerance, all []message.Node) {
-		for well := range 1 << len(all) {
-			list := membersIn(all, well)
+// Given all small memberships and fault tolerances, when any set of members is healthy, then whether these
+// may serve, whether they tolerate the required failures, and how many machines may fail agree with the
+// search.
+func TestToleranceMatchesExhaustiveSearch(t *testing.T) {
+	forEachSmallCluster(5, func(o FaultTolerance, all []message.Node) {
+		for healthy := range 1 << len(all) {
+			list := membersIn(all, healthy)
 			spare := -1
 			for _, lost := range losses(all, len(all), func(m message.Node) string { return m.Addr }) {
 				n := len(membersIn(all, lost))
-				if lost&^well == 0 && (spare < 0 || n <= spare) && !serves(o, all, well&^lost) {
+				if lost&^healthy == 0 && (spare < 0 || n <= spare) && !serves(o, all, healthy&^lost) {
 					spare = n - 1
 				}
 			}
-			wantServes := serves(o, all, well)
+			wantServes := serves(o, all, healthy)
 			if got := o.chainSuffices(list, all) && len(list) >= majority(all); got != wantServes {
-				t.Fatalf("%+v: %v of %v serve: %v, want %v", o, list, all, got, wantServes)
+				t.Fatalf("%+v: chain %v of %v may serve: %v, want %v", o, list, all, got, wantServes)
 			}
-			if got, want := o.gap(list, all) == "", tolerates(o, all, well); got != want {
-				t.Fatalf("%+v: %v of %v: %q, bears %v", o, list, all, o.gap(list, all), want)
+			if got, want := o.gap(list, all) == "", tolerates(o, all, healthy); got != want {
+				t.Fatalf("%+v: healthy %v of %v: gap %q, want tolerated: %v", o, list, all, o.gap(list, all), want)
 			}
 			if got := o.toleratedFailures(list, all); got != max(0, spare) {
-				t.Fatalf("%+v: %v of %v: %d to spare, want %d", o, list, all, got, spare)
+				t.Fatalf("%+v: healthy %v of %v: %d failures tolerated, want %d", o, list, all, got, spare)
 			}
 		}
 	})
 }
 
-// Given all small sets of machines, when a core is named of them, or grows by them, then it tolerates what
-// may be lost wherever some of them do.
-func TestABootstrapMembershipIsFoundWhereThereIsOne(t *testing.T) {
-	small(7, func(o FaultTolerance, all []message.Node) {
-		some := false
-		for set := 1; set < 1<<len(all) && !some; set++ {
+// Given all small sets of machines, when a core is formed from them, then it tolerates the required failures
+// if any subset of the machines does.
+func TestBootstrapMembersTolerateLossesWhenPossible(t *testing.T) {
+	forEachSmallCluster(7, func(o FaultTolerance, all []message.Node) {
+		possible := false
+		for set := 1; set < 1<<len(all) && !possible; set++ {
 			list := membersIn(all, set)
-			some = o.shortfall(list) == 0
+			possible = o.shortfall(list) == 0
 		}
 		core, ok := o.bootstrapMembers(all)
-		if ok != some || ok && !tolerates(o, core, 1<<len(core)-1) || !ok && len(core) != len(all) {
-			t.Fatalf("%+v: of %v %v, %v; there is one: %v", o, all, core, ok, some)
+		if ok != possible || ok && !tolerates(o, core, 1<<len(core)-1) || !ok && len(core) != len(all) {
+			t.Fatalf("%+v: from %v formed %v, tolerated: %v, possible: %v", o, all, core, ok, possible)
 		}
 		if (o.shortfall(all) == 0) != tolerates(o, all, 1<<len(all)-1) {
-			t.Fatalf("%+v: %v misses %d", o, all, o.shortfall(all))
+			t.Fatalf("%+v: %v has shortfall %d", o, all, o.shortfall(all))
 		}
 	})
 }
 
-// Given a membership and any machines that would be members, when one after another is taken in, then less is
-// missing in the end wherever any of them mend that, and none is taken in, or in a member's place, for
-// nothing.
-func TestMembersComeWhereTheyHelp(t *testing.T) {
-	small(5, func(o FaultTolerance, all []message.Node) {
+// Given a membership and learners, when learners are added one after the other, then the shortfall is reduced
+// if any change by these learners reduces it, and no member is added, replaced or removed without that
+// effect.
+func TestMembershipChangesReduceShortfall(t *testing.T) {
+	forEachSmallCluster(5, func(o FaultTolerance, all []message.Node) {
 		for set := 1; set < 1<<len(all); set++ {
-			members, fresh := membersIn(all, set), membersIn(all, 1<<len(all)-1&^set)
-			grows, swaps, sheds := false, false, false
-			for some := range 1 << len(fresh) {
-				come := membersIn(fresh, some)
-				grows = grows || o.shortfall(slices.Concat(members, come)) < o.shortfall(members)
-				for stay := range 1 << len(members) {
-					next := slices.Concat(membersIn(members, stay), come)
-					swaps = swaps || len(next) == len(members) && o.shortfall(next) < o.shortfall(members)
-					sheds = sheds || some == 0 && len(next) > 2*o.Machines && o.shortfall(next) < o.shortfall(members)
+			members, learners := membersIn(all, set), membersIn(all, 1<<len(all)-1&^set)
+			additionHelps, replacementHelps, removalHelps := false, false, false
+			for subset := range 1 << len(learners) {
+				added := membersIn(learners, subset)
+				additionHelps = additionHelps || o.shortfall(slices.Concat(members, added)) < o.shortfall(members)
+				for kept := range 1 << len(members) {
+					next := slices.Concat(membersIn(members, kept), added)
+					replacementHelps = replacementHelps ||
+						len(next) == len(members) && o.shortfall(next) < o.shortfall(members)
+					removalHelps = removalHelps ||
+						subset == 0 && len(next) > 2*o.Machines && o.shortfall(next) < o.shortfall(members)
 				}
 			}
-			few := len(members) < 2*o.Machines+1 && len(fresh) > 0
-			old, _, got := o.improvement(members, fresh)
-			if (o.bestRemoval(members) != "") != sheds {
-				t.Fatalf("%+v: %v sheds %q: %v", o, members, o.bestRemoval(members), sheds)
+			tooFew := len(members) < 2*o.Machines+1 && len(learners) > 0
+			old, _, got := o.improvement(members, learners)
+			if (o.bestRemoval(members) != "") != removalHelps {
+				t.Fatalf("%+v: %v removes %q, want a removal: %v", o, members, o.bestRemoval(members), removalHelps)
 			}
-			if want := grows || swaps || few; got != want || got && (old != "") != (!grows && !few) {
-				t.Fatalf("%+v: %v by %v: %v %q, grows %v, swaps %v", o, members, fresh, got, old, grows, swaps)
+			if want := additionHelps || replacementHelps || tooFew; got != want ||
+				got && (old != "") != (!additionHelps && !tooFew) {
+				t.Fatalf("%+v: %v with %v: change %v of %q, addition helps: %v, replacement helps: %v",
+					o, members, learners, got, old, additionHelps, replacementHelps)
 			}
 		}
 	})
 }
 
-// Given a place that is free, then the zone that lacks members is first, and after that the zone of who left;
-// where nothing but machines is counted, the zone alone decides.
-func TestTheLearnerOfTheZoneThatLacksMembers(t *testing.T) {
-	all := func(zones string) (list []message.Node) {
+// Given a free place among the members, when a learner is chosen, then one of the zone that lacks members is
+// preferred, and then one of the zone of the member that left. If only machines are counted, just the zone of
+// the member that left matters.
+func TestBestAdditionPrefersUnderrepresentedZone(t *testing.T) {
+	nodesInZones := func(zones string) (list []message.Node) {
 		for i, z := range zones {
 			list = append(list, message.Node{Addr: fmt.Sprint(string(z), i), Zone: string(z)})
 		}
@@ -178,8 +184,8 @@
 	}
 	zones := FaultTolerance{Machines: 1, Zones: 1}
 	for _, c := range []struct {
-		t                         FaultTolerance
-		registry, fresh, of, want string
+		t                             FaultTolerance
+		members, learners, zone, want string
 	}{
 		{zones, "aabbc", "abc", "a", "c"},
 		{zones, "aabbcc", "ab", "b", "b"},
@@ -189,9 +195,10 @@
 		{FaultTolerance{Regions: 1, RegionOfZone: map[string]string{"a": "r", "b": "r", "c": "s"}},
 			"aab", "bc", "b", "c"},
 	} {
-		fresh := all(c.fresh)
-		if got := fresh[c.t.bestAddition(all(c.registry), fresh, c.of)].Zone; got != c.want {
-			t.Errorf("%+v: %s and one of %s for one of %s: %s, want %s", c.t, c.registry, c.fresh, c.of, got, c.want)
+		learners := nodesInZones(c.learners)
+		if got := learners[c.t.bestAddition(nodesInZones(c.members), learners, c.zone)].Zone; got != c.want {
+			t.Errorf("%+v: members in %s, learners in %s, zone %s: chose %s, want %s",
+				c.t, c.members, c.learners, c.zone, got, c.want)
 		}
 	}
 }
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -8,46 +8,48 @@
 	"dunespoke/internal/events"
 )
 
-// Times and bounds of membership.
+// Timing and bounds of membership changes.
 const (
-	// defaultReplaceAfter is for where the settings name no sync_s, half of which it is: a successor has to be a
-	// member within sync_s of its start, and a process that is restarted is back within a second.
+	// defaultReplaceAfter is used where the settings name no sync_s, half of which it is: a replacement has to
+	// be a member within sync_s of its start, and a restarted process is back within a second.
 	defaultReplaceAfter = 2 * time.Second
-	// learnerSnapshotInterval is between snapshots to a learner that has not answered: a configuration may be
-	// long.
+	// learnerSnapshotInterval is the interval between snapshots to a learner that has not answered: a
+	// configuration may be long.
 	learnerSnapshotInterval = time.Second
-	changeRequestTimeout    = 5 * time.Second // for an operator's order to become a view
-	// maxRemovedMembers is how many of those that operators have removed are remembered: who is started again
-	// only after as many more comes as a learner.
+	changeRequestTimeout    = 5 * time.Second // for an operator's request to take effect
+	// maxRemovedMembers is how many of the members that operators removed are remembered. A removed member that
+	// starts again only after that many more removals is an ordinary learner.
 	maxRemovedMembers = 64
 )
 
-// learner is a replica that is no member and would be one. It has no vote until a view makes it a member.
+// learner is a replica that is not a member and wants to be one. It has no vote until a view makes it a
+// member.
 type learner struct {
 	message.Node
 	lastHeard      time.Duration
 	snapshotSentAt time.Duration
-	caughtUp       bool // it has the newest value on its disk
-	// removedByOperator: it takes nobody's place, and becomes a member only if an operator adds it.
+	caughtUp       bool // it has stored the newest value on its disk
+	// removedByOperator reports that it must not replace a member by itself: only an operator can add it.
 	removedByOperator bool
 }
 
-// heard reports whether a learner is heard.
+// heard reports whether the learner has announced itself recently.
 func (l *learner) heard(now time.Duration) bool { return now <= l.lastHeard+failureTimeout }
 
-// membershipChanger is what a replica knows of who may become a member, and what operators have ordered.
+// membershipChanger tracks the replicas that may become members, and the change that an operator has
+// requested.
 type membershipChanger struct {
 	learners      map[string]*learner // by address
 	request       *changeRequest      // of an operator; nil: none
 	retirements   uint64              // how often this incarnation has given up its membership
-	nextRebalance time.Duration       // when it is looked again whether learners spread the members better
+	nextRebalance time.Duration       // when to check next whether learners can improve the fault tolerance
 }
 
 func newMembershipChanger() membershipChanger {
 	return membershipChanger{learners: map[string]*learner{}}
 }
 
-// stepMembership takes a message about the members.
+// stepMembership handles a message about the membership.
 func (r *Replica) stepMembership(from string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.MemberList:
@@ -63,8 +65,8 @@
 	}
 }
 
-// admitHeartbeat reports whether a heartbeat is a member's. One that was removed is told so, and who knows of
-// newer members is asked for them.
+// admitHeartbeat reports whether a heartbeat was sent by a member. A sender that has been removed is sent the
+// newer membership, and a newer membership is requested from a sender that knows one, by an announcement.
 func (r *Replica) admitHeartbeat(from string, h *message.Heartbeat) bool {
 	saved := &r.store.saved
 	joint := len(saved.OutgoingMembers) > 0
@@ -81,8 +83,8 @@
 	return false
 }
 
-// handleMemberList takes what another process says of the members. A replica without a vote waits until a
-// change is known to be complete.
+// handleMemberList handles the membership that another process reports. A replica without a vote ignores it
+// while a change is not known to be complete.
 func (r *Replica) handleMemberList(list *message.MemberList) {
 	switch {
 	case len(list.Members) == 0:
@@ -93,9 +95,9 @@
 	}
 }
 
-// storeMembers notes the members on a replica without a vote. Whoever stands among those of the first start
-// with this very store has had all that was acknowledged since: it has caught up. Others are repaired by a
-// view.
+// storeMembers stores the membership on a replica without a vote. If the membership is that of the first
+// start and includes this store, the store has everything that was acknowledged since: it has caught up.
+// Other replicas are repaired by a view.
 func (r *Replica) storeMembers(list *message.MemberList) {
 	pending := &r.store.pending
 	if !hasMember(list.Members, r.selfMember()) {
@@ -117,8 +119,8 @@
 	})
 }
 
-// adoptMembers takes newer members, if they are. They may be of a change that is not known to be complete:
-// then both memberships have to agree from here on. A replica that is in neither was removed.
+// adoptMembers adopts a membership if it is newer than the pending one. If its change is not known to be
+// complete, both memberships have to agree from then on. A replica that is in neither of them was removed.
 func (r *Replica) adoptMembers(list *message.MemberList) {
 	pending := &r.store.pending
 	known := list.MembershipEpoch == pending.MembershipEpoch &&
@@ -133,14 +135,14 @@
 	}
 	pending.setMembers(list)
 	r.save(nil)
-	if r.view.change != nil { // it was proposed by the older members
+	if r.view.change != nil { // the older members proposed it
 		r.transition(StateStandby)
 	}
 }
 
-// retire gives up this replica's membership, for ever: it was removed. What it holds counts no more, and it
-// may come back as another member, with another store id; if an operator has removed it, by operators alone.
-// What it has promised stays.
+// retire permanently gives up this replica's membership, because it was removed. Its stored value no longer
+// counts. It may become another member, with another store id; if an operator removed it, only an operator
+// can add it again. Its promises stay valid.
 func (r *Replica) retire(membershipEpoch uint64, removed []message.Node) {
 	const retirementShift = 40 // so that store ids of this incarnation differ from those of all others
 	byOperator := hasMember(removed, r.selfMember())
@@ -155,8 +157,8 @@
 	r.save(nil)
 }
 
-// completeMembershipChange notes that a change of members is so: its view is on the disks of a majority
-// before and after.
+// completeMembershipChange records that a membership change is complete, because its view is on the disks of
+// a majority of the members before and after it.
 func (r *Replica) completeMembershipChange(epoch uint64) {
 	pending := &r.store.pending
 	if len(pending.OutgoingMembers) == 0 || pending.MembershipEpoch != epoch {
@@ -172,7 +174,7 @@
 	r.log(events.MembershipChanged, "membership_epoch", pending.MembershipEpoch, "members", len(pending.Members))
 }
 
-// HandleAnnounce notes a replica that would be a member, and brings it up to date.
+// HandleAnnounce records a replica that wants to be a member, and sends it the newest value.
 func (r *Replica) HandleAnnounce(now time.Duration, from string, announce *message.Announce) {
 	r.now = now
 	saved := &r.store.saved
@@ -180,7 +182,7 @@
 	if from == r.self || hasMember(saved.Members, announced) {
 		return
 	}
-	r.missReplacedStore(announced)
+	r.markReplacedPeerDown(announced)
 	l := r.membership.learners[from]
 	if l == nil || l.StoreID != announce.StoreID {
 		l = &learner{Node: announced}
@@ -196,9 +198,9 @@
 	}
 }
 
-// missReplacedStore notes that a member is gone at whose address a process with another store has
-// announced itself: its promise would be awaited in vain until it counts as silent.
-func (r *Replica) missReplacedStore(announced message.Node) {
+// markReplacedPeerDown marks a member as down if a process with another store has announced itself at its
+// address. Otherwise a view change would wait for the member's promise until it counts as silent.
+func (r *Replica) markReplacedPeerDown(announced message.Node) {
 	p := r.peers.byAddr[announced.Addr]
 	if p != nil && !p.down && announced.StoreID != 0 && p.storeID != announced.StoreID &&
 		r.isMemberAddress(announced.Addr) {
@@ -208,8 +210,8 @@
 	}
 }
 
-// handleLearnerSnapshot takes the newest value, as a replica without a vote: a view that makes it a member
-// finds it there.
+// handleLearnerSnapshot stores the newest value on a replica without a vote, so that it has the value already
+// when a view makes it a member.
 func (r *Replica) handleLearnerSnapshot(from string, m *message.LearnerSnapshot) {
 	pending := &r.store.pending
 	if r.state != StateUninitialized || pending.CaughtUp || m.StoreID != r.store.saved.StoreID ||
@@ -220,7 +222,7 @@
 		m.AcceptedDelta,
 		m.Config})
 	if err != nil {
-		return // it comes again
+		return // it is sent again
 	}
 	pending.Value = value
 	r.save(func() {
@@ -234,22 +236,23 @@
 	}
 }
 
-// Drain notes that this process was told to stop: another replica may take its place, and until it has, this
-// one stays a member.
+// Drain records that this process was requested to stop. Another replica may replace it, and until then it
+// stays a member.
 func (r *Replica) Drain(now time.Duration) {
 	r.now, r.draining = now, true
 	r.sendHeartbeats()
 }
 
-// Leave notes that this process is about to end: it gives up its roles, and the others make a view
-// without it at once. It stays a member.
+// Leave records that this process is about to end: it releases its roles, and the other members install a
+// view without it at once. It stays a member.
 func (r *Replica) Leave(now time.Duration) {
 	r.now, r.draining, r.leaving = now, true, true
 	r.releaseAllocatorRole()
 	r.sendHeartbeats()
 }
 
-// HandingOver reports whether this replica is about to be replaced: it drains, and a learner waits.
+// HandingOver reports whether this replica is about to be replaced: it is draining, and a learner is
+// available.
 func (r *Replica) HandingOver() bool {
 	if !r.draining || !r.store.pending.CaughtUp || len(r.store.pending.Members) == 0 {
 		return false
@@ -262,8 +265,8 @@
 	return false
 }
 
-// promotableLearners returns the learners that may become members of themselves: they have caught up, and no
-// operator has removed them.
+// promotableLearners returns the learners that may become members without an operator's request: they have
+// caught up, and no operator has removed them.
 func (c *membershipChanger) promotableLearners() (list []message.Node) {
 	for _, l := range c.learners {
 		if l.caughtUp && !l.removedByOperator {
--- a/internal/controlplane/replica/node_leases.go
+++ b/internal/controlplane/replica/node_leases.go
@@ -9,21 +9,22 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Times of nodes' leases.
+// Timing of node leases.
 const (
 	nodeLeaseDuration = 3 * time.Second // three watches
-	// leaseGatherTime is how long it takes until all have watched again: a request's time, and a response's.
-	leaseGatherTime = 1250 * time.Millisecond
+	// leaseCollectionTime is how long it takes until all nodes have sent another watch: the duration of a
+	// request and of a response.
+	leaseCollectionTime = 1250 * time.Millisecond
 )
 
-// nodeLease is that of a process that watches the control plane.
+// nodeLease is the lease of a process that watches the control plane.
 type nodeLease struct {
-	node          message.Node
-	renewedAt     time.Duration
-	renewedHereAt time.Duration // when it last renewed it at this replica; 0: never
+	node             message.Node
+	renewedAt        time.Duration
+	renewedLocallyAt time.Duration // when it was last renewed at this replica; 0: never
 }
 
-// nodeLeases are those of all processes, as the replicas tell each other.
+// nodeLeases are the leases of all processes, which the replicas report to each other.
 type nodeLeases struct {
 	byAddr   map[string]nodeLease
 	checksum uint64 // of the list of nodes
@@ -31,16 +32,16 @@
 
 func newNodeLeases() nodeLeases { return nodeLeases{byAddr: map[string]nodeLease{}} }
 
-// renew notes that a node's lease was renewed, as long ago as it says; here: at this replica.
-func (l *nodeLeases) renew(now time.Duration, node message.Node, here bool) {
+// renew records that a node's lease was renewed, as long ago as node says; local: at this replica.
+func (l *nodeLeases) renew(now time.Duration, node message.Node, local bool) {
 	renewedAt := now - time.Duration(node.LeaseAge)*time.Millisecond
 	old, known := l.byAddr[node.Addr]
 	if renewedAt < now-nodeLeaseDuration || known && old.renewedAt > renewedAt {
 		return
 	}
-	lease := nodeLease{message.Node{Addr: node.Addr, Zone: node.Zone}, renewedAt, old.renewedHereAt}
-	if here {
-		lease.renewedHereAt = max(lease.renewedHereAt, renewedAt)
+	lease := nodeLease{message.Node{Addr: node.Addr, Zone: node.Zone}, renewedAt, old.renewedLocallyAt}
+	if local {
+		lease.renewedLocallyAt = max(lease.renewedLocallyAt, renewedAt)
 	}
 	l.byAddr[node.Addr] = lease
 	if !known {
@@ -48,7 +49,7 @@
 	}
 }
 
-// expire drops the leases that have run out.
+// expire removes the expired leases.
 func (l *nodeLeases) expire(now time.Duration) {
 	before := len(l.byAddr)
 	maps.DeleteFunc(l.byAddr, func(_ string,
@@ -69,7 +70,7 @@
 	l.checksum = h.Sum64()
 }
 
-// all returns the nodes in an agreed order.
+// all returns the nodes, sorted by address.
 func (l *nodeLeases) all() []message.Node {
 	list := make([]message.Node, 0, len(l.byAddr))
 	for _, lease := range l.byAddr {
@@ -79,30 +80,30 @@
 	return list
 }
 
-// renewedHere returns the nodes that renew their leases at this replica, with how long ago they did.
-func (l *nodeLeases) renewedHere(now time.Duration) (list []message.Node) {
+// renewedLocally returns the nodes whose leases were renewed at this replica, with the age of that renewal.
+func (l *nodeLeases) renewedLocally(now time.Duration) (list []message.Node) {
 	for _, addr := range slices.Sorted(maps.Keys(l.byAddr)) {
 		lease := l.byAddr[addr]
-		if lease.renewedHereAt != 0 && now <= lease.renewedHereAt+nodeLeaseDuration {
+		if lease.renewedLocallyAt != 0 && now <= lease.renewedLocallyAt+nodeLeaseDuration {
 			node := lease.node
-			node.LeaseAge = uint64((now - lease.renewedHereAt).Milliseconds())
+			node.LeaseAge = uint64((now - lease.renewedLocallyAt).Milliseconds())
 			list = append(list, node)
 		}
 	}
 	return list
 }
 
-// leasesGathered reports whether this replica has answered watches for as long as all who watch take to ask
-// again. Before that it knows of too few nodes, and each would take too large a share of a quota: who knows
-// others goes by those, and no lease runs out.
-func (r *Replica) leasesGathered() bool {
-	return r.recentlyServing() && r.now >= r.watchers.servingSince+leaseGatherTime
+// leasesCollected reports whether this replica has answered watches for long enough that all nodes have sent
+// another one. Before that it knows too few nodes, and each of these would use too large a share of a quota:
+// nodes that know a longer list keep it, and no lease expires.
+func (r *Replica) leasesCollected() bool {
+	return r.recentlyServing() && r.now >= r.watchers.servingSince+leaseCollectionTime
 }
 
-// expireNodeLeases drops what has run out.
+// expireNodeLeases removes expired leases, and answered watches that are too old.
 func (r *Replica) expireNodeLeases() {
-	r.watchers.forgetAnswers(r.now)
-	if r.leasesGathered() {
+	r.watchers.expireAnswers(r.now)
+	if r.leasesCollected() {
 		r.nodes.expire(r.now)
 	}
 }
--- a/internal/controlplane/replica/node_leases_test.go
+++ b/internal/controlplane/replica/node_leases_test.go
@@ -7,25 +7,26 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Given leases that are renewed here and elsewhere, when time passes, then each runs out by its last renewal,
-// the checksum follows the list, and only those renewed here are told on.
-func TestNodeLeasesRunOutByTheirLastRenewal(t *testing.T) {
+// Given leases that are renewed at this replica and elsewhere, when time passes, then each expires after its
+// last renewal, the checksum follows the list, and only those renewed at this replica are reported to the
+// others.
+func TestNodeLeasesExpireAfterLastRenewal(t *testing.T) {
 	l := newNodeLeases()
 	empty := l.checksum
 	now := time.Hour
 	l.renew(now, message.Node{Addr: "b", Zone: "z", LeaseAge: 500}, true)
 	l.renew(now, message.Node{Addr: "a"}, false)
 	both := l.checksum
-	// an older word
+	// an older renewal
 	l.renew(now, message.Node{Addr: "a", LeaseAge: 2000}, false)
-	// too old
+	// expired
 	l.renew(now, message.Node{Addr: "old", LeaseAge: uint64(nodeLeaseDuration.Milliseconds()) + 1}, true)
 	if list := l.all(); len(list) != 2 || list[0].Addr != "a" || both == empty || l.checksum != both {
-		t.Fatalf("leases %v, checksum %d, %d before", list, l.checksum, both)
+		t.Fatalf("leases %v, checksum %d, previously %d", list, l.checksum, both)
 	}
-	here := l.renewedHere(now)
+	here := l.renewedLocally(now)
 	if len(here) != 1 || here[0].Addr != "b" || here[0].LeaseAge != 500 {
-		t.Errorf("renewed here: %v", here)
+		t.Errorf("renewed at this replica: %v", here)
 	}
 	for _, c := range []struct {
 		after time.Duration
@@ -36,6 +37,6 @@
 		}
 	}
 	if l.checksum == both {
-		t.Error("the checksum stays though the list changes")
+		t.Error("the checksum is unchanged although the list has changed")
 	}
 }
--- a/internal/controlplane/replica/persistent_state.go
+++ b/internal/controlplane/replica/persistent_state.go
@@ -8,32 +8,32 @@
 	"dunespoke/internal/events"
 )
 
-// PersistentState is what a replica keeps on its disk.
+// PersistentState is what a replica stores on its disk.
 type PersistentState struct {
-	CaughtUp bool   // it has all that was acknowledged, and may vote
-	StoreID  uint64 // of this store, made with it: with the address, it is who this replica is
+	CaughtUp bool   // it has everything that was acknowledged, and may vote
+	StoreID  uint64 // created with the store; identifies the replica, together with its address
 	Members  []message.Node
-	// MembershipEpoch is that of the view that installed the members; 0: the first start did.
+	// MembershipEpoch is the epoch of the view that installed the members; 0: the first start did.
 	MembershipEpoch uint64
-	OutgoingMembers []message.Node // the members before, until the change is known to be complete
-	// RemovedMembers are those that operators have removed last, with the ids that they had. They go with
-	// Members.
+	OutgoingMembers []message.Node // the previous members, until the change is known to be complete
+	// RemovedMembers are the members that operators removed last, with the ids that they had. The list is part
+	// of the membership.
 	RemovedMembers    []message.Node
-	RemovedByOperator bool     // of a replica that was: it is no learner until an operator adds it
+	RemovedByOperator bool     // this replica was removed, and becomes no member until an operator adds it
 	PromisedEpoch     uint64   // nothing below this epoch is accepted
 	Epoch             uint64   // of the view that was installed last
-	Chain             []string // and its replicas
-	// EarlierHolders are the holders of the allocator's role in views before that, to which leases may have
-	// been given that had not run out when the view was installed. HoldersKnown says that there are no
-	// others: an earlier program did not note them.
+	Chain             []string // of that view
+	// EarlierHolders are the replicas that held the role of the rate-limit allocator in earlier views and to
+	// which leases may have been granted that had not expired when the view was installed. HoldersKnown reports
+	// that the list is complete: earlier versions of the program did not store it.
 	EarlierHolders []string
 	HoldersKnown   bool
 	Value
 	Bootstrap BootstrapState // of a seed, at the first start
 }
 
-// electorates returns the memberships of which a majority each has to agree: the outgoing one, too, while a
-// change is not known to be complete.
+// electorates returns the memberships of which a majority each has to agree: the members and, while a change
+// is not known to be complete, the outgoing members.
 func (s *PersistentState) electorates() [][]message.Node {
 	if len(s.OutgoingMembers) > 0 {
 		return [][]message.Node{s.Members, s.OutgoingMembers}
@@ -41,7 +41,7 @@
 	return [][]message.Node{s.Members}
 }
 
-// allMembers returns the members, and the outgoing ones while a change is not known to be complete.
+// allMembers returns the members and, while a change is not known to be complete, the outgoing members.
 func (s *PersistentState) allMembers() []message.Node {
 	list := s.Members
 	for _, m := range s.OutgoingMembers {
@@ -52,39 +52,39 @@
 	return list
 }
 
-// memberList returns what is told of the members.
+// memberList returns the membership in the form in which it is sent to others.
 func (s *PersistentState) memberList() *message.MemberList {
 	return &message.MemberList{Members: s.Members, MembershipEpoch: s.MembershipEpoch,
 		OutgoingMembers: s.OutgoingMembers, RemovedMembers: s.RemovedMembers}
 }
 
-// setMembers takes members as they are told.
+// setMembers sets the membership to a received one.
 func (s *PersistentState) setMembers(list *message.MemberList) {
 	s.Members, s.OutgoingMembers = list.Members, list.OutgoingMembers
 	s.MembershipEpoch, s.RemovedMembers = list.MembershipEpoch, list.RemovedMembers
 }
 
-// Times of the disk.
+// Timing of the disk.
 const (
-	slowSaveThreshold = 900 * time.Millisecond  // a save that takes so long to write makes the disk unhealthy
-	diskRecoveryTime  = 1000 * time.Millisecond // and it is healthy again so long after the last such one
+	slowSaveThreshold = 900 * time.Millisecond  // a longer write makes the disk unhealthy
+	diskRecoveryTime  = 1000 * time.Millisecond // after the last slow or failed write, until it is healthy again
 )
 
-// stateStore is the state as it is on disk, and as it will be once all saves under way are done.
+// stateStore has the state on disk, and the state that will be there once all saves in progress are done.
 type stateStore struct {
 	actions      Actions
 	saved        PersistentState
 	pending      PersistentState
 	saves        []pendingSave
-	writingSince time.Duration // when the first of the saves under way began to be written
-	writeTime    time.Duration // how long the last save that has ended took to write
+	writingSince time.Duration // when the write of the first save in progress began
+	writeTime    time.Duration // of the last completed save
 	lastToken    uint64
 	failing      bool
-	lastSlow     time.Duration // when a save last took too long, or failed
-	versionSince time.Duration // when the version on disk came there
+	lastSlow     time.Duration // when a save last was too slow or failed
+	versionSince time.Duration // when the version on disk was saved
 }
 
-// pendingSave is a save under way.
+// pendingSave is a save in progress.
 type pendingSave struct {
 	token   uint64
 	state   PersistentState
@@ -102,7 +102,7 @@
 	return s
 }
 
-// save writes what is pending, and goes on once that is on disk.
+// save writes the pending state, and calls onSaved once it is on disk; nil means no call.
 func (s *stateStore) save(now time.Duration, onSaved func()) {
 	s.lastToken++
 	if len(s.saves) == 0 {
@@ -112,8 +112,8 @@
 	s.actions.Save(s.lastToken, s.pending)
 }
 
-// handleSaved ends the save that is under way for longest. Of one that failed, what it would have led to does
-// not happen; the state to come keeps it, for the next try.
+// handleSaved completes the oldest save in progress. If it failed, its onSaved is not called, but the pending
+// state keeps the changes for the next attempt.
 func (s *stateStore) handleSaved(now time.Duration, token uint64, ok bool) {
 	if len(s.saves) == 0 || s.saves[0].token != token {
 		return
@@ -121,7 +121,7 @@
 	done := s.saves[0]
 	s.saves = s.saves[1:]
 	s.writeTime = now - s.writingSince
-	s.writingSince = now // the next one waited for this one, and not for the disk
+	s.writingSince = now // the next save was waiting for this one, not for the disk
 	if s.writeTime > slowSaveThreshold {
 		s.lastSlow = now
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-// tick tries a failing disk again.
+// tick retries a write to a failing disk.
 func (s *stateStore) tick(now time.Duration) {
 	if s.failing && len(s.saves) == 0 && now >= s.lastSlow+diskRecoveryTime/2 {
 		s.lastSlow = now
@@ -152,7 +152,7 @@
 	}
 }
 
-// unhealthy reports whether the disk can't be counted on.
+// unhealthy reports whether the disk is failing or slow, or recently was.
 func (s *stateStore) unhealthy(now time.Duration) bool {
 	return s.failing || now < s.lastSlow+diskRecoveryTime ||
 		len(s.saves) > 0 && now > s.writingSince+slowSaveThreshold
--- a/internal/controlplane/replica/quorum.go
+++ b/internal/controlplane/replica/quorum.go
@@ -7,16 +7,16 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// majority is how many of an electorate agree for all.
+// majority returns how many voters of an electorate form a majority.
 func majority[T any](electorate []T) int { return len(electorate)/2 + 1 }
 
-// hasQuorum reports whether those that a condition holds for are a majority of each of some electorates:
-// memberships, or the seeds of a first start.
-func hasQuorum[T any](holds func(voter T) bool, electorates ...[]T) bool {
+// hasQuorum reports whether the voters that agree are a majority of each of the electorates, which are
+// memberships or the seeds of a first start.
+func hasQuorum[T any](agrees func(voter T) bool, electorates ...[]T) bool {
 	for _, electorate := range electorates {
 		votes := 0
 		for _, voter := range electorate {
-			if holds(voter) {
+			if agrees(voter) {
 				votes++
 			}
 		}
@@ -39,33 +39,34 @@
 	})
 }
 
-// membersAt returns the members at some addresses.
+// membersAt returns the members at the given addresses.
 func membersAt(members []message.Node, addrs []string) []message.Node {
 	return slices.DeleteFunc(slices.Clone(members), func(m message.Node) bool {
 		return !slices.Contains(addrs, m.Addr)
 	})
 }
 
-// withoutAddress returns the members but the one at an address.
+// withoutAddress returns the members except the one at an address.
 func withoutAddress(members []message.Node, addr string) []message.Node {
 	return slices.DeleteFunc(slices.Clone(members), func(m message.Node) bool { return m.Addr == addr })
 }
 
-// compareAddress is the agreed order of members.
+// compareAddress defines the order of members on all replicas.
 func compareAddress(a, b message.Node) int { return strings.Compare(a.Addr, b.Addr) }
 
-// epochsPerRound leaves each member epochs of its own, so that no two propose under the same.
+// epochsPerRound is how many epochs a round has, so that each member has its own epoch in each round and no
+// two members propose under the same one.
 const epochsPerRound = 64
 
-// maxProposerID is the most that a member's ProposerID can be.
+// maxProposerID is the maximum of a member's ProposerID.
 const maxProposerID = epochsPerRound - 1
 
-// nextEpoch returns the first epoch of a proposer that is above all rounds up to the given epoch.
+// nextEpoch returns the epoch of a proposer in the first round after the one of the given epoch.
 func nextEpoch(above, proposerID uint64) uint64 {
 	return (above/epochsPerRound+1)*epochsPerRound + proposerID
 }
 
-// withProposerIDs gives members without proposer ids some, by their order.
+// withProposerIDs assigns proposer ids by the order of the members, if none of them has one.
 func withProposerIDs(members []message.Node) []message.Node {
 	if slices.ContainsFunc(members, func(m message.Node) bool { return m.ProposerID != 0 }) {
 		return members
--- a/internal/controlplane/replica/quorum_read.go
+++ b/internal/controlplane/replica/quorum_read.go
@@ -7,18 +7,18 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// confirmationTimeout is how long a quorum is awaited.
+// confirmationTimeout is how long to wait for a quorum.
 const confirmationTimeout = time.Second
 
-// epochConfirmation is a question to a quorum, whether this replica's view is still the newest that can
-// serve.
+// epochConfirmation is a pending request to a quorum to confirm that this replica's view is still the newest
+// one that can serve.
 type epochConfirmation struct {
 	confirmed map[string]bool
 	startedAt time.Duration
 	onQuorum  func()
 }
 
-// epochConfirmations are those that await a quorum.
+// epochConfirmations are the confirmations that have not reached a quorum yet.
 type epochConfirmations struct {
 	pending map[uint64]*epochConfirmation // by request id
 	lastID  uint64
@@ -28,14 +28,14 @@
 	return epochConfirmations{pending: map[uint64]*epochConfirmation{}}
 }
 
-// expire drops those that have waited too long.
+// expire drops the confirmations that have timed out.
 func (c *epochConfirmations) expire(now time.Duration) {
 	maps.DeleteFunc(c.pending, func(_ uint64, q *epochConfirmation) bool {
 		return now > q.startedAt+confirmationTimeout
 	})
 }
 
-// stepRead takes a message of a quorum read.
+// stepRead handles a message of a quorum read.
 func (r *Replica) stepRead(from string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.Read:
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleRead responds from the tail, once a quorum has said that no later view can serve.
+// handleRead answers at the tail once a quorum has confirmed that no later view can serve.
 func (r *Replica) handleRead(from string, m *message.Message, read *message.Read) {
 	position := r.chainPosition()
 	if position < 0 || position != len(r.chain)-1 || len(r.confirmations.pending) >= maxProposals {
@@ -55,7 +55,7 @@
 		return
 	}
 	r.confirmEpoch(func() {
-		if r.store.saved.Version != r.committed { // it is being handed down
+		if r.store.saved.Version != r.committed { // a newer version is being replicated
 			return
 		}
 		result := &message.ReadResult{Version: r.committed, OK: true}
@@ -66,8 +66,8 @@
 	})
 }
 
-// confirmEpoch asks the other members whether this replica's view is the newest that can serve, and goes on
-// once a quorum has said so. Without a quorum nothing comes of it.
+// confirmEpoch asks the other members to confirm that this replica's view is the newest one that can serve,
+// and calls onQuorum once a quorum has confirmed it. Without a quorum, onQuorum is never called.
 func (r *Replica) confirmEpoch(onQuorum func()) {
 	r.confirmations.lastID++
 	id := r.confirmations.lastID
@@ -83,24 +83,24 @@
 		&message.EpochConfirmed{Epoch: r.epoch, OK: r.store.pending.PromisedEpoch == r.epoch})
 }
 
-// handleConfirmEpoch answers not what this replica serves, but what it has promised: no later view can serve
-// unless a quorum has promised its epoch.
-func (r *Replica) handleConfirmEpoch(from string, m *message.Message, ask *message.ConfirmEpoch) {
-	ok := r.store.saved.CaughtUp && r.store.pending.CaughtUp && r.store.pending.PromisedEpoch == ask.Epoch
-	r.reply(from, m, &message.EpochConfirmed{Epoch: ask.Epoch, OK: ok})
+// handleConfirmEpoch confirms an epoch if it is the last one that this replica has promised. Which view the
+// replica serves is irrelevant: no later view can serve unless a quorum has promised its epoch.
+func (r *Replica) handleConfirmEpoch(from string, m *message.Message, request *message.ConfirmEpoch) {
+	ok := r.store.saved.CaughtUp && r.store.pending.CaughtUp && r.store.pending.PromisedEpoch == request.Epoch
+	r.reply(from, m, &message.EpochConfirmed{Epoch: request.Epoch, OK: ok})
 }
 
 func (r *Replica) handleEpochConfirmed(from string, id uint64, answer *message.EpochConfirmed) {
-	question := r.confirmations.pending[id]
-	if question == nil || !answer.OK || answer.Epoch != r.epoch || !r.isMemberAddress(from) ||
+	confirmation := r.confirmations.pending[id]
+	if confirmation == nil || !answer.OK || answer.Epoch != r.epoch || !r.isMemberAddress(from) ||
 		r.state != StateServing {
 		return
 	}
-	question.confirmed[from] = true
-	confirmed := func(m message.Node) bool { return question.confirmed[m.Addr] && r.isPresent(m) }
+	confirmation.confirmed[from] = true
+	confirmed := func(m message.Node) bool { return confirmation.confirmed[m.Addr] && r.isPresent(m) }
 	if !hasQuorum(confirmed, r.store.pending.electorates()...) {
 		return
 	}
 	delete(r.confirmations.pending, id)
-	question.onQuorum()
+	confirmation.onQuorum()
 }
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -1,16 +1,16 @@
-// Package replica is the control state that the machines with a disk hold together. The replicas form a
-// chain: a configuration is proposed at the head, handed down, and committed once it is on the tail's disk.
-// Which replicas form the chain, and in which order, is a view under an epoch that a majority agrees on, one
-// view at a time. There is no log and no leader.
+// Package replica implements the replicated state of the control plane, which is stored on the machines that
+// have a disk. The replicas form a chain: a configuration is proposed at the head, replicated down the chain
+// and committed once it is on the tail's disk. A view defines which replicas form the chain, and in which
+// order. A majority agrees on each view and its epoch, one view at a time. There is no log and no leader.
 //
-// A Replica knows no sockets, disks or clocks. The caller drives it: Step for a message, HandleSaved for a
-// save that has ended, Tick every 50 ms or so, each with the time of a clock that never goes back. It acts
-// through Actions. Its methods must not be called concurrently.
+// A Replica uses no sockets, disks or clocks. The caller drives it: it calls Step for each message,
+// HandleSaved for each completed save and Tick about every 50 ms, each with the time of a monotonic clock.
+// The Replica acts through Actions. Its methods must not be called concurrently.
 //
-// Each concern is a type with its own state, in a file of its own: stateStore (what is on disk),
+// Each component is a type with its own state in its own file: stateStore (the state on disk),
 // failureDetector, viewChanger, replication (the chain), epochConfirmations (quorum reads),
 // membershipChanger, Bootstrapper, watchers, nodeLeases, endpointTable, snapshotCache, allocatorLease and
-// toleranceMonitor. This file joins them.
+// toleranceMonitor. This file combines them.
 package replica
 
 import (
@@ -20,47 +20,46 @@
 	"dunespoke/internal/events"
 )
 
-// Actions are what a Replica does. They must not call it back.
+// Actions are the side effects of a Replica. They must not call the Replica.
 type Actions interface {
-	// Send sends a message, or loses it.
+	// Send sends a message, which may be lost.
 	Send(to string, m *message.Message)
-	// Save writes a state and syncs it, and then calls HandleSaved with the token. Saves are done in order.
+	// Save writes and syncs a state, and then calls HandleSaved with the token. Saves complete in order.
 	Save(token uint64, state PersistentState)
-	// Log writes an event.
+	// Log logs an event with key-value pairs.
 	Log(e events.Event, pairs ...any)
 }
 
-// State is what a Replica is in.
+// State is the state of a Replica.
 type State int
 
 // The states of a Replica.
 const (
-	StateUninitialized State = iota // it is no member, or has lost its disk: it waits for bootstrap or repair
-	StateStandby                    // it is a member, and in no view that serves
-	StateProposing                  // it has asked for promises of a view
-	StateInstalling                 // it has handed out a view
-	StateServing                    // it is in the view that serves
+	StateUninitialized State = iota // not a member, or has lost its disk: waits for bootstrap or repair
+	StateStandby                    // a member, but not in a serving view
+	StateProposing                  // has requested promises for a view
+	StateInstalling                 // has sent a view to its replicas
+	StateServing                    // in the serving view
 )
 
 func (s State) String() string {
 	return [...]string{"uninitialized", "standby", "proposing", "installing", "serving"}[s]
 }
 
-// Options are what New needs.
+// Options are the options of New.
 type Options struct {
 	Self      message.Node
 	Tolerance FaultTolerance
-	// ReplaceAfter is for how long a member must be silent before another replica takes its place; 0: two
-	// seconds.
+	// ReplaceAfter is how long a member must be silent before another replica replaces it; 0 means two seconds.
 	ReplaceAfter time.Duration
-	Incarnation  uint64 // of the process: a store that is made in it gets it as its id
+	Incarnation  uint64 // of the process; becomes the id of a store that it creates
 	FirstStart   bool   // the whole system starts for the first time
 	Seeds        []string
-	Saved        PersistentState // as found on disk; the zero value where nothing was
+	Saved        PersistentState // as found on disk; the zero value if there was nothing
 	Actions      Actions
 }
 
-// Replica is one machine's part of the core.
+// Replica is the part of the core on one machine.
 type Replica struct {
 	options   Options
 	self      string
@@ -70,12 +69,12 @@
 
 	state      State
 	stateSince time.Duration
-	epoch      uint64   // of the view that serves, as far as known
-	chain      []string // and its replicas; nil: not known
-	committed  uint64   // the version that can't be lost any more
-	quorumSeen bool     // a quorum has been in touch in this view
-	draining   bool     // this process was told to stop
-	leaving    bool     // and is about to end: the others are to do without it
+	epoch      uint64   // of the serving view, as far as known
+	chain      []string // of that view; nil: not known
+	committed  uint64   // the highest version that can't be lost any more
+	quorumSeen bool     // a quorum has been in contact in this view
+	draining   bool     // this process was requested to stop
+	leaving    bool     // this process is about to end: the others need a view without it
 
 	store         stateStore
 	peers         failureDetector
@@ -92,7 +91,7 @@
 	monitor       toleranceMonitor
 }
 
-// New returns a Replica.
+// New returns a Replica that starts at the time now.
 func New(now time.Duration, options Options) *Replica {
 	found := options.Saved
 	r := &Replica{
@@ -107,7 +106,7 @@
 		watchers:      newWatchers(),
 		nodes:         newNodeLeases(),
 		monitor:       toleranceMonitor{tolerated: options.Tolerance.isZero()},
-		allocator:     allocatorLease{inherited: inheritedLeaseHolders(options.Self.Addr, &found)},
+		allocator:     allocatorLease{inheritedHolders: inheritedLeaseHolders(options.Self.Addr, &found)},
 	}
 	r.ensureStoreID()
 	if found.CaughtUp {
@@ -121,7 +120,7 @@
 	return r
 }
 
-// transition is the one place where the state changes.
+// transition changes the state. The state changes nowhere else.
 func (r *Replica) transition(to State) {
 	if to == r.state && r.now == r.stateSince {
 		return
@@ -138,11 +137,11 @@
 	}
 	if to != StateServing {
 		r.quorumSeen = false
-		r.replication.suspend()
+		r.replication.resetReplicating()
 	}
 }
 
-// Step takes a message.
+// Step handles a message.
 func (r *Replica) Step(now time.Duration, from string, m *message.Message) {
 	r.now = now
 	switch body := m.Body.(type) {
@@ -165,7 +164,7 @@
 	}
 }
 
-// Tick does what is due. It is to be called every 50 ms or so.
+// Tick runs the actions that are due. It has to be called about every 50 ms.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = now
 	r.store.tick(now)
@@ -179,46 +178,46 @@
 	r.answerDueWatchers()
 }
 
-// HandleSaved tells that a save has ended, and whether the state is on disk.
+// HandleSaved handles the end of a save; ok reports whether the state is on disk.
 func (r *Replica) HandleSaved(now time.Duration, token uint64, ok bool) {
 	r.now = now
 	r.store.handleSaved(now, token, ok)
 }
 
-// SaveBootstrap saves what a Bootstrapper is to keep, and goes on once that is on disk.
+// SaveBootstrap saves the state of a Bootstrapper, and calls onSaved once it is on disk.
 func (r *Replica) SaveBootstrap(now time.Duration, state BootstrapState, onSaved func()) {
 	r.now = now
 	r.store.pending.Bootstrap = state
 	r.save(onSaved)
 }
 
-// State returns what the replica is in.
+// State returns the state of the replica.
 func (r *Replica) State() State { return r.state }
 
-// PersistentState returns what is on disk.
+// PersistentState returns the state on disk.
 func (r *Replica) PersistentState() PersistentState { return r.store.saved }
 
-// Bootstrap returns what is kept of the first start.
+// Bootstrap returns the stored state of the first start, including saves in progress.
 func (r *Replica) Bootstrap() BootstrapState { return r.store.pending.Bootstrap }
 
-// View returns the epoch and the chain that serve, as far as known.
+// View returns the epoch and the chain of the serving view, as far as known.
 func (r *Replica) View() (epoch uint64, chain []string) { return r.epoch, r.chain }
 
-// MemberList returns what this replica tells of the members of the core.
+// MemberList returns the membership that this replica reports to others.
 func (r *Replica) MemberList() *message.MemberList { return r.store.saved.memberList() }
 
-// DiskUnhealthy reports whether the disk can't be counted on.
+// DiskUnhealthy reports whether the disk is failing or slow, or recently was.
 func (r *Replica) DiskUnhealthy() bool { return r.store.unhealthy(r.now) }
 
-// IsUninitialized reports whether this replica is no member of the core, and would be one.
+// IsUninitialized reports whether this replica is not a member of the core and can become one.
 func (r *Replica) IsUninitialized() bool {
 	return r.state == StateUninitialized && !r.draining && r.store.saved.StoreID != 0 &&
 		r.store.saved.StoreID == r.store.pending.StoreID
 }
 
-// ServingWithQuorum reports whether this replica serves, and a quorum was with it a moment ago: since any
-// later view needs the promises of a quorum, none served before then, and what this one tells is no older
-// than contactTimeout.
+// ServingWithQuorum reports whether this replica serves and has recently been in contact with a quorum. Any
+// later view needs promises from a quorum, so none served before that contact, and what this replica reports
+// is at most contactTimeout old.
 func (r *Replica) ServingWithQuorum() bool {
 	if r.state != StateServing {
 		return false
@@ -238,11 +237,11 @@
 	r.options.Actions.Send(to, request.Reply(body))
 }
 
-// save writes what is pending, and goes on once that is on disk.
+// save writes the pending state, and calls onSaved once it is on disk.
 func (r *Replica) save(onSaved func()) { r.store.save(r.now, onSaved) }
 
-// ensureStoreID gives a store that has just been made its id. That of an earlier program goes by the one that
-// it has among its members.
+// ensureStoreID assigns an id to a store that was just created. A store of an earlier version of the program,
+// which stored no id of its own, keeps the id that it has in the list of members.
 func (r *Replica) ensureStoreID() {
 	saved, pending := &r.store.saved, &r.store.pending
 	if saved.StoreID != 0 {
@@ -261,12 +260,12 @@
 	r.save(nil)
 }
 
-// selfMember is this replica with its present store.
+// selfMember returns this replica as a member with its current store.
 func (r *Replica) selfMember() message.Node {
 	return message.Node{Addr: r.self, Zone: r.options.Self.Zone, StoreID: r.store.pending.StoreID}
 }
 
-// isPresent reports whether the replica that is heard at a member's address, or this one, is that member.
+// isPresent reports whether the replica at a member's address, or this one, is that member: it has its store.
 func (r *Replica) isPresent(m message.Node) bool {
 	if m.Addr == r.self {
 		return m.StoreID == r.store.saved.StoreID
@@ -275,12 +274,13 @@
 	return p != nil && p.storeID == m.StoreID
 }
 
-// isMemberAddress reports whether an address is a member's, or was before a change that is not complete.
+// isMemberAddress reports whether there is a member at an address, or an outgoing member of an incomplete
+// change.
 func (r *Replica) isMemberAddress(addr string) bool {
 	return hasAddress(r.store.saved.Members, addr) || hasAddress(r.store.saved.OutgoingMembers, addr)
 }
 
-// isLive reports whether a member is heard, and can hold what it is given.
+// isLive reports whether a member is heard and healthy.
 func (r *Replica) isLive(addr string) bool {
 	if addr == r.self {
 		return !r.DiskUnhealthy() && !r.leaving
@@ -289,7 +289,7 @@
 	return p != nil && p.heard(r.now) && !p.unhealthy
 }
 
-// canVote reports whether a member is heard, and has a vote.
+// canVote reports whether a member is live and has a vote.
 func (r *Replica) canVote(m message.Node) bool {
 	if !r.isPresent(m) || !r.isLive(m.Addr) {
 		return false
--- a/internal/controlplane/replica/snapshot.go
+++ b/internal/controlplane/replica/snapshot.go
@@ -10,29 +10,30 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// What is long is told as a snapshot, in chunks that are asked for one after the other, so that no response
-// takes long, and none of a chunk that came late is sent again.
+// Long resources are sent as snapshots, in chunks that the watcher requests one after the other, so that each
+// response is short and no chunk that was received has to be sent again.
 
 const (
-	maxInlineSize = 4 << 10 // bytes: a resource up to this long is told whole in each response
-	// bytes of all responses on their way: it is shared by those who ask for chunks
+	maxInlineSize = 4 << 10 // bytes: a resource up to this length is sent completely in each response
+	// bytes of all responses in flight, which the readers of chunks share
 	totalChunkBudget  = 16 << 20
-	snapshotRetention = 3 * time.Second // after it was last asked for
-	// maxSnapshotBytes bounds what is kept encoded of all snapshots. It holds one of the longest
-	// configuration and list there may be; with many changes of a long configuration the least recently
-	// used go first, and a transfer of one that is gone goes on as soon as it is made again.
+	snapshotRetention = 3 * time.Second // after the last request for it
+	// maxSnapshotBytes bounds the encoded size of all cached snapshots. It is sufficient for one configuration
+	// and one endpoint list of maximum length. If a long configuration changes often, the least recently used
+	// snapshots are evicted first; a transfer of an evicted snapshot continues once it has been encoded again.
 	maxSnapshotBytes = message.MaxFrameSize
-	readerRetention  = time.Second // for which who asked for a chunk counts as asking
+	readerRetention  = time.Second // how long a watcher counts as a reader after its last chunk
 )
 
-// snapshotKey names what a snapshot was made of: an endpoint list by epoch and sequence, a configuration by
-// its version and that of its base, the nodes by their checksum.
+// snapshotKey identifies the content of a snapshot: the epoch and sequence of an endpoint list, the version
+// of a configuration and that of its base, or the checksum of the list of nodes.
 type snapshotKey struct {
 	resource message.Resource
 	version  [2]uint64
 }
 
-// before is an agreed order of keys, so that a simulation repeats by its seed.
+// before defines an order of keys that doesn't depend on map iteration, so that a simulation is reproducible
+// from its seed.
 func (k snapshotKey) before(other snapshotKey) bool {
 	return cmp.Or(cmp.Compare(k.resource, other.resource), slices.Compare(k.version[:], other.version[:])) < 0
 }
@@ -49,43 +50,46 @@
 	return snapshotKey{message.ResourceConfig, [2]uint64{version, base}}
 }
 
-// snapshot is a resource as it is told, encoded once for all who lack the same.
+// snapshot is a resource as it is sent, encoded once for all watchers that need the same.
 type snapshot struct {
-	resource *message.WatchResponse // with one resource
+	resource *message.WatchResponse // with exactly one resource
 	data     []byte
 	checksum uint64
 	lastUsed time.Duration
 }
 
-// chunkFrom is the chunk of a snapshot that goes on where a transfer is, no longer than the budget in bytes.
-func (s *snapshot) chunkFrom(held *message.SnapshotChunk, key snapshotKey, budget int) message.SnapshotChunk {
+// nextChunk returns the chunk that continues a watcher's transfer of the snapshot, or the first chunk. Its
+// data is at most budget bytes long.
+func (s *snapshot) nextChunk(
+	received *message.SnapshotChunk, key snapshotKey, budget int,
+) message.SnapshotChunk {
 	chunk := message.SnapshotChunk{Resource: key.resource, Checksum: s.checksum, TotalSize: uint64(len(s.data))}
 	if key.resource == message.ResourceConfig {
 		chunk.Version, chunk.BaseVersion = key.version[0], key.version[1]
 	}
-	if held != nil && held.Checksum == s.checksum {
-		chunk.Offset = min(held.Offset, chunk.TotalSize)
+	if received != nil && received.Checksum == s.checksum {
+		chunk.Offset = min(received.Offset, chunk.TotalSize)
 	}
 	chunk.Data = s.data[chunk.Offset:min(chunk.TotalSize, chunk.Offset+uint64(budget))]
 	return chunk
 }
 
-// snapshotCache is the snapshots that are being told, and to whom.
+// snapshotCache caches the snapshots that are being sent, and tracks who reads them.
 type snapshotCache struct {
 	byKey   map[snapshotKey]*snapshot
-	bytes   int                      // of all of them, encoded
-	readers map[string]time.Duration // when somebody last asked for a chunk
+	bytes   int                      // encoded size of all snapshots
+	readers map[string]time.Duration // when each watcher was last sent a chunk
 }
 
-// get returns the snapshot of a key, which is made if there is none.
+// get returns the snapshot of a key, and builds it if it isn't cached.
 func (c *snapshotCache) get(now time.Duration, key snapshotKey,
-	tell func() *message.WatchResponse) *snapshot {
+	build func() *message.WatchResponse) *snapshot {
 	s := c.byKey[key]
 	if s == nil {
 		if c.byKey == nil {
 			c.byKey, c.readers = map[snapshotKey]*snapshot{}, map[string]time.Duration{}
 		}
-		s = &snapshot{resource: tell()}
+		s = &snapshot{resource: build()}
 		s.data = message.MarshalAppend(nil, s.resource)
 		s.checksum = message.Checksum(s.data)
 		c.byKey[key] = s
@@ -96,8 +100,8 @@
 	return s
 }
 
-// evict drops the snapshots that were used least recently, but for the one in use, until the rest is
-// within the bound.
+// evict removes the least recently used snapshots, except the one in use, until the total size is within the
+// bound.
 func (c *snapshotCache) evict(inUse *snapshot) {
 	for c.bytes > maxSnapshotBytes && len(c.byKey) > 1 {
 		var oldest snapshotKey
@@ -116,7 +120,7 @@
 	delete(c.byKey, key)
 }
 
-// expire drops what nobody asks for any more.
+// expire removes the snapshots and readers that have not been active recently.
 func (c *snapshotCache) expire(now time.Duration) {
 	for key, s := range c.byKey {
 		if now > s.lastUsed+snapshotRetention {
@@ -126,9 +130,9 @@
 	maps.DeleteFunc(c.readers, func(_ string, at time.Duration) bool { return now > at+readerRetention })
 }
 
-// budget is how many bytes of snapshots the response to a watch may bring: what it asks for, and no more than
-// its share of all that may be on its way. The bound is what admission control would be: nobody is turned
-// away, and all get less.
+// budget returns how many bytes of chunks the response to a watch may contain: the requested number, limited
+// to the watcher's share of the total. The limit is used in place of admission control: no reader is
+// rejected, but each gets less.
 func (c *snapshotCache) budget(watch *message.Watch) int {
 	budget := uint64(message.InitialChunkBudget)
 	if watch.ChunkBudget != 0 {
@@ -138,7 +142,7 @@
 	return int(min(budget, uint64(share)))
 }
 
-// responseBuilder puts resources into a response, within its budget.
+// responseBuilder adds resources to a response, within its budget in bytes.
 type responseBuilder struct {
 	replica  *Replica
 	to       string
@@ -147,60 +151,62 @@
 	budget   int
 }
 
-// add puts a resource into the response: whole where it is short, else its next chunk.
+// add adds a resource to the response: completely if it is short, or else its next chunk.
 func (b *responseBuilder) add(s *snapshot, key snapshotKey, stale bool) {
 	if len(s.data) <= maxInlineSize && !stale {
 		mergeResource(b.response, s.resource)
 		return
 	}
-	chunk := s.chunkFrom(findChunk(b.watch.Chunks, key.resource), key, b.budget)
+	chunk := s.nextChunk(findChunk(b.watch.Chunks, key.resource), key, b.budget)
 	chunk.Stale = stale
 	b.budget -= len(chunk.Data)
 	b.response.Chunks = append(b.response.Chunks, chunk)
 	b.replica.snapshots.readers[b.to] = b.replica.now
 }
 
-// appendResources puts into a response what the watcher lacks, and reports whether that is new for it.
+// appendResources adds to a response the resources that the watcher lacks, and reports whether the response
+// has any update that must be sent now.
 func (r *Replica) appendResources(to string, watch *message.Watch,
-	response *message.WatchResponse) (isNew bool) {
+	response *message.WatchResponse) (hasUpdates bool) {
 	b := &responseBuilder{r, to, watch, response, r.snapshots.budget(watch)}
-	// What is on this disk and not committed yet is not told.
+	// A version that is on this disk but not committed yet is not sent.
 	if r.history.newest() == r.committed && r.committed > watch.Version {
 		s, key, stale := r.configSnapshot(watch)
 		b.add(s, key, stale)
-		isNew = true
+		hasUpdates = true
 	}
 	switch list := &r.endpoints.list; {
 	case list.Epoch == 0 || !list.Newer(watch.Endpoints):
-	case r.endpoints.sameAs(watch):
-		response.SameEndpoints = r.endpoints.version() // as after each change of the view: it was read anew
-		isNew = true
+	case r.endpoints.hasSameContent(watch):
+		response.SameEndpoints = r.endpoints.version() // the list was read again, as in each view
+		hasUpdates = true
 	default:
 		key := endpointsKey(list)
 		b.add(r.snapshots.get(r.now, key, func() *message.WatchResponse {
-			told := *list // not the replica's own, which changes: this process watches, too
-			return &message.WatchResponse{Endpoints: &told}
+			listCopy := *list // not the replica's own list, which changes: a watcher may be in this process
+			return &message.WatchResponse{Endpoints: &listCopy}
 		}), key, false)
-		isNew = true
+		hasUpdates = true
 	}
 	if checksum := r.nodes.checksum; checksum != watch.NodesChecksum &&
-		(watch.NodesChecksum == 0 || r.leasesGathered()) {
+		(watch.NodesChecksum == 0 || r.leasesCollected()) {
 		key := nodesKey(checksum)
 		b.add(r.snapshots.get(r.now, key, func() *message.WatchResponse {
 			return &message.WatchResponse{Nodes: r.nodes.all(), NodesChecksum: checksum}
 		}), key, false)
 	}
-	return isNew || len(watch.Chunks) > 0 && len(response.Chunks) > 0
+	return hasUpdates || len(watch.Chunks) > 0 && len(response.Chunks) > 0
 }
 
-// configSnapshot is the snapshot of a configuration that a watcher is to get. One that it has begun with goes
-// on while the newest can be told as a delta over that: otherwise who has a slow link would begin anew with
-// each change, and never come to an end.
+// configSnapshot returns the snapshot of a configuration for a watcher. A transfer that has begun continues
+// with the older version while the newest one can be sent as a delta to it. Otherwise a watcher with a slow
+// link would restart with each change and never finish. stale reports that the version is not the newest.
 func (r *Replica) configSnapshot(watch *message.Watch) (s *snapshot, key snapshotKey, stale bool) {
-	held := findChunk(watch.Chunks, message.ResourceConfig)
-	if held != nil && held.Version > max(watch.Version, watch.BaseVersion) && r.mayContinue(held, watch) {
-		if s, key = r.deltaSnapshot(held.Version, held.BaseVersion); s.checksum == held.Checksum {
-			return s, key, held.Version != r.committed
+	received := findChunk(watch.Chunks, message.ResourceConfig)
+	if received != nil && received.Version > max(watch.Version, watch.BaseVersion) &&
+		r.canContinueTransfer(received, watch) {
+		if s, key = r.deltaSnapshot(received.Version, received.BaseVersion); s.checksum == received.Checksum {
+			return s, key, received.Version != r.committed
 		}
 	}
 	base := watch.Version
@@ -214,21 +220,20 @@
 	return s, key, false
 }
 
-// mayContinue reports whether a transfer of a configuration can go on: it is kept, and so is its base, which
-// the watcher has.
-func (r *Replica) mayContinue(held *message.SnapshotChunk, watch *message.Watch) bool {
-	if !r.history.contains(held.Version) {
+// canContinueTransfer reports whether a transfer of a configuration can continue: the configuration is kept,
+// and so is its base, which the watcher still has.
+func (r *Replica) canContinueTransfer(received *message.SnapshotChunk, watch *message.Watch) bool {
+	if !r.history.contains(received.Version) {
 		return false
 	}
-	if held.BaseVersion == 0 {
+	if received.BaseVersion == 0 {
 		return true
 	}
-	return r.history.contains(held.BaseVersion) &&
-		(held.BaseVersion == watch.Version || held.BaseVersion == watch.BaseVersion)
+	return r.history.contains(received.BaseVersion) &&
+		(received.BaseVersion == watch.Version || received.BaseVersion == watch.BaseVersion)
 }
 
-// deltaSnapshot is the snapshot of one of the configurations that are kept, as a delta over another; base 0:
-// in full.
+// deltaSnapshot returns the snapshot of a kept configuration as a delta to another one; base 0 means in full.
 func (r *Replica) deltaSnapshot(version, base uint64) (*snapshot, snapshotKey) {
 	key := configKey(version, base)
 	return r.snapshots.get(r.now, key, func() *message.WatchResponse {
@@ -237,7 +242,7 @@
 	}), key
 }
 
-// mergeResource puts a whole resource into a response.
+// mergeResource adds a complete resource to a response.
 func mergeResource(response, resource *message.WatchResponse) {
 	switch {
 	case resource.Config != nil:
@@ -249,7 +254,7 @@
 	}
 }
 
-// findChunk returns the chunk of a resource; nil: there is none.
+// findChunk returns the chunk of a resource, or nil if there is none.
 func findChunk(chunks []message.SnapshotChunk, resource message.Resource) *message.SnapshotChunk {
 	i := slices.IndexFunc(chunks, func(c message.SnapshotChunk) bool { return c.Resource == resource })
 	if i < 0 {
--- a/internal/controlplane/replica/tolerance_monitor.go
+++ b/internal/controlplane/replica/tolerance_monitor.go
@@ -8,37 +8,39 @@
 	"dunespoke/internal/events"
 )
 
-// gapReportDelay is for how long the members can't tolerate what survive names, were they all healthy, before
-// it is logged.
+// gapReportDelay is how long the members must be unable to provide the required fault tolerance, even if all
+// were healthy, before that is logged.
 const gapReportDelay = 30 * time.Second
 
-// toleranceMonitor notes what was logged of the fault tolerance.
+// toleranceMonitor tracks the fault tolerance and what has been logged about it.
 type toleranceMonitor struct {
-	tolerated     bool          // what may be lost at once could be when last looked
-	impossible    time.Duration // since when the members can't, were they all healthy; 0: they can
-	impossibleLog bool          // and that was logged
+	tolerated        bool          // the required failures could be tolerated at the last check
+	impossibleSince  time.Duration // since when all members together can't tolerate them; 0: they can
+	impossibleLogged bool          // the event has been logged
 }
 
-// ToleratedFailures is how many members may be lost now with nothing lost and a view that serves again; 0 on
-// a replica that does not know that a view serves. A repair has ended once it is what is to be tolerated.
+// ToleratedFailures returns how many members may fail now without data loss, so that a view can serve again.
+// It is 0 on a replica that doesn't know that a view serves. A repair is complete once it equals the required
+// number.
 func (r *Replica) ToleratedFailures() int {
 	return r.tolerance.toleratedFailures(r.healthyMembers(), r.store.saved.Members)
 }
 
-// ToleranceGap tells why not all that may be lost at once can be now, by machines, zones and regions; empty:
-// it can.
+// ToleranceGap explains why the required failures of machines, zones and regions can't all be tolerated now;
+// it is empty if they can.
 func (r *Replica) ToleranceGap() string {
 	if r.tolerance.isZero() {
 		return ""
 	}
 	if !r.ServingWithQuorum() || len(r.store.saved.OutgoingMembers) > 0 {
-		return "no view serves here, or its members are changing"
+		return "no view is serving here, or its membership is changing"
 	}
 	return r.tolerance.gap(r.healthyMembers(), r.store.saved.Members)
 }
 
-// healthyMembers returns the members of the view that can be counted on: heard, caught up, serving in it,
-// with the last membership change noted as complete; none on a replica that does not know that a view serves.
+// healthyMembers returns the healthy members of the serving view: heard, caught up, serving in it, and with
+// the last membership change recorded as complete. It returns none on a replica that doesn't know that a view
+// serves.
 func (r *Replica) healthyMembers() []message.Node {
 	saved := &r.store.saved
 	if !r.ServingWithQuorum() || len(saved.OutgoingMembers) > 0 {
@@ -49,7 +51,7 @@
 	})
 }
 
-// isHealthy reports whether a member can be counted on in the view.
+// isHealthy reports whether a member of the view is healthy.
 func (r *Replica) isHealthy(addr string) bool {
 	if addr == r.self && !r.DiskUnhealthy() {
 		return true
@@ -59,23 +61,23 @@
 		p.membershipEpoch == r.store.saved.MembershipEpoch
 }
 
-// monitorTolerance logs when what is to be tolerated can be again, and when not; and once when it never can
-// be, by the members that there are.
+// monitorTolerance logs when the required fault tolerance is lost or restored, and once if the current
+// members can never provide it.
 func (r *Replica) monitorTolerance() {
-	gap, was := r.ToleranceGap(), r.monitor.tolerated
+	gap, wasTolerated := r.ToleranceGap(), r.monitor.tolerated
 	r.monitor.tolerated = gap == ""
 	switch {
-	case r.monitor.tolerated && !was:
+	case r.monitor.tolerated && !wasTolerated:
 		r.log(events.ToleranceRestored, "tolerated", r.ToleratedFailures(), "epoch", r.epoch,
 			"members", len(r.store.saved.Members))
-	case !r.monitor.tolerated && was:
+	case !r.monitor.tolerated && wasTolerated:
 		r.log(events.ToleranceLost, "tolerated", r.ToleratedFailures(), "epoch", r.epoch, "why", gap)
 	}
 	r.reportImpossible()
 }
 
-// reportImpossible logs once that the members can't tolerate what the settings name, where no learner changes
-// that for a while.
+// reportImpossible logs once that the members can't provide the required fault tolerance even if all are
+// healthy, if that has lasted for gapReportDelay without a learner that changes it.
 func (r *Replica) reportImpossible() {
 	members := r.store.saved.Members
 	gap := ""
@@ -85,15 +87,15 @@
 	monitor := &r.monitor
 	switch {
 	case gap == "":
-		monitor.impossible, monitor.impossibleLog = 0, false
-	case monitor.impossibleLog:
-	// who is first only for a moment, or alone, can't tell
+		monitor.impossibleSince, monitor.impossibleLogged = 0, false
+	case monitor.impossibleLogged:
+	// a replica that is the proposer only briefly, or is isolated, can't judge this
 	case r.proposer() != r.self || !r.ServingWithQuorum():
-		monitor.impossible = 0
-	case monitor.impossible == 0:
-		monitor.impossible = r.now
-	case r.now >= monitor.impossible+gapReportDelay:
-		monitor.impossibleLog = true
+		monitor.impossibleSince = 0
+	case monitor.impossibleSince == 0:
+		monitor.impossibleSince = r.now
+	case r.now >= monitor.impossibleSince+gapReportDelay:
+		monitor.impossibleLogged = true
 		r.log(events.ToleranceImpossible, "why", gap, "members", len(members))
 	}
 }
--- a/internal/controlplane/replica/value.go
+++ b/internal/controlplane/replica/value.go
@@ -7,34 +7,35 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// minAcceptedVersions is how many accepted versions are remembered at the least, with the digest of what
-// stands under each: an order that is sent again is told apart from another one under its version. Of older
-// ones nothing is known any more, and they are acknowledged as all that is not above the version held.
+// minAcceptedVersions is the minimum number of accepted versions that are remembered, each with the digest of
+// its content. The digest distinguishes a repeated proposal from a different one with the same version.
+// Proposals of older, forgotten versions are acknowledged like all that are not above the current version.
 const minAcceptedVersions = 512
 
-// Value is what the core keeps for its operators: one configuration, and what is known of earlier ones.
+// Value is the replicated value: one configuration, and the digests of earlier ones.
 type Value struct {
-	// AcceptedEpoch is the epoch under which it was accepted: what is newest is told by it before the version.
+	// AcceptedEpoch is the epoch in which the value was accepted. It takes precedence over the version when
+	// values are compared.
 	AcceptedEpoch uint64
 	Version       uint64
 	Config        []byte
-	// AcceptedVersions are the last ones, the configuration's own among them, in rising order.
+	// AcceptedVersions are the last accepted versions, including the configuration's own, in ascending order.
 	AcceptedVersions []message.AcceptedVersion
 }
 
-// newerThan reports whether a value was accepted after another, by epoch and then by version: a version alone
-// says nothing, since two replicas may have accepted different contents under it, of which one was left
-// behind.
+// newerThan reports whether a value was accepted later than another one, by epoch and then by version. A
+// version alone is not sufficient: two replicas may have accepted different contents under it, of which one
+// was abandoned.
 func (v *Value) newerThan(acceptedEpoch, version uint64) bool {
 	return cmp.Or(cmp.Compare(v.AcceptedEpoch, acceptedEpoch), cmp.Compare(v.Version, version)) > 0
 }
 
-// configVersion is the configuration with its version.
+// configVersion returns the configuration with its version.
 func (v *Value) configVersion() message.ConfigVersion {
 	return message.ConfigVersion{Version: v.Version, Config: v.Config}
 }
 
-// digestOf returns the digest of the content of a version, if one is remembered.
+// digestOf returns the digest of the content of a version, if it is remembered.
 func (v *Value) digestOf(version uint64) (digest message.Digest, known bool) {
 	i, known := slices.BinarySearchFunc(v.AcceptedVersions, version, compareVersion)
 	if known {
@@ -43,7 +44,7 @@
 	return digest, known
 }
 
-// acceptedAbove returns the accepted versions above one.
+// acceptedAbove returns the accepted versions above the given one.
 func (v *Value) acceptedAbove(version uint64) []message.AcceptedVersion {
 	i, _ := slices.BinarySearchFunc(v.AcceptedVersions, version+1, compareVersion)
 	return v.AcceptedVersions[i:]
@@ -53,18 +54,19 @@
 	return cmp.Compare(a.Version, version)
 }
 
-// matches reports whether a value has the content that an entry tells.
+// matches reports whether the value has the version and content that an accepted version describes.
 func (v *Value) matches(accepted message.AcceptedVersion) bool {
 	digest, known := v.digestOf(v.Version)
 	return known && accepted == message.AcceptedVersion{Version: v.Version, Digest: digest}
 }
 
-// matchesLast reports whether a value has the content that the last of some entries tells.
+// matchesLast reports whether the value has the version and content of the last of the accepted versions.
 func (v *Value) matchesLast(accepted []message.AcceptedVersion) bool {
 	return len(accepted) > 0 && v.matches(accepted[len(accepted)-1])
 }
 
-// latestAccepted is the entry of the configuration itself; none before the first.
+// latestAccepted returns the accepted version of the configuration itself; nil before the first
+// configuration.
 func (v *Value) latestAccepted() []message.AcceptedVersion {
 	if len(v.AcceptedVersions) == 0 {
 		return nil
@@ -72,8 +74,8 @@
 	return v.AcceptedVersions[len(v.AcceptedVersions)-1:]
 }
 
-// withOwnDigest returns a value as it was found on a disk. An earlier program kept nothing but the
-// configuration.
+// withOwnDigest returns a value that was found on a disk, with the digest of its configuration added if it is
+// missing. Earlier versions of the program stored only the configuration.
 func (v Value) withOwnDigest() Value {
 	if _, known := v.digestOf(v.Version); v.Version > 0 && !known {
 		own := message.AcceptedVersion{Version: v.Version, Digest: message.DigestOf(v.Config)}
@@ -82,45 +84,45 @@
 	return v
 }
 
-// encodedAcceptedVersions are the accepted versions as a text.
+// encodedAcceptedVersions returns the accepted versions in encoded form.
 func (v *Value) encodedAcceptedVersions() []byte {
 	return message.EncodeAcceptedVersions(v.AcceptedVersions)
 }
 
-// fullAcceptedDelta brings all accepted versions.
+// fullAcceptedDelta returns a delta with all accepted versions.
 func (v *Value) fullAcceptedDelta() *message.Delta {
 	return message.NewDelta(v.encodedAcceptedVersions(), 0, nil)
 }
 
-// acceptedDeltaOver brings the accepted versions over those of which a replica has told the index.
+// acceptedDeltaOver returns a delta of the accepted versions to those whose chunk index a replica has sent.
 func (v *Value) acceptedDeltaOver(version uint64, index []byte) *message.Delta {
 	return message.NewDeltaOver(v.encodedAcceptedVersions(), version, index, message.AcceptedVersionChunks)
 }
 
-// configDeltaOver brings the configuration over one of which a replica has told the index.
+// configDeltaOver returns a delta of the configuration to the one whose chunk index a replica has sent.
 func (v *Value) configDeltaOver(version uint64, index []byte) *message.Delta {
 	return message.NewDeltaOver(v.Config, version, index, message.ConfigChunks)
 }
 
-// configIndex tells of which chunks the configuration is.
+// configIndex returns the chunk index of the configuration.
 func (v *Value) configIndex() []byte { return message.ChunkIndex(v.Config, message.ConfigChunks) }
 
-// acceptedIndex tells of which chunks the accepted versions are.
+// acceptedIndex returns the chunk index of the accepted versions.
 func (v *Value) acceptedIndex() []byte {
 	return message.ChunkIndex(v.encodedAcceptedVersions(), message.AcceptedVersionChunks)
 }
 
-// transferredValue is a value on its way to a replica that may have a part of it.
+// transferredValue is a received value, in a form that omits what the receiver already has.
 type transferredValue struct {
 	acceptedEpoch uint64
 	version       uint64
-	latest        []message.AcceptedVersion // the version's own entry
+	latest        []message.AcceptedVersion // the accepted version of the value itself
 	accepted      *message.Delta
-	config        *message.Delta // nil where the receiver has it
+	config        *message.Delta // nil if the receiver has the configuration
 }
 
-// receive returns a value that was told, with this replica's own configuration if that is the same. The error
-// is that of a delta that does not apply.
+// receive reconstructs a received value and checks its digest. It reuses the configuration of v if that is
+// the same one. The error is not nil if a part is missing, a delta does not apply or the digest differs.
 func (v *Value) receive(t transferredValue) (received Value, err error) {
 	received.AcceptedEpoch, received.Version = t.acceptedEpoch, t.version
 	if t.version == 0 {
@@ -155,16 +157,17 @@
 	return received, nil
 }
 
-// AppendAccepted returns the accepted versions with more of them. What is remembered of a version stays. Of
-// the oldest, whole chunks are dropped, so that the others stay where they are.
-func AppendAccepted(past []message.AcceptedVersion,
-	more ...message.AcceptedVersion) []message.AcceptedVersion {
-	past = slices.Clone(past) // others hold the old one
-	for _, accepted := range more {
-		if i, found := slices.BinarySearchFunc(past, accepted.Version, compareVersion); !found {
-			past = slices.Insert(past, i, accepted)
+// AppendAccepted returns the existing accepted versions with the added ones. The digest of an existing
+// version is kept. If there are too many, the oldest ones are dropped in complete chunks, so that the
+// positions of the others in their chunks don't change.
+func AppendAccepted(existing []message.AcceptedVersion,
+	added ...message.AcceptedVersion) []message.AcceptedVersion {
+	existing = slices.Clone(existing) // the old slice is still in use elsewhere
+	for _, accepted := range added {
+		if i, found := slices.BinarySearchFunc(existing, accepted.Version, compareVersion); !found {
+			existing = slices.Insert(existing, i, accepted)
 		}
 	}
 	const perChunk = message.AcceptedVersionsPerChunk
-	return past[max(0, len(past)-minAcceptedVersions)/perChunk*perChunk:]
+	return existing[max(0, len(existing)-minAcceptedVersions)/perChunk*perChunk:]
 }
--- a/internal/controlplane/replica/view_change.go
+++ b/internal/controlplane/replica/view_change.go
@@ -8,76 +8,77 @@
 	"dunespoke/internal/events"
 )
 
-// Times of a view change.
+// Timing of view changes.
 const (
-	phaseTimeout = 700 * time.Millisecond // at the least; see viewPhaseTimeout
-	// writesPerPhase is how many saves of a slow disk a phase waits for: the one that it asks for, one that
-	// is being written as the request comes, and one to spare.
+	phaseTimeout = 700 * time.Millisecond // the minimum; see viewPhaseTimeout
+	// writesPerPhase is how many writes of a slow disk a phase waits for: the one that it requests, one that may
+	// be in progress when the request arrives, and one as a reserve.
 	writesPerPhase     = 3
-	phaseRetryInterval = 120 * time.Millisecond // to those that have not answered a phase
-	// viewChangeAllowance is how long a change of the view may take before others are asked.
+	phaseRetryInterval = 120 * time.Millisecond // to the participants that have not answered a phase
+	// viewChangeAllowance is how long a view change may take before watchers turn to other replicas.
 	viewChangeAllowance = 500 * time.Millisecond
 )
 
-// viewChanger is what a replica has to do with changes of the view.
+// viewChanger is the state of a replica for view changes.
 type viewChanger struct {
-	change         *viewChange // that this replica proposes; nil: none
-	desired        []string    // the chain of another view
+	change         *viewChange // proposed by this replica; nil: none
+	desired        []string    // the chain of another view that is desired
 	desiredSince   time.Duration
-	installedEpoch uint64 // of the view installed last in this incarnation
-	epochFloor     uint64 // epochs up to here were promised by others
+	installedEpoch uint64 // of the last view that this incarnation installed
+	epochFloor     uint64 // other replicas have promised epochs up to this one
 }
 
-// viewChange is a proposal under way, in the two phases of single-decree agreement: first promises are
-// gathered, then the view is handed out with the newest value that was told.
+// viewChange is a proposal in progress, in the two phases of single-decree agreement: first the proposer
+// gathers promises, then it sends the view to its replicas together with the newest value that was reported.
 type viewChange struct {
 	epoch           uint64
 	chain           []string
 	members         []message.Node
-	outgoing        []message.Node // of a membership change: the members that it replaces
-	removed         []message.Node // by operators, as part of the membership
+	outgoing        []message.Node // the members that a membership change replaces
+	removed         []message.Node // removed by operators; part of the membership
 	membershipEpoch uint64
 	electorates     [][]message.Node // a majority of each has to promise
-	leaving         []string         // live outgoing members: they install, and are in no chain
-	newMember       string           // the replica that the change makes a member
+	leaving         []string         // live outgoing members: they install the view, but are not in the chain
+	newMember       string           // address of the replica that the change makes a member
 	phaseStartedAt  time.Duration
-	lastSentAt      time.Duration // when the phase's message went out last; 0: not yet
+	lastSentAt      time.Duration // when the message of the phase was last sent; 0: not yet
 	promised        map[string]bool
-	storeIDs        map[string]uint64 // by which of its stores a replica has promised
+	storeIDs        map[string]uint64 // of the replicas that promised
 	installed       map[string]bool
-	newest          Value                      // that was told
-	contents        map[string]replicaContents // what those who promised have
-	install         message.InstallView        // without a value
-	fullConfig      *message.Delta             // once anyone needs it
+	newest          Value                      // newest reported value
+	contents        map[string]replicaContents // of the replicas that promised
+	install         message.InstallView        // without the value
+	fullConfig      *message.Delta             // set once a replica needs it
 }
 
-// replicaContents is what a replica told of the value that it has.
+// replicaContents describes the value that a replica reported to have.
 type replicaContents struct {
 	version        uint64
 	latestAccepted []message.AcceptedVersion
-	configIndex    []byte // unless it has what the proposer has
+	configIndex    []byte // empty if the replica has the proposer's configuration
 	acceptedIndex  []byte
 }
 
-// participants returns the replicas that are to have the view on disk.
+// participants returns the replicas that must have the view on disk before it serves.
 func (v *viewChange) participants() []string { return append(slices.Clone(v.chain), v.leaving...) }
 
-// hasPromised reports whether a member has, and not another store at its address.
+// hasPromised reports whether a member has promised, rather than another store at its address.
 func (v *viewChange) hasPromised(m message.Node) bool {
 	return v.promised[m.Addr] && v.storeIDs[m.Addr] == m.StoreID
 }
 
-// installFor is the view for one replica, with the value as far as that has not told that it has it.
+// installFor returns the view for one replica, without the parts of the value that the replica is known to
+// have; inFull includes them all.
 func (v *viewChange) installFor(to string, inFull bool) *message.InstallView {
-	m, has := v.install, v.contents[to]
+	m, contents := v.install, v.contents[to]
 	if inFull {
-		has = replicaContents{}
+		contents = replicaContents{}
 	}
-	m.AcceptedDelta = v.newest.acceptedDeltaOver(has.version, has.acceptedIndex)
+	m.AcceptedDelta = v.newest.acceptedDeltaOver(contents.version, contents.acceptedIndex)
 	switch {
-	case v.newest.matchesLast(has.latestAccepted):
-	case len(has.configIndex) > 0:
-		m.Config = v.newest.configDeltaOver(has.version, has.configIndex)
+	case v.newest.matchesLast(contents.latestAccepted):
+	case len(contents.configIndex) > 0:
+		m.Config = v.newest.configDeltaOver(contents.version, contents.configIndex)
 	default:
 		if v.fullConfig == nil {
 			v.fullConfig = message.NewDelta(v.newest.Config, 0, nil)
@@ -87,7 +88,7 @@
 	return &m
 }
 
-// stepViewChange takes a message of a view change.
+// stepViewChange handles a message of a view change.
 func (r *Replica) stepViewChange(from string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.Prepare:
@@ -105,9 +106,10 @@
 	}
 }
 
-// startViewChange asks for promises of a view. With other members, those before have to promise, and a
-// majority of both has to have the view on disk before it serves. A change that may serve, or not, is gone on
-// with.
+// startViewChange requests promises for a view with a chain. If members is not nil, the view also replaces
+// the membership: the outgoing members have to promise, and majorities of both memberships must have the view
+// on disk before it serves. An incomplete membership change, which may have taken effect or not, is
+// continued.
 func (r *Replica) startViewChange(chain []string, members []message.Node) {
 	saved, pending := &r.store.saved, &r.store.pending
 	i := slices.IndexFunc(saved.Members, func(m message.Node) bool { return m.Addr == r.self })
@@ -121,7 +123,7 @@
 		phaseStartedAt: r.now, promised: map[string]bool{}, storeIDs: map[string]uint64{},
 		installed: map[string]bool{}, newest: saved.Value, contents: map[string]replicaContents{}}
 	if members != nil {
-		r.changeMembersIn(v, members)
+		r.applyMembershipChange(v, members)
 	}
 	if len(v.outgoing) > 0 {
 		v.membershipEpoch = epoch
@@ -138,7 +140,7 @@
 		if r.view.change != v || r.store.pending.PromisedEpoch != epoch {
 			return
 		}
-		// the others have the time that this disk has taken, too
+		// the timeout of the phase begins only after this disk's write
 		v.newest, v.phaseStartedAt = r.store.saved.Value, r.now
 		r.sendPhase()
 		v.storeIDs[r.self] = r.store.saved.StoreID
@@ -146,9 +148,9 @@
 	})
 }
 
-// changeMembersIn has a view change install other members: the new one is in the chain, beside those that are
-// live.
-func (r *Replica) changeMembersIn(v *viewChange, members []message.Node) {
+// applyMembershipChange makes a view change install other members. The new member joins the live ones in the
+// chain.
+func (r *Replica) applyMembershipChange(v *viewChange, members []message.Node) {
 	live := v.chain
 	v.outgoing, v.members, v.removed = r.store.saved.Members, members, r.removedMembersAfter(members)
 	v.chain = nil
@@ -162,59 +164,59 @@
 	}
 }
 
-// continueViewChange ends a phase that has taken too long, and repeats what may be lost.
+// continueViewChange ends a phase that has timed out, and resends messages that may have been lost.
 func (r *Replica) continueViewChange() {
 	v := r.view.change
 	switch {
 	case r.now >= v.phaseStartedAt+r.viewPhaseTimeout():
 		r.endPhase()
 	case v.lastSentAt != 0 && r.now >= v.lastSentAt+phaseRetryInterval:
-		r.sendPhase() // what was sent to a replica that has just started may be lost
+		r.sendPhase() // a message to a replica that has just started may be lost
 	}
 }
 
-// viewPhaseTimeout is how long a phase may take. Where this disk is slow the others may be, too: a
-// proposal that is given up before they have answered would be followed by another, without end.
+// viewPhaseTimeout returns how long a phase may take. If this disk is slow, the other disks may be, too:
+// giving up a proposal before they have answered would lead to the next one, without end.
 func (r *Replica) viewPhaseTimeout() time.Duration {
 	return max(phaseTimeout, writesPerPhase*r.store.writeTime)
 }
 
-// sendPhase sends the phase's message to all participants that have not answered it. What is sent again
-// relies on nothing that was told before.
+// sendPhase sends the message of the current phase to all participants that have not answered it. A repeated
+// message doesn't rely on earlier ones having been received.
 func (r *Replica) sendPhase() {
 	v := r.view.change
-	again := v.lastSentAt != 0
+	retransmission := v.lastSentAt != 0
 	v.lastSentAt = r.now
 	if r.state == StateInstalling {
 		for _, to := range r.unanswered(v.installed) {
-			r.send(to, v.installFor(to, again))
+			r.send(to, v.installFor(to, retransmission))
 		}
 		return
 	}
-	prepare := r.prepareMessage(again)
+	prepare := r.prepareMessage(retransmission)
 	for _, to := range r.unanswered(v.promised) {
 		r.send(to, prepare)
 	}
 }
 
-// unanswered returns the other participants that have not answered the phase.
+// unanswered returns the other participants that have not answered the current phase.
 func (r *Replica) unanswered(answered map[string]bool) []string {
 	return slices.DeleteFunc(r.view.change.participants(), func(addr string) bool {
 		return addr == r.self || answered[addr]
 	})
 }
 
-func (r *Replica) prepareMessage(again bool) *message.Prepare {
+func (r *Replica) prepareMessage(retransmission bool) *message.Prepare {
 	saved := &r.store.saved
 	prepare := &message.Prepare{Epoch: r.view.change.epoch, AcceptedEpoch: saved.AcceptedEpoch,
 		Version: saved.Version, AcceptedVersions: saved.latestAccepted(), MembershipEpoch: saved.MembershipEpoch}
-	if r.view.installedEpoch == 0 && !again { // this process was just started: others may have a newer value
+	if r.view.installedEpoch == 0 && !retransmission { // just started: others may have a newer value
 		prepare.ConfigIndex, prepare.AcceptedIndex = saved.configIndex(), saved.acceptedIndex()
 	}
 	return prepare
 }
 
-// handlePrepare promises to accept nothing below an epoch, unless a later one was promised.
+// handlePrepare promises to accept nothing below an epoch, unless the same or a later one was promised.
 func (r *Replica) handlePrepare(from string, m *message.Message, prepare *message.Prepare) {
 	saved, pending := &r.store.saved, &r.store.pending
 	if !saved.CaughtUp || !pending.CaughtUp || r.DiskUnhealthy() {
@@ -231,13 +233,13 @@
 		r.sendPromise(from, m, prepare)
 		return
 	case promised && !onDisk:
-		return // it is being saved
+		return // the promise is being saved
 	case prepare.Epoch <= pending.PromisedEpoch:
 		r.reject(from, m)
 		return
 	}
 	pending.PromisedEpoch = prepare.Epoch
-	r.transition(StateStandby) // from here on nothing more goes down the old chain through this replica
+	r.transition(StateStandby) // from here on this replica passes nothing more down the old chain
 	r.save(func() {
 		if r.store.pending.PromisedEpoch == prepare.Epoch {
 			r.sendPromise(from, m, prepare)
@@ -245,7 +247,7 @@
 	})
 }
 
-// reject tells why nothing is promised: by the epoch that was, and the members.
+// reject reports why no promise is given: the epoch that was promised, and the membership.
 func (r *Replica) reject(to string, request *message.Message) {
 	saved := &r.store.saved
 	r.reply(to, request, &message.Reject{Epoch: r.store.pending.PromisedEpoch, Members: saved.Members,
@@ -253,7 +255,7 @@
 		RemovedMembers: saved.RemovedMembers})
 }
 
-// sendPromise tells the proposer what this replica holds, as far as it may lack that.
+// sendPromise sends the proposer a promise, and the parts of this replica's value that the proposer may lack.
 func (r *Replica) sendPromise(to string, request *message.Message, prepare *message.Prepare) {
 	saved := &r.store.saved
 	promise := &message.Promise{Epoch: prepare.Epoch, AcceptedEpoch: saved.AcceptedEpoch, Version: saved.Version,
@@ -272,7 +274,7 @@
 	r.reply(to, request, promise)
 }
 
-// handlePromise takes a promise, and the value with it if that is newer than what was told so far.
+// handlePromise handles a promise, and its value if that is newer than all reported so far.
 func (r *Replica) handlePromise(from string, promise *message.Promise) {
 	v := r.view.change
 	if v == nil || v.epoch != promise.Epoch || r.state != StateProposing ||
@@ -281,12 +283,12 @@
 	}
 	v.contents[from] = replicaContents{promise.Version, promise.AcceptedVersions, promise.ConfigIndex,
 		promise.AcceptedIndex}
-	told := Value{AcceptedEpoch: promise.AcceptedEpoch, Version: promise.Version}
-	if told.newerThan(v.newest.AcceptedEpoch, v.newest.Version) {
+	reported := Value{AcceptedEpoch: promise.AcceptedEpoch, Version: promise.Version}
+	if reported.newerThan(v.newest.AcceptedEpoch, v.newest.Version) {
 		value, err := r.store.pending.receive(transferredValue{promise.AcceptedEpoch, promise.Version,
 			promise.AcceptedVersions, promise.AcceptedDelta, promise.Config})
 		if err != nil {
-			return // as if it had not answered
+			return // ignored as if it had not answered
 		}
 		v.newest = value
 	}
@@ -294,7 +296,8 @@
 	r.recordPromise(from)
 }
 
-// recordPromise counts a promise. With a quorum, and all that can vote, the view is handed out.
+// recordPromise counts a promise. Once a quorum and all participants that can vote have promised, the view is
+// installed.
 func (r *Replica) recordPromise(from string) {
 	v := r.view.change
 	v.promised[from] = true
@@ -309,7 +312,7 @@
 	}
 }
 
-// installView hands out the view to its replicas: those that promised, and those that are to be repaired.
+// installView sends the view to its replicas: those that promised, and those that need a repair.
 func (r *Replica) installView() {
 	v := r.view.change
 	v.chain = slices.DeleteFunc(slices.Clone(v.chain), func(addr string) bool {
@@ -317,7 +320,7 @@
 		return !v.promised[addr] && addr != r.self && addr != v.newMember && (p == nil || p.caughtUp)
 	})
 	v.leaving = slices.DeleteFunc(v.leaving, func(addr string) bool { return !v.promised[addr] })
-	if !r.mayInstall(v) {
+	if !r.canInstall(v) {
 		r.transition(StateStandby)
 		return
 	}
@@ -333,9 +336,9 @@
 	})
 }
 
-// mayInstall reports whether a view can serve with those that promised: a quorum of each membership, spread
-// as the tolerance wants it.
-func (r *Replica) mayInstall(v *viewChange) bool {
+// canInstall reports whether a view can serve with the replicas that promised: they include a quorum of each
+// membership, and the chain is spread as the fault tolerance requires.
+func (r *Replica) canInstall(v *viewChange) bool {
 	serves := func(m message.Node) bool { return slices.Contains(v.chain, m.Addr) }
 	installs := func(m message.Node) bool {
 		return slices.Contains(v.leaving, m.Addr) || hasMember(v.members, m) && serves(m)
@@ -345,8 +348,8 @@
 		r.tolerance.chainSuffices(membersAt(v.members, v.chain), v.members)
 }
 
-// saveView saves a view, and the value that it begins with, under its epoch. Whatever else was on the disk is
-// dropped: it was never acknowledged.
+// saveView saves a view and its initial value under its epoch. Any other value on the disk is dropped: it was
+// never acknowledged.
 func (r *Replica) saveView(install *message.InstallView, value Value, onSaved func()) {
 	pending := &r.store.pending
 	pending.EarlierHolders, pending.HoldersKnown = r.possibleLeaseHolders(), true
@@ -356,7 +359,7 @@
 		MembershipEpoch: install.MembershipEpoch, RemovedMembers: install.RemovedMembers})
 	pending.Value = value
 	pending.AcceptedEpoch = install.Epoch
-	r.history.forgetDeltas()
+	r.history.clearDeltas()
 	epoch := install.Epoch
 	r.save(func() {
 		r.view.installedEpoch = epoch
@@ -364,7 +367,7 @@
 	})
 }
 
-// handleInstallView takes a view that a quorum has promised.
+// handleInstallView installs a view for which a quorum has promised.
 func (r *Replica) handleInstallView(from string, m *message.Message, install *message.InstallView) {
 	pending := &r.store.pending
 	self := r.selfMember()
@@ -377,13 +380,13 @@
 		return
 	}
 	if pending.Epoch == install.Epoch {
-		return // it is being saved, or an earlier incarnation installed it, and may have accepted more since
+		return // it is being saved, or an earlier incarnation installed it and may have accepted more since
 	}
 	value, err := pending.receive(transferredValue{0, install.Version, install.AcceptedVersions,
 		install.AcceptedDelta,
 		install.Config})
 	if err != nil {
-		return // it comes again, in full
+		return // it is sent again, in full
 	}
 	if !r.store.saved.CaughtUp {
 		r.log(events.ReplicaRepaired, "version", install.Version)
@@ -396,7 +399,7 @@
 	})
 }
 
-// handleViewInstalled puts the view into service once all participants have it on disk.
+// handleViewInstalled activates the view once all participants have it on disk.
 func (r *Replica) handleViewInstalled(from string, installed *message.ViewInstalled) {
 	v := r.view.change
 	if v == nil || v.epoch != installed.Epoch || r.state != StateInstalling {
@@ -419,10 +422,10 @@
 	r.handleActivateView(activate)
 }
 
-// handleActivateView puts a view into service that all its replicas have on disk: what it began with is
-// committed. A replica that was restarted since takes no part in the view that it finds on its disk: what it
-// told under the epoch, such as endpoint lists by their numbers, is not on the disk. It comes back by another
-// view.
+// handleActivateView starts to serve in a view that all its replicas have on disk; its initial value is
+// committed. A replica that has restarted since it installed the view doesn't serve in it: its disk doesn't
+// have everything that it reported in that epoch, such as the sequence numbers of endpoint lists. It rejoins
+// by another view.
 func (r *Replica) handleActivateView(m *message.ActivateView) {
 	serving := r.state == StateServing && r.epoch == m.Epoch
 	if r.view.installedEpoch != m.Epoch || r.store.pending.PromisedEpoch != m.Epoch || r.epoch > m.Epoch ||
@@ -435,19 +438,19 @@
 	}
 	r.epoch, r.chain = m.Epoch, m.Chain
 	r.enterAllocatorView(m.Epoch, m.Chain, m.LeavingMembers)
-	if !slices.Contains(r.chain, r.self) { // its own proposal, without itself: nothing comes to its disk there
+	if !slices.Contains(r.chain, r.self) { // its own proposal doesn't include it: it gets no updates
 		r.transition(StateStandby)
 		return
 	}
 	r.commit(m.Version)
 	r.transition(StateServing)
 	r.log(events.ViewServing, "epoch", m.Epoch, "machines", len(m.Chain), "version", r.committed)
-	r.sendHeartbeats() // so that all know at once that a quorum serves
+	r.sendHeartbeats() // so that all learn at once that a quorum serves
 	r.notifyWatchers()
 	r.proposeNext()
 }
 
-// handleReject ends a proposal that came too late, or by members that are so no longer.
+// handleReject ends a proposal that is too late, and adopts the members if the proposer's are outdated.
 func (r *Replica) handleReject(reject *message.Reject) {
 	if r.store.pending.CaughtUp && len(reject.Members) > 0 {
 		r.adoptMembers(reject.MemberList())
@@ -459,7 +462,8 @@
 	r.transition(StateStandby)
 }
 
-// endPhase ends a phase that took too long, with those that have answered.
+// endPhase ends a phase that has timed out. The view is installed if a quorum has promised, and given up
+// otherwise.
 func (r *Replica) endPhase() {
 	v := r.view.change
 	answered := v.promised
--- a/internal/controlplane/replica/view_selection.go
+++ b/internal/controlplane/replica/view_selection.go
@@ -7,19 +7,19 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Times of choosing a view.
+// Timing of view selection.
 const (
-	viewChangeDelay = 200 * time.Millisecond // another view must be desired for so long
-	// knownFailureDelay is the same where each replica that the other view does without is known to be
-	// down, or to be about to end.
+	viewChangeDelay = 200 * time.Millisecond // how long another view must be desired
+	// knownFailureDelay is used instead if each replica that the other view lacks is known to be down or about
+	// to end.
 	knownFailureDelay  = 20 * time.Millisecond
-	flapRejoinDelay    = 800 * time.Millisecond // a replica that came back must be heard so long: flapping links
-	restartRejoinDelay = 150 * time.Millisecond // where its process was restarted
-	restartLoopWindow  = 5 * time.Second        // unless it was restarted within this before, too
-	servingTimeout     = 450 * time.Millisecond // for a replica of the chain to serve in its view
+	flapRejoinDelay    = 800 * time.Millisecond // for a returned replica to be heard; its link may flap
+	restartRejoinDelay = 150 * time.Millisecond // if its process was restarted
+	restartLoopWindow  = 5 * time.Second        // unless it was also restarted within this time before
+	servingTimeout     = 450 * time.Millisecond // for a replica of the chain to begin to serve in its view
 )
 
-// evaluateView looks whether another view is desired, and proposes it if this replica is the one to do so.
+// evaluateView checks whether another view is desired, and proposes it if this replica is the proposer.
 func (r *Replica) evaluateView() {
 	if r.view.change != nil {
 		r.continueViewChange()
@@ -41,7 +41,7 @@
 		r.view.desired, r.view.desiredSince = desired, r.now
 		return
 	}
-	complete := len(desired) == len(r.store.saved.Members) // no more can come
+	complete := len(desired) == len(r.store.saved.Members) // no further member can join
 	if complete && r.state != StateServing && r.now >= r.stateSince+heartbeatInterval {
 		r.startViewChange(desired, nil)
 		return
@@ -52,11 +52,11 @@
 	}
 }
 
-// viewChangeDelay is how long another view must be desired. A replica that doesn't serve has nothing to lose
-// by a wrong one.
+// viewChangeDelay returns how long another view must be desired. A replica that doesn't serve loses nothing
+// by a wrong proposal, so it waits for a shorter time.
 func (r *Replica) viewChangeDelay(desired []string) time.Duration {
 	switch {
-	case r.lacksOnlyLostPeers(desired):
+	case r.removesOnlyDownPeers(desired):
 		return knownFailureDelay
 	case r.state == StateServing:
 		return viewChangeDelay
@@ -64,9 +64,9 @@
 	return viewChangeDelay / 2
 }
 
-// lacksOnlyLostPeers reports whether a chain differs from the present one by lacking replicas that are
-// down, or about to end, and by nothing else.
-func (r *Replica) lacksOnlyLostPeers(chain []string) bool {
+// removesOnlyDownPeers reports whether a chain is the current one without the replicas that are down or about
+// to end, and differs in nothing else.
+func (r *Replica) removesOnlyDownPeers(chain []string) bool {
 	if len(chain) >= len(r.chain) {
 		return false
 	}
@@ -77,21 +77,21 @@
 	return slices.Equal(up, chain)
 }
 
-// isChainHealthy reports whether all others of the chain serve in this view, or may yet do so in a
-// moment: not one that has lost its disk, nor one that has promised another epoch to who is gone. Nor is
-// it healthy if the rate-limit allocator has given up its role.
+// isChainHealthy reports whether all other replicas of the chain serve in this view or may still begin to. It
+// is false if one has lost its disk, or has promised another epoch to a proposer that failed, or if the
+// rate-limit allocator has released its role.
 func (r *Replica) isChainHealthy() bool {
 	return !r.allocatorReleased() && !slices.ContainsFunc(r.chain, func(addr string) bool {
 		if addr == r.self {
 			return false
 		}
 		p := r.peers.byAddr[addr]
-		return p == nil || !p.caughtUp || r.now > max(p.lastServingWithUs, r.stateSince)+servingTimeout
+		return p == nil || !p.caughtUp || r.now > max(p.lastInSameView, r.stateSince)+servingTimeout
 	})
 }
 
-// proposer is the first live member in the agreed order, of those that serve in the newest view where any do:
-// who is not in it, or hears only some of those who are, waits until they take it in.
+// proposer returns the first live member in address order among those in the newest view. A member that is
+// not in that view, or hears only some of its replicas, waits until they include it.
 func (r *Replica) proposer() (first string) {
 	newest := uint64(0)
 	for _, m := range r.store.saved.Members {
@@ -112,8 +112,8 @@
 	return first
 }
 
-// desiredChain is the chain that there should be, in the agreed order; nil where too few members live for
-// any.
+// desiredChain returns the chain that should serve, in address order; nil if too few members are live for
+// one.
 func (r *Replica) desiredChain() []string {
 	if chain := r.liveChain(false); chain != nil {
 		return chain
@@ -121,7 +121,8 @@
 	return r.liveChain(true)
 }
 
-// liveChain is that chain, without those that are heard and have not answered, or with them.
+// liveChain returns the chain of the live members that can serve together, in address order; nil if too few
+// are live. withUnresponsive includes peers that are heard but have not answered a phase of a view change.
 func (r *Replica) liveChain(withUnresponsive bool) []string {
 	members := r.store.saved.Members
 	var chain []string
@@ -141,8 +142,8 @@
 	return chain
 }
 
-// mayJoinChain reports whether a live peer may be in the chain: while this replica serves, one that has come
-// back waits.
+// mayJoinChain reports whether a live peer may be in the chain. While this replica serves, a peer that has
+// returned must wait.
 func (r *Replica) mayJoinChain(addr string, withUnresponsive bool) bool {
 	p := r.peers.byAddr[addr]
 	if !withUnresponsive && r.now < p.unresponsiveUntil {
--- a/internal/controlplane/replica/watch.go
+++ b/internal/controlplane/replica/watch.go
@@ -8,46 +8,46 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// answeredWatchRetention is how long an answer is remembered: who watches turns to all others first, and
-// comes back.
+// answeredWatchRetention is how long an answered watch is remembered: a watcher may go to all other replicas
+// before it returns.
 const answeredWatchRetention = 4 * nodeLeaseDuration
 
-// watcher is a watch that waits for something new.
+// watcher is a pending watch, which is answered when there is an update or at its deadline.
 type watcher struct {
 	request  *message.Message
 	watch    *message.Watch
 	deadline time.Duration
 }
 
-// answeredWatch is the last watch of a process that was answered, and when it first was.
+// answeredWatch identifies the last answered watch of a process, and when it was first answered.
 type answeredWatch struct {
 	incarnation uint64
 	requestID   uint64
 	at          time.Duration
 }
 
-// watchers are the watches that wait, by the address of who watches.
+// watchers are the pending and the answered watches, by the address of the watching process.
 type watchers struct {
-	waiting  map[string]*watcher
+	pending  map[string]*watcher
 	answered map[string]answeredWatch
 
-	lastServing  time.Duration // when this replica last answered watches with what is the newest; 0: never
-	servingSince time.Duration // since when it does, but for changes of the view
+	lastServing  time.Duration // when this replica last could answer watches with fresh state; 0: never
+	servingSince time.Duration // since when it could, disregarding view changes
 }
 
 func newWatchers() watchers {
-	return watchers{waiting: map[string]*watcher{}, answered: map[string]answeredWatch{}}
+	return watchers{pending: map[string]*watcher{}, answered: map[string]answeredWatch{}}
 }
 
-// forgetAnswers drops answers of long ago.
-func (w *watchers) forgetAnswers(now time.Duration) {
+// expireAnswers removes answered watches that are too old.
+func (w *watchers) expireAnswers(now time.Duration) {
 	maps.DeleteFunc(w.answered, func(_ string,
 		a answeredWatch) bool {
 		return now > a.at+answeredWatchRetention
 	})
 }
 
-// recordAnswer notes that a watch is answered, unless it was before.
+// recordAnswer records that a watch is answered, unless it was answered before.
 func (w *watchers) recordAnswer(now time.Duration, from string, request *message.Message) {
 	old := w.answered[from]
 	if old.incarnation != request.Incarnation || old.requestID < request.RequestID {
@@ -55,11 +55,11 @@
 	}
 }
 
-// due returns who waits for something new, all or those who have waited long enough, in an agreed order: a
-// simulation repeats by its seed.
+// due returns the addresses of the pending watches whose deadline has passed, or of all. They are sorted, so
+// that a simulation is reproducible from its seed.
 func (w *watchers) due(now time.Duration, all bool) (list []string) {
-	for from, waiting := range w.waiting {
-		if all || now >= waiting.deadline {
+	for from, pending := range w.pending {
+		if all || now >= pending.deadline {
 			list = append(list, from)
 		}
 	}
@@ -67,9 +67,10 @@
 	return list
 }
 
-// handleWatch takes a watch, which renews the lease of who sent it. The lease counts from when that was sent,
-// by what it says of the response before: one that waited on its way, or comes again, is as old as it is. A
-// first watch names none, and the next one follows at once.
+// handleWatch handles a watch, which renews the lease of its sender. The lease counts from when the watch was
+// sent, which follows from the delay since the previous response that it reports, so that a delayed or
+// repeated watch doesn't extend it. A first watch reports no previous response, and the next one follows at
+// once.
 func (r *Replica) handleWatch(from string, request *message.Message, watch *message.Watch) {
 	last, known := r.watchers.answered[from]
 	if known && last.incarnation == request.Incarnation && last.requestID == watch.EchoRequestID {
@@ -77,26 +78,26 @@
 		age := uint64((r.now - sentAt).Milliseconds())
 		r.nodes.renew(r.now, message.Node{Addr: from, Zone: watch.Zone, LeaseAge: age}, true)
 	}
-	old := r.watchers.waiting[from]
+	old := r.watchers.pending[from]
 	if old != nil && old.request.Incarnation == request.Incarnation &&
 		old.request.RequestID >= request.RequestID {
-		return // it comes again, or late: who watches has gone on
+		return // a repeated or late watch: the watcher has already sent a newer one
 	}
 	wait := min(time.Duration(watch.WaitMillis)*time.Millisecond, nodeLeaseDuration/2)
-	r.watchers.waiting[from] = &watcher{request, watch, r.now + wait}
+	r.watchers.pending[from] = &watcher{request, watch, r.now + wait}
 	r.answerWatcher(from, false)
 }
 
-// notifyWatchers answers all for whom there is something new.
+// notifyWatchers answers all watches for which there is an update.
 func (r *Replica) notifyWatchers() {
 	for _, from := range r.watchers.due(r.now, true) {
 		r.answerWatcher(from, false)
 	}
 }
 
-// answerDueWatchers answers those that have waited long enough.
+// answerDueWatchers answers the watches whose deadline has passed.
 func (r *Replica) answerDueWatchers() {
-	if r.tellsNewest() {
+	if r.isFresh() {
 		if !r.recentlyServing() {
 			r.watchers.servingSince = r.now
 		}
@@ -104,30 +105,31 @@
 	}
 	r.snapshots.expire(r.now)
 	for _, from := range r.watchers.due(r.now, !r.recentlyServing()) {
-		r.answerWatcher(from, r.now >= r.watchers.waiting[from].deadline)
+		r.answerWatcher(from, r.now >= r.watchers.pending[from].deadline)
 	}
 }
 
-// tellsNewest reports whether what this replica knows may be told as the newest.
-func (r *Replica) tellsNewest() bool { return r.ServingWithQuorum() && !r.commitOverdue() }
+// isFresh reports whether this replica may report its state as the newest one.
+func (r *Replica) isFresh() bool { return r.ServingWithQuorum() && !r.commitOverdue() }
 
-// recentlyServing reports whether this replica serves, or did so a moment ago: a change of the view is over
-// soon, and those who watch need not turn elsewhere for it.
+// recentlyServing reports whether this replica serves or recently did. A view change is short, so watchers
+// need not turn to other replicas during it.
 func (r *Replica) recentlyServing() bool {
 	return r.watchers.lastServing != 0 && r.now < r.watchers.lastServing+viewChangeAllowance
 }
 
-// answerWatcher answers a watch, if there is something new for it or it has waited long enough.
+// answerWatcher answers a watch if there is an update for it, its deadline has passed (due), or this replica
+// has no fresh state and is not just changing views.
 func (r *Replica) answerWatcher(to string, due bool) {
-	waiting := r.watchers.waiting[to]
-	watch := waiting.watch
-	response := &message.WatchResponse{Epoch: watch.Epoch, Fresh: r.tellsNewest() && watch.Epoch <= r.epoch}
+	pending := r.watchers.pending[to]
+	watch := pending.watch
+	response := &message.WatchResponse{Epoch: watch.Epoch, Fresh: r.isFresh() && watch.Epoch <= r.epoch}
 	if !response.Fresh && !r.recentlyServing() {
 		due = true
 	}
 	if response.Fresh {
 		if r.epoch != watch.Epoch {
-			r.tellView(response)
+			r.appendView(response)
 			due = true
 		}
 		if r.appendResources(to, watch, response) {
@@ -137,14 +139,14 @@
 	if !due {
 		return
 	}
-	delete(r.watchers.waiting, to)
-	r.watchers.recordAnswer(r.now, to, waiting.request)
-	r.reply(to, waiting.request, response)
+	delete(r.watchers.pending, to)
+	r.watchers.recordAnswer(r.now, to, pending.request)
+	r.reply(to, pending.request, response)
 }
 
-// tellView tells the view and the members, with the outgoing ones, where this replica knows of a change that
-// may never be complete.
-func (r *Replica) tellView(response *message.WatchResponse) {
+// appendView adds the view and the membership to a response, including the outgoing members, if this replica
+// knows of a change that may never complete.
+func (r *Replica) appendView(response *message.WatchResponse) {
 	pending := &r.store.pending
 	response.Epoch, response.Chain = r.epoch, r.chain
 	response.Members, response.OutgoingMembers = pending.Members, pending.OutgoingMembers
