--- a/internal/controlplane/message/accepted_versions.go
+++ b/internal/controlplane/message/accepted_versions.go
@@ -12,28 +12,29 @@
 	Config  []byte
 }
 
-// AcceptedVersion is a version of the configuration that was accepted, and what it stands for.
+// AcceptedVersion identifies a configuration version that was accepted, by its number and its content.
 type AcceptedVersion struct {
 	Version uint64 `pb:"1"`
 	Digest  Digest `pb:"2"` // of the configuration
 }
 
-// The accepted versions are a text of their own, on disk and on the wire: entries of one length, in chunks of
-// a fixed number. Only the last chunk grows, and whole chunks are dropped in front, so that all between stay
-// as they are, and what is written or sent follows from what is new.
+// The accepted versions are encoded separately from the configuration, on disk and on the wire, as
+// fixed-size entries in chunks of a fixed number of entries. Entries are appended to the last chunk only,
+// and the oldest chunks are dropped as a unit. All chunks in between stay unchanged, so the cost of writing
+// or sending the list depends on the number of new entries only.
 
 const (
-	// AcceptedVersionsPerChunk is how many entries a chunk has. Of 512, larger chunks make the last one dearer
-	// to write, and smaller ones the index.
+	// AcceptedVersionsPerChunk is the number of entries in a chunk. With 512 entries, larger chunks make the
+	// last chunk more expensive to write, and smaller chunks make the index more expensive.
 	AcceptedVersionsPerChunk = 32
 
 	acceptedVersionSize = 8 + digestSize // bytes
 )
 
-// errAcceptedVersions tells of a text that EncodeAcceptedVersions has not written.
-var errAcceptedVersions = errors.New("message: not a list of accepted versions")
+// errAcceptedVersions is returned for input that EncodeAcceptedVersions cannot have written.
+var errAcceptedVersions = errors.New("message: malformed list of accepted versions")
 
-// EncodeAcceptedVersions writes entries as a text.
+// EncodeAcceptedVersions returns the encoding of a list of entries.
 func EncodeAcceptedVersions(list []AcceptedVersion) []byte {
 	b := make([]byte, 0, len(list)*acceptedVersionSize)
 	for _, accepted := range list {
@@ -42,20 +43,20 @@
 	return b
 }
 
-// DecodeAcceptedVersions reads what EncodeAcceptedVersions wrote.
-func DecodeAcceptedVersions(text []byte) (list []AcceptedVersion, err error) {
-	if len(text)%acceptedVersionSize != 0 {
+// DecodeAcceptedVersions decodes the output of EncodeAcceptedVersions.
+func DecodeAcceptedVersions(encoded []byte) (list []AcceptedVersion, err error) {
+	if len(encoded)%acceptedVersionSize != 0 {
 		return nil, errAcceptedVersions
 	}
-	for entry := range slices.Chunk(text, acceptedVersionSize) {
+	for entry := range slices.Chunk(encoded, acceptedVersionSize) {
 		list = append(list, AcceptedVersion{binary.BigEndian.Uint64(entry), Digest(entry[8:])})
 	}
 	return list, nil
 }
 
-// AcceptedVersionChunks cuts a text of entries into its chunks and calls do with each, in order.
-func AcceptedVersionChunks(text []byte, do func(chunk []byte)) {
-	for chunk := range slices.Chunk(text, AcceptedVersionsPerChunk*acceptedVersionSize) {
-		do(chunk)
+// AcceptedVersionChunks splits an encoded list of entries into chunks and calls visit with each, in order.
+func AcceptedVersionChunks(encoded []byte, visit func(chunk []byte)) {
+	for chunk := range slices.Chunk(encoded, AcceptedVersionsPerChunk*acceptedVersionSize) {
+		visit(chunk)
 	}
 }
--- a/internal/controlplane/message/bootstrap.go
+++ b/internal/controlplane/message/bootstrap.go
@@ -1,6 +1,7 @@
 package message
 
-// BootstrapPrepare asks a seed, at the first start of the system, to accept no proposal below a ballot.
+// BootstrapPrepare asks a seed, at the first start of the system, to promise that it accepts no proposal
+// below a ballot.
 type BootstrapPrepare struct {
 	Ballot uint64   `pb:"4"`
 	Seeds  []string `pb:"5"`
@@ -9,18 +10,18 @@
 // Type is TypeBootstrapPrepare.
 func (*BootstrapPrepare) Type() Type { return TypeBootstrapPrepare }
 
-// BootstrapPromise answers BootstrapPrepare, with the proposal that the seed accepted last.
+// BootstrapPromise answers BootstrapPrepare, with the last proposal that the seed accepted.
 type BootstrapPromise struct {
 	Ballot          uint64 `pb:"4"`
 	AcceptedMembers []Node `pb:"6"`
 	AcceptedBallot  uint64 `pb:"7"` // 0: none
-	Trusted         bool   `pb:"9"` // the seed's disk holds all that it has promised
+	Trusted         bool   `pb:"9"` // the seed's disk stores everything that it has promised
 }
 
 // Type is TypeBootstrapPromise.
 func (*BootstrapPromise) Type() Type { return TypeBootstrapPromise }
 
-// BootstrapAccept asks a seed to accept that these are the members of the core.
+// BootstrapAccept asks a seed to accept a list of members for the core.
 type BootstrapAccept struct {
 	Ballot  uint64 `pb:"4"`
 	Members []Node `pb:"6"`
@@ -29,7 +30,7 @@
 // Type is TypeBootstrapAccept.
 func (*BootstrapAccept) Type() Type { return TypeBootstrapAccept }
 
-// BootstrapAccepted says that the proposal is on the seed's disk.
+// BootstrapAccepted acknowledges that the proposal is stored on the seed's disk.
 type BootstrapAccepted struct {
 	Ballot uint64 `pb:"4"`
 }
--- a/internal/controlplane/message/chain.go
+++ b/internal/controlplane/message/chain.go
@@ -1,6 +1,6 @@
 package message
 
-// Put is a configuration on its way to the head of the chain.
+// Put submits a configuration to the head of the chain.
 type Put struct {
 	Version uint64 `pb:"7"`
 	Config  *Delta `pb:"8"`
@@ -9,8 +9,8 @@
 // Type is TypePut.
 func (*Put) Type() Type { return TypePut }
 
-// Committed says that a version is on all disks of the chain: to the rest of the chain, under the view's
-// epoch, or in response to a Put.
+// Committed reports that a version is stored on the disks of all replicas of the chain. It is sent to the
+// rest of the chain, with the epoch of the view, or as the response to a Put.
 type Committed struct {
 	Epoch   uint64 `pb:"4"`
 	Version uint64 `pb:"7"`
@@ -20,37 +20,37 @@
 // Type is TypeCommitted.
 func (*Committed) Type() Type { return TypeCommitted }
 
-// Conflict answers a Put whose version was accepted before with another content.
+// Conflict is the response to a Put whose version was already accepted with different content.
 type Conflict struct {
-	Version uint64 `pb:"7"` // that is committed
+	Version uint64 `pb:"7"` // the committed version
 }
 
 // Type is TypeConflict.
 func (*Conflict) Type() Type { return TypeConflict }
 
-// Replicate hands a configuration down the chain.
+// Replicate passes a configuration to the next replica of the chain.
 type Replicate struct {
 	Epoch            uint64            `pb:"4"`
 	Version          uint64            `pb:"7"`
 	Config           *Delta            `pb:"8"`
-	AcceptedVersions []AcceptedVersion `pb:"22"` // all that are new
+	AcceptedVersions []AcceptedVersion `pb:"22"` // all new entries
 }
 
 // Type is TypeReplicate.
 func (*Replicate) Type() Type { return TypeReplicate }
 
-// Read asks the tail of the chain for the newest configuration.
+// Read requests the newest configuration from the tail of the chain.
 type Read struct {
-	Version uint64 `pb:"7"` // that the sender has
+	Version uint64 `pb:"7"` // the version that the sender has
 }
 
 // Type is TypeRead.
 func (*Read) Type() Type { return TypeRead }
 
-// ReadResult answers Read.
+// ReadResult is the response to Read.
 type ReadResult struct {
 	Version uint64 `pb:"7"`
-	Config  *Delta `pb:"8"` // nil where the sender of the request has it
+	Config  *Delta `pb:"8"` // nil if the sender of the request already has the version
 	OK      bool   `pb:"9"`
 }
 
--- a/internal/controlplane/message/chunks.go
+++ b/internal/controlplane/message/chunks.go
@@ -6,21 +6,21 @@
 	"hash/crc32"
 )
 
-// A long configuration is cut into content-defined chunks, whose ends follow from the items in them alone: a
-// change of an item changes its chunk, and leaves all others as they are, wherever they move. The disk keeps
-// chunks by their digests, so that a change writes only what is new; and a replica that is behind tells the
-// digests of what it has, whatever that is, and is sent the chunks that differ.
+// A long configuration is split into content-defined chunks, whose boundaries depend only on the items in
+// them: changing an item changes its chunk and leaves all others unchanged, even if they move. The disk
+// stores chunks by digest, so a change writes only new chunks. A replica that is behind sends the digests
+// of the chunks that it has, from whichever version, and receives the chunks that differ.
 
 // Sizes of chunks.
 const (
-	itemsPerChunk = 32       // on average; a power of two
-	maxChunkSize  = 32 << 10 // bytes: a chunk this long ends with the item, and a longer item is cut
+	itemsPerChunk = 32       // average; must be a power of two
+	maxChunkSize  = 32 << 10 // bytes; a chunk ends with the item that reaches this, and longer items are split
 )
 
 // digestSize is the length of a Digest in bytes.
 const digestSize = 16
 
-// Digest names a text, or a part of one: the first 128 bits of its SHA-256.
+// Digest identifies a text, or a part of one, by the first 128 bits of its SHA-256 hash.
 type Digest [digestSize]byte
 
 // DigestOf returns the digest of a text.
@@ -29,37 +29,38 @@
 	return Digest(sum[:digestSize])
 }
 
-// Chunker cuts a text into chunks and calls do with each, in order: ConfigChunks or AcceptedVersionChunks.
-type Chunker func(text []byte, do func(chunk []byte))
+// Chunker splits a text into chunks and calls visit with each, in order. The implementations are
+// ConfigChunks and AcceptedVersionChunks.
+type Chunker func(text []byte, visit func(chunk []byte))
 
 var (
 	_ Chunker = ConfigChunks
 	_ Chunker = AcceptedVersionChunks
 )
 
-// ConfigChunks cuts a configuration into its chunks and calls do with each, in order.
-func ConfigChunks(text []byte, do func(chunk []byte)) {
-	begin := 0
-	endAt := func(offset int) {
-		do(text[begin:offset])
-		begin = offset
+// ConfigChunks splits a configuration into chunks and calls visit with each, in order.
+func ConfigChunks(text []byte, visit func(chunk []byte)) {
+	start := 0
+	emitUntil := func(offset int) {
+		visit(text[start:offset])
+		start = offset
 	}
 	forEachItem(text, func(offset int, item []byte) {
 		end := offset + len(item)
-		for end-begin > 2*maxChunkSize {
-			endAt(begin + maxChunkSize)
+		for end-start > 2*maxChunkSize {
+			emitUntil(start + maxChunkSize)
 		}
-		if end-begin >= maxChunkSize || crc32.ChecksumIEEE(item)%itemsPerChunk == 0 {
-			endAt(end)
+		if end-start >= maxChunkSize || crc32.ChecksumIEEE(item)%itemsPerChunk == 0 {
+			emitUntil(end)
 		}
 	})
-	if begin < len(text) {
-		endAt(len(text))
+	if start < len(text) {
+		emitUntil(len(text))
 	}
 }
 
-// ChunkIndex returns the digests and lengths of a text's chunks: some twenty bytes for a chunk of eight
-// thousand. It is what a replica tells of the text that it has.
+// ChunkIndex returns the digests and lengths of a text's chunks: about 20 bytes for a chunk of 8,000 bytes.
+// A replica sends it to describe the text that it has.
 func ChunkIndex(text []byte, chunker Chunker) []byte {
 	var index []byte
 	chunker(text, func(chunk []byte) {
@@ -69,8 +70,8 @@
 	return index
 }
 
-// chunkOffsets reads a ChunkIndex: the offsets of the chunks by their digests. It returns nil for an index
-// that can't be read.
+// chunkOffsets decodes the output of ChunkIndex and returns the offsets of the chunks by digest. It returns
+// nil for a malformed index.
 func chunkOffsets(index []byte) map[Digest]uint64 {
 	offsets := map[Digest]uint64{}
 	offset := uint64(0)
@@ -89,9 +90,9 @@
 	return offsets
 }
 
-// NewDeltaOver returns a text as a delta over what the receiver has, of which only the version, which may be
-// of any age, and the index of chunks are known. Without an index, or with one that can't be read, the text
-// goes in full.
+// NewDeltaOver returns a text as a delta over the receiver's text, of which only the version and the chunk
+// index are known. The version may be of any age. Without an index, or with a malformed one, the delta
+// contains the full text.
 func NewDeltaOver(text []byte, baseVersion uint64, index []byte, chunker Chunker) *Delta {
 	offsets := chunkOffsets(index)
 	if baseVersion == 0 || len(offsets) == 0 {
--- a/internal/controlplane/message/codec.go
+++ b/internal/controlplane/message/codec.go
@@ -11,35 +11,35 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// typeNumber is the field of a message that says of which type it is. It is written first.
+// typeNumber is the number of the field that carries the type of a message. It is written first.
 const typeNumber = 1
 
-// fieldOrder is the order in which the fields of a message's header and body are written. Readers take them
-// in any order; it is kept so that the same message has the same bytes in all versions.
+// fieldOrder is the order in which the fields of a message's header and body are written. Readers accept any
+// order. The order is fixed so that the same message has the same encoding in all versions of the program.
 var fieldOrder = []protowire.Number{2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 17, 18, 19, 20, 21, 22,
 	39, 40,
 	41, 42, 45, 46, 47, 30, 31, 32, 33, 34, 35, 36, 37, 38, 48, 53, 54, 50, 51, 52, 55, 60, 61, 62, 63, 64,
 	70, 71}
 
-// errFieldType tells of a field whose wire type is not the one that its Go type has.
-var errFieldType = errors.New("message: field of another wire type")
+// errFieldType is returned for a field whose wire type or length does not match its Go type.
+var errFieldType = errors.New("message: field has the wrong wire type or length")
 
-// fieldCodec is how a field of a struct is written.
+// fieldCodec describes how a field of a struct is encoded.
 type fieldCodec struct {
 	number protowire.Number
-	index  int          // of the field in its struct
-	kind   reflect.Kind // of the field; Array: of bytes
-	elem   reflect.Kind // of a slice's elements
+	index  int          // index of the field in its struct
+	kind   reflect.Kind // kind of the field; an Array has byte elements
+	elem   reflect.Kind // kind of the elements, if the field is a slice
 }
 
 // structCodecs caches a []fieldCodec by reflect.Type.
 var structCodecs sync.Map
 
-// codecOf returns the codecs of a struct's fields that have a tag "pb", in the order in which they are
-// declared.
+// codecOf returns the codecs of the fields of a struct that have a "pb" tag, in declaration order. It is
+// safe for concurrent use.
 func codecOf(t reflect.Type) []fieldCodec {
-	if known, ok := structCodecs.Load(t); ok {
-		return known.([]fieldCodec)
+	if cached, ok := structCodecs.Load(t); ok {
+		return cached.([]fieldCodec)
 	}
 	var codec []fieldCodec
 	for i := range t.NumField() {
@@ -57,7 +57,7 @@
 	return codec
 }
 
-// messageField is a field of a message: of its header or of its body.
+// messageField is a field of the header or of the body of a message.
 type messageField struct {
 	fieldCodec
 	inBody bool
@@ -66,11 +66,11 @@
 // messageCodecs caches a []messageField by the reflect.Type of the body.
 var messageCodecs sync.Map
 
-// messageCodecOf returns the fields of a message with a body of the given struct, in the order in which they
-// are written.
+// messageCodecOf returns the fields of a message whose body has the given struct type, in the order in which
+// they are written. It is safe for concurrent use.
 func messageCodecOf(body reflect.Type) []messageField {
-	if known, ok := messageCodecs.Load(body); ok {
-		return known.([]messageField)
+	if cached, ok := messageCodecs.Load(body); ok {
+		return cached.([]messageField)
 	}
 	var fields []messageField
 	for _, field := range codecOf(reflect.TypeFor[Message]()) {
@@ -86,8 +86,8 @@
 	return fields
 }
 
-// MarshalAppend writes a struct whose fields have tags, or a pointer to one, behind buf. Empty fields take no
-// bytes.
+// MarshalAppend appends the encoding of a struct with "pb" tags, or of a pointer to one, to buf and returns
+// the extended buffer. Empty fields take no bytes.
 func MarshalAppend(buf []byte, v any) []byte {
 	if m, ok := v.(*Message); ok {
 		return marshalMessage(buf, m)
@@ -95,6 +95,8 @@
 	return marshalStruct(buf, reflect.Indirect(reflect.ValueOf(v)))
 }
 
+// marshalMessage appends the type of a message, then the fields of its header and body in fieldOrder. A
+// message without a body has no type.
 func marshalMessage(buf []byte, m *Message) []byte {
 	if m.Body == nil {
 		return marshalStruct(buf, reflect.ValueOf(m).Elem())
@@ -119,9 +121,9 @@
 	return buf
 }
 
-// marshalField writes a field of a struct, unless it is empty.
-func marshalField(buf []byte, field fieldCodec, of reflect.Value) []byte {
-	v := of.Field(field.index)
+// marshalField appends a field of the struct parent to buf, unless the field is empty.
+func marshalField(buf []byte, field fieldCodec, parent reflect.Value) []byte {
+	v := parent.Field(field.index)
 	if field.kind != reflect.Slice && v.IsZero() {
 		return buf
 	}
@@ -176,8 +178,8 @@
 	return buf
 }
 
-// Unmarshal reads a struct that MarshalAppend wrote; v points to it. Fields that the struct does not have are
-// skipped. Slices of bytes are copies.
+// Unmarshal decodes the output of MarshalAppend into the struct that v points to. Fields that the struct
+// does not have are skipped. Byte slices are copied, so they do not refer to b.
 func Unmarshal(b []byte, v any) error {
 	if m, ok := v.(*Message); ok {
 		return unmarshalMessage(b, m)
@@ -185,6 +187,7 @@
 	return unmarshalStruct(b, reflect.ValueOf(v).Elem())
 }
 
+// unmarshalMessage decodes a message. A message of an unknown type gets an Unknown body.
 func unmarshalMessage(b []byte, m *Message) error {
 	number, err := messageType(b)
 	if err != nil {
@@ -215,8 +218,8 @@
 	})
 }
 
-// messageType returns the type that a message says it is of; 0: it says none. The type is written first, so
-// that no more than that is read as a rule.
+// messageType returns the type of an encoded message, or 0 if it has none. The type is written first, so
+// normally only one field is read.
 func messageType(b []byte) (Type, error) {
 	for len(b) > 0 {
 		number, t, n := protowire.ConsumeTag(b)
@@ -251,8 +254,9 @@
 	})
 }
 
-// forEachField calls do with the number, the wire type and the encoded value of each field.
-func forEachField(b []byte, do func(number protowire.Number, t protowire.Type, value []byte) error) error {
+// forEachField calls visit with the number, the wire type and the encoded value of each field. It stops at
+// the first error.
+func forEachField(b []byte, visit func(number protowire.Number, t protowire.Type, value []byte) error) error {
 	for len(b) > 0 {
 		number, t, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -263,7 +267,7 @@
 		if n < 0 {
 			return protowire.ParseError(n)
 		}
-		if err := do(number, t, b[:n]); err != nil {
+		if err := visit(number, t, b[:n]); err != nil {
 			return err
 		}
 		b = b[n:]
@@ -282,6 +286,7 @@
 	return protowire.BytesType
 }
 
+// unmarshalField decodes the encoded value b of wire type t into the field v.
 func unmarshalField(v reflect.Value, field fieldCodec, t protowire.Type, b []byte) error {
 	if t != field.wireType() {
 		return errFieldType
@@ -304,7 +309,7 @@
 	return unmarshalBytes(v, field, inner)
 }
 
-// unmarshalBytes reads a field that is written with its length.
+// unmarshalBytes decodes the content of a length-delimited field.
 func unmarshalBytes(v reflect.Value, field fieldCodec, b []byte) error {
 	switch field.kind {
 	case reflect.String:
@@ -325,7 +330,8 @@
 	return nil
 }
 
-// unmarshalElement appends an element to a slice; a slice of bytes is read whole.
+// unmarshalElement decodes one element and appends it to a slice. A byte slice is replaced instead, as it is
+// encoded as a single value.
 func unmarshalElement(v reflect.Value, field fieldCodec, b []byte) error {
 	switch field.elem {
 	case reflect.Uint8:
--- a/internal/controlplane/message/delta.go
+++ b/internal/controlplane/message/delta.go
@@ -8,48 +8,51 @@
 	"io"
 )
 
-// compressThreshold is the length in bytes from which compression is worth the processor's time.
+// compressThreshold is the length in bytes from which compression is worth its CPU time.
 const compressThreshold = 2 << 10
 
 // Errors of applying a delta.
 var (
-	ErrUnknownBase    = errors.New("message: delta over another base")
+	// ErrUnknownBase is returned for a delta whose base is not the version that the receiver has.
+	ErrUnknownBase = errors.New("message: delta over an unknown base")
+	// ErrDigestMismatch is returned for a delta that is malformed or yields a text with another checksum.
 	ErrDigestMismatch = errors.New("message: digest mismatch")
 )
 
-// Delta is a text on its way: what changed since a base that the receiver has, where that is known, else the
-// text in full; compressed where it is long. Links may be as slow as a quarter of a megabyte a second, and
-// configurations longer than that.
+// Delta is the form in which a text is sent: as a patch over a base that the receiver has, if such a base is
+// known, or else in full, and compressed if it is long. Links may be as slow as 0.25 MB/s, and a
+// configuration may be longer than what such a link carries in a second.
 type Delta struct {
-	BaseVersion uint64 `pb:"1"` // the version that it is a change of; 0: it is the full text
-	Checksum    uint64 `pb:"2"` // of the full text; 0: empty
-	Raw         []byte `pb:"3"` // the full text, or an encoded patch
-	Compressed  []byte `pb:"4"` // the same, deflated
+	BaseVersion uint64 `pb:"1"` // version of the text that the patch applies to; 0: the delta is the full text
+	Checksum    uint64 `pb:"2"` // of the full text; 0 in an empty Delta
+	Raw         []byte `pb:"3"` // the full text or an encoded patch, unless compressed
+	Compressed  []byte `pb:"4"` // the same, compressed with DEFLATE
 }
 
-// Checksum returns the 64-bit FNV-1a checksum of a text, never 0. It guards against a wrong base, not against
-// an adversary.
+// Checksum returns the 64-bit FNV-1a hash of a text, with 0 replaced by 1. It protects against applying a
+// delta to a wrong base, not against an adversary.
 func Checksum(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
 	return max(1, h.Sum64())
 }
 
-// NewDelta returns a text as a delta over an older one; in full where baseVersion is 0 or base is empty.
+// NewDelta returns a text as a delta over an older text, base. The delta contains the full text if
+// baseVersion is 0 or base is empty.
 func NewDelta(text []byte, baseVersion uint64, base []byte) *Delta {
 	if baseVersion == 0 || len(base) == 0 {
-		return compressed(&Delta{Checksum: Checksum(text), Raw: text})
+		return compressIfLong(&Delta{Checksum: Checksum(text), Raw: text})
 	}
 	return newPatchDelta(text, baseVersion, diff(base, text))
 }
 
-// newPatchDelta returns a text as a patch over a base.
+// newPatchDelta returns the delta that contains p, which must yield text when applied to the base.
 func newPatchDelta(text []byte, baseVersion uint64, p *patch) *Delta {
-	return compressed(&Delta{BaseVersion: baseVersion, Checksum: Checksum(text), Raw: MarshalAppend(nil, p)})
+	return compressIfLong(&Delta{BaseVersion: baseVersion, Checksum: Checksum(text), Raw: MarshalAppend(nil, p)})
 }
 
-// compressed deflates what is long.
-func compressed(d *Delta) *Delta {
+// compressIfLong compresses the content of a delta if it has at least compressThreshold bytes. It returns d.
+func compressIfLong(d *Delta) *Delta {
 	if len(d.Raw) < compressThreshold {
 		return d
 	}
@@ -68,9 +71,9 @@
 	return d
 }
 
-// Apply returns the full text. The receiver has the base version, with the text base. The error is
-// ErrUnknownBase for a delta over another version, ErrDigestMismatch if the text did not come out right: it
-// is to be asked for in full.
+// Apply returns the full text, given the receiver's version and its text, base. The error is ErrUnknownBase
+// if the delta is over another version, and ErrDigestMismatch if the delta is malformed or the result has
+// another checksum. After ErrDigestMismatch the receiver must request the full text.
 func (d *Delta) Apply(baseVersion uint64, base []byte) ([]byte, error) {
 	raw := d.Raw
 	if len(d.Compressed) > 0 {
@@ -99,19 +102,20 @@
 	return raw, nil
 }
 
-// patch is how a text is made of another: segments of that, and new ones, in order.
+// patch describes how to build a text from a base: copied and literal segments, in order.
 type patch struct {
 	Segments []segment `pb:"1"`
 }
 
-// segment is a run of bytes of the base, or new ones.
+// segment is a range of the base, or a literal.
 type segment struct {
-	Offset  uint64 `pb:"1"` // in the base
-	Length  uint64 `pb:"2"` // 0: Literal
+	Offset  uint64 `pb:"1"` // of the range, in the base
+	Length  uint64 `pb:"2"` // of the range; 0: the segment is Literal
 	Literal []byte `pb:"3"`
 }
 
-// apply makes the text. It is no longer than MaxFrameSize and one segment.
+// apply builds the text from base. To bound memory, it returns ErrDigestMismatch if a range is copied when
+// the text is already longer than MaxFrameSize; it returns the same error for a range outside base.
 func (p *patch) apply(base []byte) (text []byte, err error) {
 	for _, s := range p.Segments {
 		switch {
@@ -126,7 +130,8 @@
 	return text, nil
 }
 
-// add puts a part behind the others: as a segment of the base if it is found there, at the given offset.
+// add appends a part to the patch: as a range of the base if found is true, with offset as its start, or
+// else as a literal. Adjacent segments are merged.
 func (p *patch) add(offset uint64, found bool, part []byte) {
 	var last *segment
 	if n := len(p.Segments); n > 0 {
@@ -144,24 +149,24 @@
 	}
 }
 
-// itemPrefix is how an item of a configuration begins: texts are cut there. One that is written otherwise is
-// a single item, and goes in full.
+// itemPrefix is the start of each item of a configuration, where texts are split. A text in which it does
+// not occur is treated as a single item, so a changed one is sent in full.
 var itemPrefix = []byte(`{"item_kind"`)
 
-// forEachItem cuts a text into items, and calls do with each and its offset.
-func forEachItem(text []byte, do func(offset int, item []byte)) {
+// forEachItem splits a text into items and calls visit with each and its offset, in order.
+func forEachItem(text []byte, visit func(offset int, item []byte)) {
 	offset := 0
 	for offset < len(text) {
 		end := len(text)
 		if next := bytes.Index(text[offset+1:], itemPrefix); next >= 0 {
 			end = offset + 1 + next
 		}
-		do(offset, text[offset:end])
+		visit(offset, text[offset:end])
 		offset = end
 	}
 }
 
-// diff returns the patch from one text to another, item by item.
+// diff returns a patch that yields text when applied to base. It compares whole items.
 func diff(base, text []byte) *patch {
 	offsets := map[string]int{}
 	forEachItem(base, func(offset int, item []byte) { offsets[string(item)] = offset })
--- a/internal/controlplane/message/golden_test.go
+++ b/internal/controlplane/message/golden_test.go
@@ -14,18 +14,18 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew, for a new field or type only")
+var update = flag.Bool("update", false, "rewrite the golden files; only for a new field or type")
 
 const (
-	goldenFile      = "testdata/messages.golden"       // as the first program with these types wrote them
-	goldenAddedFile = "testdata/messages-added.golden" // with the fields that were added since
+	goldenFile      = "testdata/messages.golden"       // written by the first version of the program
+	goldenAddedFile = "testdata/messages-added.golden" // with addedFields
 )
 
-// addedFields lists the fields that were added to types of messages since the first golden file.
+// addedFields lists, by message type, the fields that were added since the first golden file was written.
 var addedFields = map[uint64][]int{5: {55}, 19: {63}, 20: {64}}
 
-// fieldsOf lists the numbers of the protobuf fields that each type of message carries, beside the type itself
-// (field 1). It is written in numbers alone, so that renaming a Go identifier can't change it.
+// fieldsOf lists, by message type, the numbers of the protobuf fields that a message carries, without the
+// type itself (field 1). It consists of numbers only, so that renaming a Go identifier cannot change it.
 var fieldsOf = map[uint64][]int{
 	1:  {3, 40, 41},
 	2:  {11, 18, 20, 32, 40, 54},
@@ -61,8 +61,8 @@
 	44: {2, 5, 6, 9, 13, 30, 37, 38, 40, 48},
 }
 
-// fill sets the tagged fields of a struct to values that follow from their numbers; only those named, unless
-// the list is nil.
+// fill sets the tagged fields of a struct to values derived from their numbers. If only is not nil, it sets
+// just the fields with the numbers in it.
 func fill(v reflect.Value, only []int) {
 	for i := range v.NumField() {
 		number, err := strconv.Atoi(v.Type().Field(i).Tag.Get("pb"))
@@ -73,6 +73,7 @@
 	}
 }
 
+// fillValue sets a field to a value derived from its number.
 func fillValue(v reflect.Value, number int) {
 	switch v.Kind() {
 	case reflect.Uint64:
@@ -106,8 +107,8 @@
 	}
 }
 
-// golden returns the frame of a message of each type with all fields that the type carries, or has
-// carried before any were added to it.
+// golden returns the hex-encoded frame of a message of each type with all its fields set, one type a line.
+// The fields in addedFields are set only if withAdded is true.
 func golden(withAdded bool) []byte {
 	var out bytes.Buffer
 	for _, number := range slices.Sorted(maps.Keys(fieldsOf)) {
@@ -123,7 +124,7 @@
 	return out.Bytes()
 }
 
-// clearFields sets fields of a struct to their zero values, by their numbers.
+// clearFields sets the fields of a struct with the given numbers to their zero values.
 func clearFields(v reflect.Value, numbers []int) {
 	for i := range v.NumField() {
 		number, err := strconv.Atoi(v.Type().Field(i).Tag.Get("pb"))
@@ -133,14 +134,15 @@
 	}
 }
 
-// Given a message of every type with all that it carries, then its bytes are those that earlier versions
-// of the program wrote, and are read back and written equal: without the fields that were added since,
-// those of the first file, and with them those of the second.
-func TestBytesOfEveryMessageStay(t *testing.T) {
+// The encoding of every message type is the one that earlier versions of the program wrote: that in the
+// first golden file without the fields added since, and that in the second file with them. Decoding and
+// encoding a golden message again yields the same bytes.
+func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	checkGolden(t, goldenFile, false)
 	checkGolden(t, goldenAddedFile, true)
 }
 
+// checkGolden compares the output of golden with a golden file, after rewriting the file if -update is set.
 func checkGolden(t *testing.T, file string, withAdded bool) {
 	t.Helper()
 	if *update {
@@ -153,7 +155,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(golden(withAdded), want) {
-		t.Errorf("%s: messages are written with other bytes than before", file)
+		t.Errorf("%s: the encoding of messages has changed", file)
 	}
 	types := 0
 	for lines := bufio.NewScanner(bytes.NewReader(want)); lines.Scan(); types++ {
@@ -173,7 +175,7 @@
 			t.Fatalf("type %d: %v, %v", number, m, err)
 		}
 		if !bytes.Equal(AppendFrame(nil, m), frame) {
-			t.Errorf("type %d: read back, it is written with other bytes", number)
+			t.Errorf("type %d: decoding and encoding again changes the bytes", number)
 		}
 	}
 	if types != len(fieldsOf) {
--- a/internal/controlplane/message/membership.go
+++ b/internal/controlplane/message/membership.go
@@ -1,40 +1,40 @@
 package message
 
-// Announce is sent by a process that starts, and by a replica that is no member, to ask what is known of the
-// core and to be known as a candidate for it.
+// Announce is sent by a process that starts, and by a replica that is not a member. It requests what the
+// receiver knows about the core and announces the sender as a candidate for membership.
 type Announce struct {
-	HasDisk    bool   `pb:"11"` // the sender has a disk, and would be a member
+	HasDisk    bool   `pb:"11"` // the sender has a disk and can become a member
 	Zone       string `pb:"18"`
-	FirstStart bool   `pb:"20"` // the whole system starts for the first time
+	FirstStart bool   `pb:"20"` // the system as a whole starts for the first time
 	StoreID    uint64 `pb:"32"`
-	// RemovedByOperator says that the sender was a member that an operator removed: only an operator adds it
-	// again.
+	// RemovedByOperator means that the sender was a member and was removed by an operator. Only an operator may
+	// add it again.
 	RemovedByOperator bool `pb:"54"`
 }
 
 // Type is TypeAnnounce.
 func (*Announce) Type() Type { return TypeAnnounce }
 
-// MemberList answers Announce: the members of the core, as far as known.
+// MemberList is the response to Announce: the members of the core that the sender knows.
 type MemberList struct {
 	Members         []Node `pb:"6"`
-	MembershipEpoch uint64 `pb:"30"` // of the view that installed the members; 0: the first start did
-	// OutgoingMembers are the members before, until the change is known to be complete: both must agree until
-	// then.
+	MembershipEpoch uint64 `pb:"30"` // of the view that installed the members; 0: the first start installed them
+	// OutgoingMembers are the previous members, until the change is known to be complete. Until then, decisions
+	// need the agreement of both memberships.
 	OutgoingMembers []Node `pb:"31"`
-	RemovedMembers  []Node `pb:"53"` // that operators have removed last
+	RemovedMembers  []Node `pb:"53"` // the members that operators removed most recently
 }
 
 // Type is TypeMemberList.
 func (*MemberList) Type() Type { return TypeMemberList }
 
-// MemberUpdate is a MemberList that nobody asked for.
+// MemberUpdate is a MemberList that is sent without a request.
 type MemberUpdate MemberList
 
 // Type is TypeMemberUpdate.
 func (*MemberUpdate) Type() Type { return TypeMemberUpdate }
 
-// LearnerSnapshot brings the newest value to a replica that is to become a member.
+// LearnerSnapshot sends the newest value to a learner, a replica that is about to become a member.
 type LearnerSnapshot struct {
 	Version          uint64            `pb:"7"`
 	Config           *Delta            `pb:"8"`
@@ -47,7 +47,7 @@
 // Type is TypeLearnerSnapshot.
 func (*LearnerSnapshot) Type() Type { return TypeLearnerSnapshot }
 
-// LearnerReady says that a LearnerSnapshot is on the sender's disk.
+// LearnerReady acknowledges that a LearnerSnapshot is stored on the sender's disk.
 type LearnerReady struct {
 	Version uint64 `pb:"7"`
 	StoreID uint64 `pb:"32"`
@@ -56,7 +56,8 @@
 // Type is TypeLearnerReady.
 func (*LearnerReady) Type() Type { return TypeLearnerReady }
 
-// ChangeMembers is an operator's order: change the members, or, where both addresses are empty, tell them.
+// ChangeMembers is an operator's request to change the members or, if both addresses are empty, to report
+// them.
 type ChangeMembers struct {
 	AddMember    string `pb:"35"` // address; empty: none
 	RemoveMember string `pb:"36"` // address; empty: none
@@ -65,16 +66,16 @@
 // Type is TypeChangeMembers.
 func (*ChangeMembers) Type() Type { return TypeChangeMembers }
 
-// ChangeMembersResult answers ChangeMembers.
+// ChangeMembersResult is the response to ChangeMembers.
 type ChangeMembersResult struct {
 	Chain             []string `pb:"5"`
 	Members           []Node   `pb:"6"`
-	OK                bool     `pb:"9"`  // the members are as ordered
-	Learners          []Node   `pb:"13"` // replicas that are no members and could become some
+	OK                bool     `pb:"9"`  // the members are as requested
+	Learners          []Node   `pb:"13"` // replicas that are not members and could become members
 	MembershipEpoch   uint64   `pb:"30"`
-	Reason            string   `pb:"37"` // why the order is not carried out
-	ToleratedFailures uint64   `pb:"38"` // members that may be lost now
-	ToleranceGap      string   `pb:"48"` // why not all that may be lost at once can be now; empty: it can
+	Reason            string   `pb:"37"` // why the request was not carried out
+	ToleratedFailures uint64   `pb:"38"` // number of members that may fail now
+	ToleranceGap      string   `pb:"48"` // why fewer members may fail now than by design; empty: as many may
 }
 
 // Type is TypeChangeMembersResult.
--- a/internal/controlplane/message/types.go
+++ b/internal/controlplane/message/types.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Type says what a message is.
+// Type is the type of a message, as encoded on the wire.
 type Type uint64
 
-// The types of messages. Numbers are never used again; 4 was a message of the first start.
+// The types of messages. Numbers are never reused; 4 was a message of the first start.
 const (
 	TypeHandshake         Type = 1
 	TypeAnnounce          Type = 2
@@ -42,7 +42,7 @@
 	TypeChangeMembersResult Type = 44
 )
 
-// newBody makes an empty body of each type.
+// newBody maps each known type to a constructor of an empty body.
 var newBody = map[Type]func() Body{
 	TypeHandshake:           func() Body { return new(Handshake) },
 	TypeAnnounce:            func() Body { return new(Announce) },
@@ -78,8 +78,8 @@
 	TypeChangeMembersResult: func() Body { return new(ChangeMembersResult) },
 }
 
-// ResponseTypes are the types of the responses to each type of request. A response repeats the request id or
-// the epoch of its request, and the incarnation of the process that asked.
+// ResponseTypes maps each type of request to the types of its responses. A response repeats the request id
+// or the epoch of its request, and the incarnation of the requesting process.
 var ResponseTypes = map[Type][]Type{
 	TypeAnnounce:         {TypeMemberList},
 	TypePrepare:          {TypePromise, TypeReject},
@@ -94,7 +94,7 @@
 	TypeChangeMembers:    {TypeChangeMembersResult, TypeReject},
 }
 
-// isResponse holds the types that answer a request.
+// isResponse is the set of types that are a response to a request.
 var isResponse = func() map[Type]bool {
 	all := map[Type]bool{}
 	for _, types := range ResponseTypes {
@@ -105,7 +105,7 @@
 	return all
 }()
 
-// String returns the name of a type, for logs and tests.
+// String returns the name of a type, for use in logs and tests.
 func (t Type) String() string {
 	if body := newBody[t]; body != nil {
 		return fmt.Sprintf("%T", body())[len("*message."):]
@@ -113,7 +113,8 @@
 	return fmt.Sprintf("Type(%d)", uint64(t))
 }
 
-// Unknown is the body of a message of a type that this version of the program doesn't know. It is ignored.
+// Unknown is the body of a message of a type that this version of the program does not know. Receivers
+// ignore such a message.
 type Unknown struct{ Number Type }
 
 // Type returns the unknown type.
--- a/internal/controlplane/message/view.go
+++ b/internal/controlplane/message/view.go
@@ -1,9 +1,9 @@
 package message
 
-// Prepare proposes a view: refuse all below its epoch.
+// Prepare proposes a view and requests a promise to reject all lower epochs.
 type Prepare struct {
 	Epoch            uint64            `pb:"4"`
-	Version          uint64            `pb:"7"` // that the proposer holds
+	Version          uint64            `pb:"7"` // the proposer's version
 	AcceptedEpoch    uint64            `pb:"21"`
 	AcceptedVersions []AcceptedVersion `pb:"22"` // the version's own entry
 	ConfigIndex      []byte            `pb:"39"` // ChunkIndex of the proposer's configuration
@@ -14,14 +14,15 @@
 // Type is TypePrepare.
 func (*Prepare) Type() Type { return TypePrepare }
 
-// Promise answers Prepare: nothing below the epoch is accepted any more, and this is what the sender holds.
+// Promise is the response to Prepare: the sender no longer accepts anything below the epoch, and reports
+// what it has stored.
 type Promise struct {
 	Epoch            uint64            `pb:"4"`
 	Version          uint64            `pb:"7"`
-	Config           *Delta            `pb:"8"` // where it is newer than the proposer's
+	Config           *Delta            `pb:"8"` // if it is newer than the proposer's
 	AcceptedEpoch    uint64            `pb:"21"`
 	AcceptedVersions []AcceptedVersion `pb:"22"`
-	ConfigIndex      []byte            `pb:"39"` // where it differs and is not newer
+	ConfigIndex      []byte            `pb:"39"` // if the configuration differs and is not newer
 	StoreID          uint64            `pb:"32"`
 	AcceptedDelta    *Delta            `pb:"70"`
 	AcceptedIndex    []byte            `pb:"71"`
@@ -30,8 +31,8 @@
 // Type is TypePromise.
 func (*Promise) Type() Type { return TypePromise }
 
-// Reject says that the sender has promised a later epoch, or is not the replica to ask; it tells the view or
-// the members that it knows.
+// Reject is the response of a replica that has promised a later epoch or does not handle the request. It
+// contains the view or the members that the sender knows.
 type Reject struct {
 	Epoch           uint64   `pb:"4"`
 	Chain           []string `pb:"5"`
@@ -44,19 +45,19 @@
 // Type is TypeReject.
 func (*Reject) Type() Type { return TypeReject }
 
-// MemberList returns the members that a rejection tells.
+// MemberList returns the members in a rejection as a MemberList.
 func (r *Reject) MemberList() *MemberList {
 	return &MemberList{Members: r.Members, MembershipEpoch: r.MembershipEpoch,
 		OutgoingMembers: r.OutgoingMembers, RemovedMembers: r.RemovedMembers}
 }
 
-// InstallView hands out a view that a quorum has promised, and the newest value.
+// InstallView distributes a view that a quorum has promised, together with the newest value.
 type InstallView struct {
 	Epoch            uint64            `pb:"4"`
 	Chain            []string          `pb:"5"`
 	Members          []Node            `pb:"6"`
 	Version          uint64            `pb:"7"`
-	Config           *Delta            `pb:"8"`  // nil where the receiver has it
+	Config           *Delta            `pb:"8"`  // nil if the receiver already has it
 	AcceptedVersions []AcceptedVersion `pb:"22"` // the version's own entry
 	MembershipEpoch  uint64            `pb:"30"`
 	OutgoingMembers  []Node            `pb:"31"`
@@ -67,7 +68,7 @@
 // Type is TypeInstallView.
 func (*InstallView) Type() Type { return TypeInstallView }
 
-// ViewInstalled says that a view and its value are on the sender's disk.
+// ViewInstalled acknowledges that a view and its value are stored on the sender's disk.
 type ViewInstalled struct {
 	Epoch uint64 `pb:"4"`
 }
@@ -75,18 +76,18 @@
 // Type is TypeViewInstalled.
 func (*ViewInstalled) Type() Type { return TypeViewInstalled }
 
-// ActivateView says that all replicas of a view have installed it: it serves.
+// ActivateView announces that all replicas of a view have installed it, so that the view may serve.
 type ActivateView struct {
 	Epoch          uint64   `pb:"4"`
 	Chain          []string `pb:"5"`
 	Version        uint64   `pb:"7"`
-	LeavingMembers []string `pb:"52"` // who has the view on disk, and leaves the core by it
+	LeavingMembers []string `pb:"52"` // members that have stored the view and leave the core with it
 }
 
 // Type is TypeActivateView.
 func (*ActivateView) Type() Type { return TypeActivateView }
 
-// ConfirmEpoch asks whether an epoch is the highest that the receiver has promised.
+// ConfirmEpoch requests confirmation that an epoch is the highest that the receiver has promised.
 type ConfirmEpoch struct {
 	Epoch uint64 `pb:"4"`
 }
@@ -94,10 +95,10 @@
 // Type is TypeConfirmEpoch.
 func (*ConfirmEpoch) Type() Type { return TypeConfirmEpoch }
 
-// EpochConfirmed answers ConfirmEpoch.
+// EpochConfirmed is the response to ConfirmEpoch.
 type EpochConfirmed struct {
 	Epoch uint64 `pb:"4"`
-	OK    bool   `pb:"9"` // it is
+	OK    bool   `pb:"9"` // the epoch is the highest promised
 }
 
 // Type is TypeEpochConfirmed.
--- a/internal/controlplane/message/watch.go
+++ b/internal/controlplane/message/watch.go
@@ -1,41 +1,43 @@
 package message
 
-// Watch asks for what has changed since the versions that the sender holds, and renews the sender's lease. It
-// is held back until there is a change, or for WaitMillis.
+// Watch requests what has changed since the versions that the sender has, and renews the sender's lease. It
+// is a long poll: the response is delayed until there is a change, for at most WaitMillis.
 type Watch struct {
 	Epoch         uint64        `pb:"4"`
-	Version       uint64        `pb:"7"`  // of the configuration; 0: none, or the full one is wanted
-	Endpoints     *EndpointList `pb:"12"` // epoch and sequence alone; nil: none
+	Version       uint64        `pb:"7"`  // of the configuration; 0: none, or the full one is requested
+	Endpoints     *EndpointList `pb:"12"` // epoch and sequence only; nil: none
 	NodesChecksum uint64        `pb:"14"` // of the list of nodes; 0: none
 	WaitMillis    uint64        `pb:"17"`
 	Zone          string        `pb:"18"`
 
-	// EchoRequestID names the request whose response the sender had last from the receiver, and EchoDelayMillis
-	// how long ago that came: the lease counts from when this was sent.
+	// EchoRequestID is the id of the request to which the sender last received a response from the receiver,
+	// and EchoDelayMillis the time since that response arrived. The lease is counted from when this was sent.
 	EchoRequestID   uint64 `pb:"46"`
 	EchoDelayMillis uint64 `pb:"47"`
 
-	Chunks []SnapshotChunk `pb:"60"` // how far snapshots have come
-	// bytes of snapshots that the response may bring; 0: InitialChunkBudget
+	Chunks []SnapshotChunk `pb:"60"` // progress of snapshot transfers
+	// ChunkBudget is the maximum number of snapshot bytes in the response. 0: InitialChunkBudget.
 	ChunkBudget uint64 `pb:"61"`
-	// a configuration that is held and not in force: deltas over it will do
+	// BaseVersion is the version of a configuration that the sender has but does not apply. The response may
+	// use it as the base of a delta.
 	BaseVersion uint64 `pb:"62"`
-	// EndpointsDigest is that of the endpoint list that the sender holds, if that is of an earlier view than
-	// the one known; else zero.
+	// EndpointsDigest is the ContentDigest of the sender's endpoint list, if that list is from a view earlier
+	// than the latest one that the sender knows. Otherwise it is zero.
 	EndpointsDigest Digest `pb:"63"`
 }
 
 // Type is TypeWatch.
 func (*Watch) Type() Type { return TypeWatch }
 
-// WatchResponse answers Watch with what is new. A snapshot's bytes are one as well, with one resource in it.
+// WatchResponse is the response to Watch and contains what has changed. The bytes of a snapshot are an
+// encoded WatchResponse as well, with a single resource.
 type WatchResponse struct {
 	Epoch           uint64          `pb:"4"`
-	Chain           []string        `pb:"5"` // with the members, where the epoch is new
+	Chain           []string        `pb:"5"` // with the members, if the epoch is new
 	Members         []Node          `pb:"6"`
 	Version         uint64          `pb:"7"`
 	Config          *Delta          `pb:"8"`
-	Fresh           bool            `pb:"9"` // the sender serves with a quorum: what it tells is the newest
+	Fresh           bool            `pb:"9"` // the sender serves with a quorum, so its versions are the newest
 	Endpoints       *EndpointList   `pb:"12"`
 	Nodes           []Node          `pb:"13"`
 	NodesChecksum   uint64          `pb:"14"`
@@ -43,21 +45,21 @@
 	OutgoingMembers []Node          `pb:"31"`
 	RemovedMembers  []Node          `pb:"53"`
 	Chunks          []SnapshotChunk `pb:"60"`
-	// SameEndpoints, of epoch and sequence alone, says that the list which the watcher holds is the newest,
-	// under these. Only who has told its digest is told so.
+	// SameEndpoints means that the content of the watcher's list is the newest, under this epoch and sequence;
+	// the other fields are empty. It is sent only to watchers that sent an EndpointsDigest.
 	SameEndpoints *EndpointList `pb:"64"`
 }
 
 // Type is TypeWatchResponse.
 func (*WatchResponse) Type() Type { return TypeWatchResponse }
 
-// MemberList returns the members that a response tells.
+// MemberList returns the members in a response as a MemberList.
 func (w *WatchResponse) MemberList() *MemberList {
 	return &MemberList{Members: w.Members, MembershipEpoch: w.MembershipEpoch,
 		OutgoingMembers: w.OutgoingMembers, RemovedMembers: w.RemovedMembers}
 }
 
-// EndpointUpdate hands the endpoint list to the rest of the chain.
+// EndpointUpdate sends the endpoint list to the rest of the chain.
 type EndpointUpdate struct {
 	Endpoints *EndpointList `pb:"12"`
 }
@@ -65,7 +67,8 @@
 // Type is TypeEndpointUpdate.
 func (*EndpointUpdate) Type() Type { return TypeEndpointUpdate }
 
-// EndpointList is the list of servers, under the epoch of who read it and a number that rises within that.
+// EndpointList is the list of servers, versioned by the epoch of the replica that read it and by a sequence
+// number that increases within the epoch.
 type EndpointList struct {
 	Epoch     uint64     `pb:"1"`
 	Sequence  uint64     `pb:"2"`
@@ -77,7 +80,7 @@
 	return than == nil || l.Epoch > than.Epoch || l.Epoch == than.Epoch && l.Sequence > than.Sequence
 }
 
-// ContentDigest names the servers in a list, whatever epoch and sequence it has.
+// ContentDigest returns a digest of the servers in a list that does not depend on its epoch and sequence.
 func (l *EndpointList) ContentDigest() Digest {
 	return DigestOf(MarshalAppend(nil, &EndpointList{Endpoints: l.Endpoints}))
 }
@@ -90,39 +93,40 @@
 	Zone         string `pb:"4"`
 	Capacity     uint64 `pb:"5"`
 	Draining     bool   `pb:"6"`
-	WarmupMillis uint64 `pb:"7"` // for which it stays slow
+	WarmupMillis uint64 `pb:"7"` // how long the server is expected to stay slow
 }
 
-// Resource is one of the things that are watched, each with versions of its own.
+// Resource identifies a kind of watched data. Each resource has its own versions.
 type Resource uint64
 
-// The resources, in the order in which they are told.
+// The resources, in the order in which they are sent.
 const (
 	ResourceConfig Resource = iota + 1
 	ResourceEndpoints
 	ResourceNodes
 )
 
-// SnapshotChunk is a run of bytes of a snapshot: a WatchResponse with one resource, encoded. A long snapshot
-// is told in chunks, which are asked for one after the other. It is named by its checksum, so that a transfer
-// goes on at any replica that has the same.
+// SnapshotChunk is a range of the bytes of a snapshot, which is an encoded WatchResponse with one resource.
+// A long snapshot is sent in chunks that are requested one after the other. A snapshot is identified by its
+// checksum, so that a transfer can be resumed at any replica that has the same snapshot.
 type SnapshotChunk struct {
 	Resource  Resource `pb:"1"`
 	Checksum  uint64   `pb:"2"` // of the snapshot
-	TotalSize uint64   `pb:"3"` // bytes of all of it
-	Offset    uint64   `pb:"4"` // in a Watch: bytes that are held; in a response: where Data belongs
+	TotalSize uint64   `pb:"3"` // size of the snapshot in bytes
+	Offset    uint64   `pb:"4"` // in a Watch: number of bytes received; in a response: the offset of Data
 	Data      []byte   `pb:"5"`
-	Stale     bool     `pb:"6"` // in a response: it is not the newest any more, and good as a base alone
-	// Of a configuration: its version, and the one that it is a delta over; 0: none.
+	Stale     bool     `pb:"6"` // in a response: the snapshot is outdated and usable only as a base
+	// Version and BaseVersion are, for a configuration, its version and the version that it is a delta over. 0:
+	// none.
 	Version     uint64 `pb:"7"`
 	BaseVersion uint64 `pb:"8"`
 }
 
-// Bytes of snapshots that a response may bring.
+// Limits on the number of snapshot bytes in a response.
 const (
-	// InitialChunkBudget holds where the request doesn't say: on a link of a quarter of a megabyte a second it
-	// takes half of the time that a first response has.
+	// InitialChunkBudget applies if the request has no ChunkBudget. On a link of 0.25 MB/s it takes half of the
+	// time allowed for a first response.
 	InitialChunkBudget = 32 << 10
-	MinChunkBudget     = 4 << 10 // however slow the link is, and however many watch
+	MinChunkBudget     = 4 << 10 // regardless of the speed of the link and the number of watchers
 	MaxChunkBudget     = 1 << 20
 )
