--- a/internal/controlplane/transport/authentication_test.go
+++ b/internal/controlplane/transport/authentication_test.go
@@ -17,25 +17,27 @@
 	newKey = "fedcba9876543210fedcba9876543210"
 )
 
-// notHeardAfter is when what one process sends counts as refused by another.
-const notHeardAfter = time.Second
+// receiveTimeout is how long reaches retries before it reports that the other process receives nothing.
+const receiveTimeout = time.Second
 
-// peerProcess is a transport on a network in memory, what it heard, and whom it refused.
+// peerProcess is a transport on an in-memory network. It records the senders of received messages and the
+// reasons of logged refusals.
 type peerProcess struct {
 	*Transport
-	heard   chan string
-	refused chan string
+	received chan string
+	refused  chan string
 }
 
+// startPeer starts a process at a host of an in-memory network and closes it when the test ends.
 func startPeer(t *testing.T, network *memoryNetwork, host string,
 	authentication Authentication) *peerProcess {
 	t.Helper()
-	p := &peerProcess{heard: make(chan string, 64), refused: make(chan string, 64)}
+	p := &peerProcess{received: make(chan string, 64), refused: make(chan string, 64)}
 	self := net.JoinHostPort(host, "7560")
 	var err error
 	p.Transport, err = New(Options{Self: self, Authentication: authentication, Dial: network.dialFrom(self),
 		Listen: network.listen,
-		Handle: func(from string, _ *message.Message) { p.heard <- from },
+		Handle: func(from string, _ *message.Message) { p.received <- from },
 		Log: func(e events.Event, pairs ...any) {
 			if e == events.PeerNotAuthenticated {
 				p.refused <- pairs[len(pairs)-1].(string)
@@ -48,7 +50,7 @@
 	return p
 }
 
-// withKeys is authentication by some keys, for the process at an address.
+// withKeys returns an Authentication with the given keys for the process at a host.
 func withKeys(t *testing.T, host string, required bool, keys ...string) Authentication {
 	t.Helper()
 	parsed, err := peerauth.ParseKeys([]byte(strings.Join(keys, "\n")))
@@ -62,16 +64,16 @@
 	return Authentication{Authenticator: authenticator, Required: required}
 }
 
-// reaches reports whether what one process sends comes to another: it retries, as those who speak over a
-// transport do.
+// reaches reports whether the other process receives messages from p. It retries until receiveTimeout, as
+// callers of a transport do.
 func (p *peerProcess) reaches(other *peerProcess) bool {
 	retry := time.NewTicker(20 * time.Millisecond)
 	defer retry.Stop()
-	end := time.After(notHeardAfter)
+	end := time.After(receiveTimeout)
 	for {
 		p.Send(other.Self, &message.Message{Body: &message.Watch{}})
 		select {
-		case from := <-other.heard:
+		case from := <-other.received:
 			return from == p.Self
 		case <-retry.C:
 		case <-end:
@@ -80,19 +82,19 @@
 	}
 }
 
-// Given two processes with and without keys, when each sends to the other, then what comes is as the keys
-// say, in both directions; a process that requires keys tells why it refuses one.
-func TestWhoIsAPeer(t *testing.T) {
+// Whether two processes receive each other's messages depends on their keys and on whether they require
+// authentication, in both directions. A process that refuses the other logs the reason.
+func TestAuthenticationDependsOnSharedKeys(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		a, b   func(t *testing.T, host string) Authentication
-		passes bool
-		reason string
+		name      string
+		a, b      func(t *testing.T, host string) Authentication
+		reachable bool
+		reason    string
 	}{
 		{"both have the key", keys(true, oldKey), keys(true, oldKey), true, ""},
 		{"the keys are being replaced", keys(true, newKey, oldKey), keys(true, oldKey, newKey), true, ""},
-		{"keys are being given out", keys(false, oldKey), none, true, ""},
-		{"all have keys, none requires them yet", keys(false, oldKey), keys(true, oldKey), true, ""},
+		{"keys are being deployed", keys(false, oldKey), none, true, ""},
+		{"both have the key, one requires it", keys(false, oldKey), keys(true, oldKey), true, ""},
 		{"one has no key", none, keys(true, oldKey), false, errNotAuthenticated.Error()},
 		{"one has another key", keys(true, newKey), keys(true, oldKey), false,
 			peerauth.ErrUnknownAuthority.Error()},
@@ -102,28 +104,30 @@
 				network := newMemoryNetwork(t)
 				a := startPeer(t, network, "127.0.0.1", c.a(t, "127.0.0.1"))
 				b := startPeer(t, network, "127.0.0.2", c.b(t, "127.0.0.2"))
-				if passes := a.reaches(b); passes != c.passes {
-					t.Errorf("from a to b: %v", passes)
+				if reachable := a.reaches(b); reachable != c.reachable {
+					t.Errorf("from a to b: %v", reachable)
 				}
-				if passes := b.reaches(a); passes != c.passes {
-					t.Errorf("from b to a: %v", passes)
+				if reachable := b.reaches(a); reachable != c.reachable {
+					t.Errorf("from b to a: %v", reachable)
 				}
-				if c.reason != "" && !toldReason(c.reason, a, b) {
-					t.Errorf("nobody tells that %q", c.reason)
+				if c.reason != "" && !loggedReason(c.reason, a, b) {
+					t.Errorf("no process logged the reason %q", c.reason)
 				}
 			})
 		})
 	}
 }
 
+// none returns an Authentication without keys.
 func none(*testing.T, string) Authentication { return Authentication{} }
 
+// keys returns a constructor of an Authentication with the listed keys.
 func keys(required bool, list ...string) func(t *testing.T, host string) Authentication {
 	return func(t *testing.T, host string) Authentication { return withKeys(t, host, required, list...) }
 }
 
-// toldReason reports whether a process has told a reason of refusing a peer.
-func toldReason(reason string, processes ...*peerProcess) bool {
+// loggedReason reports whether any of the processes logged a refusal with the given reason.
+func loggedReason(reason string, processes ...*peerProcess) bool {
 	for _, p := range processes {
 		for len(p.refused) > 0 {
 			if strings.Contains(<-p.refused, reason) {
@@ -134,23 +138,23 @@
 	return false
 }
 
-// Given a process with the key that claims another's address, when it sends, then nothing of it is taken: its
-// certificate is for its own.
-func TestAClaimedAddressIsNotBelieved(t *testing.T) {
+// A process with a valid key that claims the address of another process in its handshake is refused,
+// because its certificate is for its own address.
+func TestAddressMustMatchCertificate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork(t)
 		b := startPeer(t, network, "127.0.0.2", withKeys(t, "127.0.0.2", true, oldKey))
-		liar := startPeer(t, network, "127.0.0.1", withKeys(t, "127.0.0.1", true, oldKey))
-		liar.Self = "127.0.0.3:7"
-		if liar.reaches(b) {
-			t.Error("it is heard as 127.0.0.3")
+		impostor := startPeer(t, network, "127.0.0.1", withKeys(t, "127.0.0.1", true, oldKey))
+		impostor.Self = "127.0.0.3:7"
+		if impostor.reaches(b) {
+			t.Error("a message was accepted from 127.0.0.3")
 		}
 	})
 }
 
-// Given processes that speak under a key, when that is replaced everywhere, one process after the other,
-// then they hear each other all the while; and one that is left with the old key alone is heard no more.
-func TestKeysAreReplacedWithoutAStop(t *testing.T) {
+// The key can be replaced in one process after the other without interrupting communication. Afterwards a
+// process that has only the old key is refused.
+func TestKeysAreReplacedWithoutInterruption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := newMemoryNetwork(t)
 		a := startPeer(t, network, "127.0.0.1", withKeys(t, "127.0.0.1", true, oldKey))
@@ -166,12 +170,12 @@
 		} {
 			step.p.SetAuthentication(withKeys(t, step.host, true, step.keys...))
 			if !a.reaches(b) || !b.reaches(a) {
-				t.Fatalf("with %d keys at %s: not heard", len(step.keys), step.host)
+				t.Fatalf("with %d keys at %s: messages are not received", len(step.keys), step.host)
 			}
 		}
 		old := startPeer(t, network, "127.0.0.4", withKeys(t, "127.0.0.4", true, oldKey))
 		if old.reaches(b) {
-			t.Error("the old key is still believed")
+			t.Error("the old key is still accepted")
 		}
 	})
 }
--- a/internal/controlplane/transport/connections_test.go
+++ b/internal/controlplane/transport/connections_test.go
@@ -14,7 +14,8 @@
 	"dunespoke/internal/events"
 )
 
-// pipes are connections in memory, from whoever dials to who listens at an address.
+// pipes is an in-memory network. It passes the server side of each dialled connection to the listener by
+// address.
 type pipes map[string]chan net.Conn
 
 func (l pipes) listen(_, addr string) (net.Listener, error) {
@@ -31,42 +32,44 @@
 	return a, nil
 }
 
-type listener struct{ calls chan net.Conn }
+type listener struct{ incoming chan net.Conn }
 
 func (l listener) Accept() (net.Conn, error) {
-	nc, ok := <-l.calls
+	conn, ok := <-l.incoming
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return nc, nil
+	return conn, nil
 }
-func (l listener) Close() error   { close(l.calls); return nil }
+func (l listener) Close() error   { close(l.incoming); return nil }
 func (l listener) Addr() net.Addr { return nil }
 
-// endpoint is a transport in memory, what it heard, and what it logged.
+// endpoint is a transport on an in-memory network. It records the ids of received requests and the logged
+// events.
 type endpoint struct {
 	*Transport
-	mu    sync.Mutex
-	calls []uint64
-	came  chan uint64
-	log   chan events.Event
+	mu         sync.Mutex
+	requestIDs []uint64
+	received   chan uint64
+	logged     chan events.Event
 }
 
-func (l pipes) end(t *testing.T, self string, life uint64,
+// newEndpoint starts a transport at the address self and closes it when the test ends.
+func (l pipes) newEndpoint(t *testing.T, self string, incarnation uint64,
 	dial func(context.Context, string, string) (net.Conn, error)) *endpoint {
 	t.Helper()
-	e := &endpoint{came: make(chan uint64, 64), log: make(chan events.Event, 64)}
+	e := &endpoint{received: make(chan uint64, 64), logged: make(chan events.Event, 64)}
 	var err error
-	e.Transport, err = New(Options{Self: self, Incarnation: life, Listen: l.listen, Dial: dial,
+	e.Transport, err = New(Options{Self: self, Incarnation: incarnation, Listen: l.listen, Dial: dial,
 		Handle: func(_ string, m *message.Message) {
 			e.mu.Lock()
-			e.calls = append(e.calls, m.RequestID)
+			e.requestIDs = append(e.requestIDs, m.RequestID)
 			e.mu.Unlock()
-			e.came <- m.RequestID
+			e.received <- m.RequestID
 		},
 		Log: func(v events.Event, _ ...any) {
 			if v != events.UserTimeoutUnsupported {
-				e.log <- v
+				e.logged <- v
 			}
 		}})
 	if err != nil {
@@ -78,10 +81,11 @@
 
 var errReset = errors.New("reset")
 
-// resetConn is reset after so many bytes that were written.
+// resetConn is a connection that is reset after a number of written bytes. It records all bytes passed to
+// Write.
 type resetConn struct {
 	net.Conn
-	left int
+	left int // bytes that may still be written
 	sent *bytes.Buffer
 }
 
@@ -95,59 +99,61 @@
 	return n, nil
 }
 
-// resendingConn plays a transport that sends a queue anew on the next connection.
+// resendingConn simulates a faulty transport that resends the queue of a broken connection on the next one,
+// after the handshake.
 type resendingConn struct {
 	net.Conn
-	rung bool
-	anew []byte
+	handshakeSent bool
+	resend        []byte
 }
 
 func (c *resendingConn) Write(p []byte) (int, error) {
-	if c.rung {
-		if _, err := c.Conn.Write(c.anew); err != nil {
+	if c.handshakeSent {
+		if _, err := c.Conn.Write(c.resend); err != nil {
 			return 0, err
 		}
-		c.anew = nil
+		c.resend = nil
 	}
-	c.rung = true
+	c.handshakeSent = true
 	return c.Conn.Write(p)
 }
 
-// reset has one end send three calls over a connection that is reset after so many bytes, and then more of
-// them until one comes, and returns what the other heard.
-func reset(t *testing.T, after int, anew bool) []uint64 {
+// sendOverReset sends three requests over a connection that is reset after a number of bytes, then further
+// ones until one is received over a new connection. It returns the ids that the other endpoint received. If
+// resend is true, the new connection simulates a faulty transport that sends the first requests again.
+func sendOverReset(t *testing.T, after int, resend bool) []uint64 {
 	l := pipes{}
-	b := l.end(t, "b", 2, l.dial)
+	b := l.newEndpoint(t, "b", 2, l.dial)
 	first := true
 	var sent bytes.Buffer
-	ring := len(
+	handshakeSize := len(
 		message.AppendFrame(nil,
 			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}}),
 	)
-	a := l.end(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
-		nc, err := l.dial(ctx, network, addr)
+	a := l.newEndpoint(t, "a", 1, func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := l.dial(ctx, network, addr)
 		switch {
 		case first:
 			first = false
-			return &resetConn{nc, after, &sent}, err
-		case anew && sent.Len() > ring:
-			return &resendingConn{Conn: nc, anew: sent.Bytes()[ring:]}, err
+			return &resetConn{conn, after, &sent}, err
+		case resend && sent.Len() > handshakeSize:
+			return &resendingConn{Conn: conn, resend: sent.Bytes()[handshakeSize:]}, err
 		}
-		return nc, err
+		return conn, err
 	})
-	for call := range uint64(3) {
-		a.Send("b", &message.Message{RequestID: call + 1, Body: &message.Put{}})
+	for id := range uint64(3) {
+		a.Send("b", &message.Message{RequestID: id + 1, Body: &message.Put{}})
 	}
-	if v := <-b.log; v != events.PeerDisconnected {
+	if v := <-b.logged; v != events.PeerDisconnected {
 		t.Errorf("reset after %d bytes: %s", after, v.Text)
 	}
-	for call := uint64(4); ; call++ {
+	for id := uint64(4); ; id++ {
 		a.Transport.mu.Lock()
-		a.peer("b").lastFailure = time.Time{} // it was too soon to dial again
+		a.peer("b").lastFailure = time.Time{} // dial without waiting for redialDelay
 		a.Transport.mu.Unlock()
-		a.Send("b", &message.Message{RequestID: call, Body: &message.Put{}})
+		a.Send("b", &message.Message{RequestID: id, Body: &message.Put{}})
 		select {
-		case c := <-b.came:
+		case c := <-b.received:
 			if c < 4 {
 				continue
 			}
@@ -156,42 +162,44 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return slices.Clone(b.calls)
+		return slices.Clone(b.requestIDs)
 	}
 }
 
-// Given calls on a connection, when it is reset at any byte, then each call is heard once, or never, and none
-// in part; and the next are heard. A transport that sends its queue anew is found out.
-func TestWhatAResetCutsOffIsNotSentTwice(t *testing.T) {
+// If a connection is reset after any number of bytes, each request on it is received at most once and never
+// in part, and later requests are received. The test also checks that it detects a transport that sends its
+// queue again.
+func TestRequestsAreNotResentAfterAReset(t *testing.T) {
 	size := len(
 		message.AppendFrame(nil,
 			&message.Message{Incarnation: 1, Body: &message.Handshake{Sender: "a", Receiver: "b"}}),
 	) +
 		3*len(message.AppendFrame(nil, &message.Message{RequestID: 1, Body: &message.Put{}}))
-	twice := 0
+	duplicates := 0
 	for after := range size {
-		heard := reset(t, after, false)
-		if !slices.IsSorted(heard) || len(slices.Compact(slices.Clone(heard))) != len(heard) {
-			t.Errorf("reset after %d bytes: heard %v", after, heard)
+		ids := sendOverReset(t, after, false)
+		if !slices.IsSorted(ids) || len(slices.Compact(slices.Clone(ids))) != len(ids) {
+			t.Errorf("reset after %d bytes: received %v", after, ids)
 		}
-		heard = reset(t, after, true)
-		slices.Sort(heard)
-		if len(slices.Compact(slices.Clone(heard))) != len(heard) {
-			twice++
+		ids = sendOverReset(t, after, true)
+		slices.Sort(ids)
+		if len(slices.Compact(slices.Clone(ids))) != len(ids) {
+			duplicates++
 		}
 	}
-	if twice == 0 {
-		t.Error("a trunk that sends anew is not found out")
+	if duplicates == 0 {
+		t.Error("a transport that resends its queue is not detected")
 	}
 }
 
-// withoutReceiver plays a transport that doesn't say whom it calls.
+// withoutReceiver simulates a transport whose handshake does not contain the dialled address: it replaces
+// the receiver by the address of the process that answers.
 type withoutReceiver struct{ net.Conn }
 
 func (c withoutReceiver) Write(p []byte) (int, error) {
-	var cut message.FrameDecoder
-	cut.Feed(p)
-	if m, _ := cut.Next(); m != nil {
+	var decoder message.FrameDecoder
+	decoder.Feed(p)
+	if m, _ := decoder.Next(); m != nil {
 		if handshake, ok := m.Body.(*message.Handshake); ok {
 			handshake.Receiver = "b"
 			p = message.AppendFrame(nil, m)
@@ -200,71 +208,74 @@
 	return c.Conn.Write(p)
 }
 
-// Given an address that another process answers, when it is called, then that one takes nothing of what is
-// said; and where it did not look, who called takes nothing from it.
-func TestAPeerAtAnothersAddressIsDisconnected(t *testing.T) {
-	for _, looks := range []bool{true, false} {
+// If another process answers at the dialled address, it closes the connection without handling any message.
+// If it does not check the dialled address, the dialling process detects the mismatch and handles no
+// message from it.
+func TestAProcessAtAWrongAddressIsDisconnected(t *testing.T) {
+	for _, checksReceiver := range []bool{true, false} {
 		l := pipes{}
-		b := l.end(t, "b", 2, l.dial)
-		a := l.end(t, "a", 1, func(ctx context.Context, network, _ string) (net.Conn, error) {
-			nc, err := l.dial(ctx, network, "b")
-			if !looks {
-				nc = withoutReceiver{nc}
+		b := l.newEndpoint(t, "b", 2, l.dial)
+		a := l.newEndpoint(t, "a", 1, func(ctx context.Context, network, _ string) (net.Conn, error) {
+			conn, err := l.dial(ctx, network, "b")
+			if !checksReceiver {
+				conn = withoutReceiver{conn}
 			}
-			return nc, err
+			return conn, err
 		})
 		a.Send("old", &message.Message{RequestID: 1, Body: &message.ConfirmEpoch{}})
-		if looks {
-			if v := <-b.log; v != events.PeerProtocolError {
-				t.Errorf("b says: %s", v.Text)
+		if checksReceiver {
+			if v := <-b.logged; v != events.PeerProtocolError {
+				t.Errorf("b logged: %s", v.Text)
 			}
-			if len(b.came) > 0 {
-				t.Error("what was said to another was taken")
+			if len(b.received) > 0 {
+				t.Error("b handled a message for another process")
 			}
 			continue
 		}
-		if v := <-a.log; v != events.PeerProtocolError { // the defect is found at the other end, too
-			t.Errorf("a says: %s", v.Text)
+		if v := <-a.logged; v != events.PeerProtocolError { // the mismatch is detected at the other end as well
+			t.Errorf("a logged: %s", v.Text)
 		}
-		if len(a.came) > 0 {
-			t.Error("what another said was taken")
+		if len(a.received) > 0 {
+			t.Error("a handled a message from another process")
 		}
 	}
 }
 
-// handshake has a peer call a transport by hand, and returns its end once that has taken the connection.
-func (l pipes) handshake(t *testing.T, from string, life uint64, to *endpoint) net.Conn {
+// handshake connects a simulated peer to an endpoint and exchanges handshakes. It returns the peer's end of
+// the connection once the endpoint has attached it.
+func (l pipes) handshake(t *testing.T, from string, incarnation uint64, to *endpoint) net.Conn {
 	t.Helper()
-	nc, _ := l.dial(context.Background(), "", to.Self)
-	t.Cleanup(func() { nc.Close() })
-	send(t, nc, &message.Message{Incarnation: life, Body: &message.Handshake{Sender: from, Receiver: to.Self}})
-	m := next(nc)
+	conn, _ := l.dial(context.Background(), "", to.Self)
+	t.Cleanup(func() { conn.Close() })
+	send(t, conn, &message.Message{Incarnation: incarnation,
+		Body: &message.Handshake{Sender: from, Receiver: to.Self}})
+	m := next(conn)
 	if m == nil {
-		t.Fatal("no answer")
+		t.Fatal("no handshake in response")
 	}
 	if handshake, ok := m.Body.(*message.Handshake); !ok || handshake.Sender != to.Self ||
 		m.Incarnation != to.Incarnation {
-		t.Fatalf("answered %+v", m)
+		t.Fatalf("handshake in response is %+v", m)
 	}
-	send(t, nc, &message.Message{Body: &message.Heartbeat{}})
-	<-to.came
-	return nc
+	send(t, conn, &message.Message{Body: &message.Heartbeat{}})
+	<-to.received
+	return conn
 }
 
-// send writes a message by hand.
-func send(t *testing.T, nc net.Conn, m *message.Message) {
+// send writes a message to a connection.
+func send(t *testing.T, conn net.Conn, m *message.Message) {
 	t.Helper()
-	if _, err := nc.Write(message.AppendFrame(nil, m)); err != nil {
+	if _, err := conn.Write(message.AppendFrame(nil, m)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// next reads a message; nil: the connection has ended.
-func next(nc net.Conn) *message.Message {
+// next reads a message. It returns nil if the connection has ended.
+func next(conn net.Conn) *message.Message {
 	var c message.FrameDecoder
 	buf := make([]byte, 1)
 	for {
-		if _, err := nc.Read(buf); err != nil {
+		if _, err := conn.Read(buf); err != nil {
 			return nil
 		}
 		c.Feed(buf)
@@ -274,28 +285,28 @@
 	}
 }
 
-// Given a peer that was started again while something is on its way to its earlier incarnation, when it
-// calls, then the old connection ends at once, and what is said next comes to the new life, without what was
-// cut off. Were lives not told apart, the old one would go on.
-func TestANewIncarnationTakesTheConnectionOver(t *testing.T) {
-	for life, ends := range map[uint64]bool{7: true, 1: false} {
+// If a peer restarts while a message to its previous incarnation is being written, and then connects, the
+// old connection is closed at once. The next message reaches the new incarnation, without the rest of the
+// interrupted one. A connection from the same incarnation does not close the old one.
+func TestANewIncarnationReplacesTheConnection(t *testing.T) {
+	for incarnation, closes := range map[uint64]bool{7: true, 1: false} {
 		l := pipes{}
-		b := l.end(t, "b", 2, l.dial)
+		b := l.newEndpoint(t, "b", 2, l.dial)
 		old := l.handshake(t, "a", 1, b)
 		b.Send("a", &message.Message{RequestID: 1, Body: &message.Committed{}})
-		if _, err := old.Read(make([]byte, 1)); err != nil { // it stands still in the midst of it
+		if _, err := old.Read(make([]byte, 1)); err != nil { // the peer stops reading in the middle of the message
 			t.Fatal(err)
 		}
-		young := l.handshake(t, "a", life, b)
-		if _, err := old.Read(make([]byte, 1)); (err != nil) != ends {
-			t.Errorf("life %d: the old connection ends: %v, want %v", life, err != nil, ends)
+		restarted := l.handshake(t, "a", incarnation, b)
+		if _, err := old.Read(make([]byte, 1)); (err != nil) != closes {
+			t.Errorf("incarnation %d: the old connection is closed: %v, want %v", incarnation, err != nil, closes)
 		}
-		if !ends {
+		if !closes {
 			continue
 		}
 		b.Send("a", &message.Message{RequestID: 2, Body: &message.Committed{}})
-		if m := next(young); m == nil || m.RequestID != 2 {
-			t.Errorf("the new life hears %+v", m)
+		if m := next(restarted); m == nil || m.RequestID != 2 {
+			t.Errorf("the new incarnation received %+v", m)
 		}
 	}
 }
--- a/internal/controlplane/transport/dial.go
+++ b/internal/controlplane/transport/dial.go
@@ -10,16 +10,18 @@
 	"github.com/gravitational/trace"
 )
 
-// Times of opening a connection.
+// Timeouts and intervals of dialling.
 const (
 	dialTimeout = 400 * time.Millisecond
-	// dialAttemptInterval is between attempts to an address that doesn't answer. The first packet to a
-	// machine that is just coming up is lost, and the system sends it again only after a second.
+	// dialAttemptInterval is the time between attempts to connect to an address that does not respond. The
+	// first packet to a machine that is still starting is lost, and the kernel retransmits it only after a
+	// second.
 	dialAttemptInterval = 100 * time.Millisecond
 )
 
-// dialPeer opens a connection to a peer; nil: it can't be reached, and what was queued is lost, unless the
-// peer has opened one meanwhile. The lock is held by the caller, and not while it dials.
+// dialPeer opens a connection to a peer. It returns nil if the peer cannot be reached; the queued messages
+// are then dropped, unless the peer has opened a connection in the meantime. It must be called with t.mu
+// held, and releases t.mu while it dials.
 func (t *Transport) dialPeer(p *peer) net.Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -43,7 +45,7 @@
 	return conn
 }
 
-// dial opens a connection and says who is calling.
+// dial opens a connection, authenticates the peer and sends the handshake.
 func (t *Transport) dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := t.connect(ctx, addr)
 	if err != nil {
@@ -61,17 +63,17 @@
 	return authenticated, nil
 }
 
-// dialResult is the end of an attempt.
+// dialResult is the result of one attempt to connect.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// connect opens a connection by several attempts, each begun while none of those before has an answer.
-// The first answer counts, a refusal among them.
+// connect opens a connection. While there is no result, it starts another attempt every
+// dialAttemptInterval. It returns the first result of any attempt, including an error such as a refusal.
 func (t *Transport) connect(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the attempts that are left
+	defer cancel() // cancels the remaining attempts
 	results := make(chan dialResult)
 	attempt := func() {
 		conn, err := t.Dial(ctx, "tcp", addr)
@@ -83,14 +85,14 @@
 			}
 		}
 	}
-	next := time.NewTicker(dialAttemptInterval)
-	defer next.Stop()
+	attemptTicker := time.NewTicker(dialAttemptInterval)
+	defer attemptTicker.Stop()
 	go attempt()
 	for {
 		select {
 		case result := <-results:
 			return result.conn, result.err
-		case <-next.C:
+		case <-attemptTicker.C:
 			go attempt()
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/controlplane/transport/failure_test.go
+++ b/internal/controlplane/transport/failure_test.go
@@ -12,17 +12,19 @@
 	"dunespoke/internal/events"
 )
 
-// signals are what a transport tells of its peers: who has sent a message, and what became of whose process.
+// signals records the callbacks of a transport: the addresses of peers that sent a message, disconnected,
+// or refused a connection.
 type signals struct {
-	heard, disconnected, refused chan string
+	received, disconnected, refused chan string
 }
 
-func watched(t *testing.T, listener net.Listener) (*Transport, signals) {
+// newRecording starts a transport that records its callbacks, and closes it when the test ends.
+func newRecording(t *testing.T, listener net.Listener) (*Transport, signals) {
 	t.Helper()
 	s := signals{make(chan string, 64), make(chan string, 64), make(chan string, 64)}
 	x, err := New(Options{Self: listener.Addr().String(), Dial: (&net.Dialer{}).DialContext,
 		Listen:       func(string, string) (net.Listener, error) { return listener, nil },
-		Handle:       func(from string, _ *message.Message) { s.heard <- from },
+		Handle:       func(from string, _ *message.Message) { s.received <- from },
 		Disconnected: func(peer string) { s.disconnected <- peer },
 		Refused:      func(peer string) { s.refused <- peer },
 		Log:          func(events.Event, ...any) {}})
@@ -33,6 +35,7 @@
 	return x, s
 }
 
+// listen opens a listener at a free port of the loopback address.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -42,95 +45,95 @@
 	return l
 }
 
-// told waits for a signal about a peer.
-func told(t *testing.T, what string, signal chan string, peer string) {
+// expectSignal waits for a signal and checks that it is about peer.
+func expectSignal(t *testing.T, what string, signal chan string, peer string) {
 	t.Helper()
 	select {
 	case got := <-signal:
 		if got != peer {
-			t.Errorf("%s is told of %s, want %s", what, got, peer)
+			t.Errorf("%s is reported for %s, want %s", what, got, peer)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("%s is not told", what)
+		t.Fatalf("%s is not reported", what)
 	}
 }
 
-// Given a peer that is connected, when its connections are reset and it lives on, then the end is told
-// and no refusal; when its process is gone, then the next message finds its address refusing.
-func TestAnEndOfAConnectionAndARefusalAreTold(t *testing.T) {
-	a, heard := watched(t, listen(t))
-	b, heardByB := watched(t, listen(t))
+// If a peer closes its connections and keeps running, a disconnect is reported and no refusal. If its
+// process has ended, the next message leads to a refusal.
+func TestDisconnectsAndRefusalsAreReported(t *testing.T) {
+	a, signalsOfA := newRecording(t, listen(t))
+	b, signalsOfB := newRecording(t, listen(t))
 	a.Send(b.Self, &message.Message{Body: &message.Heartbeat{}})
-	told(t, "a message", heardByB.heard, a.Self)
+	expectSignal(t, "a message", signalsOfB.received, a.Self)
 	b.closeConnections()
-	told(t, "a reset", heard.disconnected, b.Self)
+	expectSignal(t, "a reset", signalsOfA.disconnected, b.Self)
 	a.Send(b.Self, &message.Message{Body: &message.Heartbeat{}})
-	told(t, "a message", heardByB.heard, a.Self)
-	if len(heard.refused)+len(heardByB.refused) > 0 {
-		t.Error("a reset is told as a refusal")
+	expectSignal(t, "a message", signalsOfB.received, a.Self)
+	if len(signalsOfA.refused)+len(signalsOfB.refused) > 0 {
+		t.Error("a disconnect is reported as a refusal")
 	}
 	if err := b.Close(); err != nil {
 		t.Fatal(err)
 	}
 	b.closeConnections()
-	told(t, "the process's end", heard.disconnected, b.Self)
+	expectSignal(t, "the process's end", signalsOfA.disconnected, b.Self)
 	a.Send(b.Self, &message.Message{Body: &message.Heartbeat{}})
-	told(t, "a refusal", heard.refused, b.Self)
+	expectSignal(t, "a refusal", signalsOfA.refused, b.Self)
 }
 
-// closeConnections ends all connections, as the end of the process does.
+// closeConnections closes all connections, as the end of the process would.
 func (t *Transport) closeConnections() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for conn := range t.open {
+	for conn := range t.openConns {
 		closeQuietly(conn)
 	}
 }
 
-// Given a peer whose machine answers nothing yet, when it comes up and opens a connection itself, then
-// what waits for the dial goes out by that at once; and when it does not, by a further attempt of the
-// dial.
-func TestADialThatHangsHoldsUpNothing(t *testing.T) {
+// A dial to a machine that does not respond yet does not delay messages longer than necessary. If the peer
+// opens a connection itself, the queued messages are sent on it at once. Otherwise they are sent when a
+// later attempt of the dial succeeds.
+func TestAnUnansweredDialDoesNotDelayMessages(t *testing.T) {
 	t.Run("the peer connects", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a, b := givenDark(t, func(int32) bool { return false })
-			began := time.Now()
+			a, b := newPairWithUnansweredDials(t, func(int32) bool { return false })
+			start := time.Now()
 			a.Send(b.Self, &message.Message{RequestID: 5, Body: &message.Watch{}})
-			synctest.Wait() // it dials
+			synctest.Wait() // until it dials
 			b.Send(a.Self, &message.Message{Body: &message.Watch{}})
-			if id := <-b.came; id != 5 || time.Since(began) > 0 {
-				t.Errorf("request %d came after %v", id, time.Since(began))
+			if id := <-b.received; id != 5 || time.Since(start) > 0 {
+				t.Errorf("request %d arrived after %v", id, time.Since(start))
 			}
 		})
 	})
 	t.Run("another attempt", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			a, b := givenDark(t, func(attempt int32) bool { return attempt > 1 })
-			began := time.Now()
+			a, b := newPairWithUnansweredDials(t, func(attempt int32) bool { return attempt > 1 })
+			start := time.Now()
 			a.Send(b.Self, &message.Message{RequestID: 6, Body: &message.Watch{}})
-			if id := <-b.came; id != 6 || time.Since(began) != dialAttemptInterval {
-				t.Errorf("request %d came after %v", id, time.Since(began))
+			if id := <-b.received; id != 6 || time.Since(start) != dialAttemptInterval {
+				t.Errorf("request %d arrived after %v", id, time.Since(start))
 			}
 		})
 	})
 }
 
-// peerWithRequests is a transport and the requests that came to it.
+// peerWithRequests is a transport that records the ids of received messages.
 type peerWithRequests struct {
 	*Transport
-	came chan uint64
+	received chan uint64
 }
 
-// givenDark makes two processes. Attempts of the first one to dial get no answer, but for those that are
-// answered.
-func givenDark(t *testing.T, answered func(attempt int32) bool) (a, b *peerWithRequests) {
+// newPairWithUnansweredDials starts two processes on an in-memory network. A dial attempt of the first one
+// gets no response unless answered returns true for its number, which starts at 1.
+func newPairWithUnansweredDials(t *testing.T, answered func(attempt int32) bool) (a, b *peerWithRequests) {
 	t.Helper()
 	network := newMemoryNetwork(t)
 	start := func(self string, dial func(context.Context, string, string) (net.Conn, error)) *peerWithRequests {
-		p := &peerWithRequests{came: make(chan uint64, 64)}
+		p := &peerWithRequests{received: make(chan uint64, 64)}
 		var err error
 		p.Transport, err = New(Options{Self: self, Dial: dial, Listen: network.listen,
-			Handle: func(_ string, m *message.Message) { p.came <- m.RequestID },
+			Handle: func(_ string, m *message.Message) { p.received <- m.RequestID },
 			Log:    func(events.Event, ...any) {}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controlplane/transport/memory_network_test.go
+++ b/internal/controlplane/transport/memory_network_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// memoryNetwork connects transports in memory, so that tests of what takes time run in virtual time.
+// memoryNetwork connects transports in memory, so that tests that depend on time can run in virtual time.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener // by address
-	ends      []net.Conn                 // of all connections
+	ends      []net.Conn                 // both ends of all connections
 }
 
 // newMemoryNetwork returns a network whose connections are closed when the test ends.
@@ -42,8 +42,8 @@
 	return l, nil
 }
 
-// dialFrom returns a function that opens connections from an address. An address at which nobody listens
-// refuses.
+// dialFrom returns a dial function for the process at the address caller. It returns ECONNREFUSED for an
+// address without a listener.
 func (n *memoryNetwork) dialFrom(caller string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		refused := &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
@@ -57,13 +57,13 @@
 		if err != nil {
 			return nil, err
 		}
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		n.mu.Lock()
-		n.ends = append(n.ends, near, far)
+		n.ends = append(n.ends, local, remote)
 		n.mu.Unlock()
 		select {
-		case l.incoming <- &memoryConn{far, from}:
-			return &memoryConn{near, l.addr}, nil
+		case l.incoming <- &memoryConn{remote, from}:
+			return &memoryConn{local, l.addr}, nil
 		case <-l.closed:
 			return nil, refused
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 	}
 }
 
-// memoryListener accepts what is dialled on a memoryNetwork.
+// memoryListener accepts connections that are dialled on a memoryNetwork.
 type memoryListener struct {
 	addr     *net.TCPAddr
 	incoming chan net.Conn
@@ -90,7 +90,7 @@
 	}
 }
 
-// Close has the address refuse connections.
+// Close closes the listener. Later connections to its address are refused.
 func (l *memoryListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
@@ -99,7 +99,7 @@
 // Addr returns the listener's address.
 func (l *memoryListener) Addr() net.Addr { return l.addr }
 
-// memoryConn is an end of a connection that knows the address of the other one.
+// memoryConn is one end of a connection, with the address of the other end.
 type memoryConn struct {
 	net.Conn
 	remote *net.TCPAddr
--- a/internal/controlplane/transport/queue.go
+++ b/internal/controlplane/transport/queue.go
@@ -6,21 +6,23 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Bounds of what waits to be sent to a peer.
+// Limits of a peer's send queue.
 const (
-	maxQueuedBytes = 2 * message.MaxFrameSize
-	maxUrgentBytes = 64 << 10 // heartbeats that a connection doesn't take are old by then
-	maxSpareBytes  = 16 << 10 // of a buffer that is kept for the next frames
+	maxQueuedBytes   = 2 * message.MaxFrameSize
+	maxUrgentBytes   = 64 << 10 // heartbeats beyond this are outdated before the connection accepts them
+	maxRecycledBytes = 16 << 10 // maximum capacity of a buffer that is kept for later frames
 )
 
-// sendQueue is the frames that wait to be sent to a peer. Heartbeats go before all others, so that a long
-// configuration ahead of them passes for no failure.
+// sendQueue contains the frames that are waiting to be sent to a peer. Heartbeats are sent first, so that a
+// long configuration in the queue does not delay them and make this process appear failed. It is not safe
+// for concurrent use.
 type sendQueue struct {
 	urgent   []byte
 	ordinary []byte
 }
 
-// push queues a message, unless too much waits. It reports whether it did.
+// push appends a message, or drops it if its part of the queue is over the limit. It reports whether the
+// message was queued.
 func (q *sendQueue) push(m *message.Message) bool {
 	queue, limit := &q.ordinary, maxQueuedBytes
 	if m.Type() == message.TypeHeartbeat {
@@ -33,14 +35,14 @@
 	return true
 }
 
-// empty reports whether nothing waits.
+// empty reports whether the queue has no frames.
 func (q *sendQueue) empty() bool { return len(q.urgent)+len(q.ordinary) == 0 }
 
-// clear drops all that waits.
+// clear drops all queued frames.
 func (q *sendQueue) clear() { *q = sendQueue{} }
 
-// pop takes the next frames, whole ones: all urgent ones, or else some that are one write, or a single
-// longer one.
+// pop removes and returns the next frames. It returns complete frames only: all urgent ones if there are
+// any, or else as many ordinary ones as fit into maxWriteSize, or a single longer one.
 func (q *sendQueue) pop() (frames []byte) {
 	if len(q.urgent) > 0 {
 		frames, q.urgent = q.urgent, nil
@@ -61,9 +63,9 @@
 	return frames
 }
 
-// recycle keeps the buffer of frames that were sent for those to come.
+// recycle reuses the buffer of sent frames for later ones, if it is small.
 func (q *sendQueue) recycle(frames []byte) {
-	if q.ordinary == nil && cap(frames) <= maxSpareBytes {
+	if q.ordinary == nil && cap(frames) <= maxRecycledBytes {
 		q.ordinary = frames[:0]
 	}
 }
--- a/internal/controlplane/transport/queue_test.go
+++ b/internal/controlplane/transport/queue_test.go
@@ -7,14 +7,14 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Given a long configuration and short messages that wait for a connection, when a heartbeat is sent,
-// then it leaves before all of them; the others leave in their order, as whole frames.
-func TestHeartbeatsLeaveFirst(t *testing.T) {
+// A heartbeat is sent before a long configuration and short messages that were queued earlier. The other
+// messages keep their order, and all frames are sent completely.
+func TestHeartbeatsAreSentFirst(t *testing.T) {
 	var q sendQueue
-	long := &message.Message{RequestID: 1, Body: &message.WatchResponse{
+	longMessage := &message.Message{RequestID: 1, Body: &message.WatchResponse{
 		Config: &message.Delta{Raw: make([]byte, 3*maxWriteSize)}}}
 	q.push(&message.Message{RequestID: 2, Body: &message.Watch{}})
-	q.push(long)
+	q.push(longMessage)
 	q.push(&message.Message{RequestID: 3, Body: &message.Watch{}})
 	q.push(&message.Message{RequestID: 4, Body: &message.Heartbeat{}})
 	var order []uint64
@@ -33,7 +33,7 @@
 			order = append(order, m.RequestID)
 		}
 		if !decoder.Empty() {
-			t.Error("a frame was cut")
+			t.Error("pop returned an incomplete frame")
 		}
 		q.recycle(frames)
 	}
--- a/internal/controlplane/transport/reader.go
+++ b/internal/controlplane/transport/reader.go
@@ -13,41 +13,41 @@
 
 // Errors of the handshake.
 var (
-	errNoHandshake       = errors.New("transport: message before the handshake, or a handshake without address")
+	errNoHandshake       = errors.New("transport: message before handshake, or handshake without sender address")
 	errRepeatedHandshake = errors.New("transport: repeated handshake")
-	errWrongPeer         = errors.New("transport: another process has the dialled address")
+	errWrongPeer         = errors.New("transport: the dialled address belongs to another process")
 )
 
-// inboundStream is what is read from a connection.
+// inboundStream is the receiving side of a connection. One goroutine uses it.
 type inboundStream struct {
 	transport *Transport
 	conn      net.Conn
-	dialled   string // the address that was dialled; empty where the other end did so
-	from      string // the peer's address, as far as known
-	// authenticatedHost is the IP address that a peer which opened the connection has shown a certificate
-	// for; empty: none.
+	dialled   string // the address that this process dialled; empty if the peer opened the connection
+	from      string // the peer's address; empty until known
+	// authenticatedHost is the IP address in the certificate of the peer that opened the connection; empty: it
+	// presented none, or this process opened the connection.
 	authenticatedHost string
-	shaken            bool // the handshake has come
+	handshakeDone     bool // the peer's handshake was received
 	decoder           message.FrameDecoder
 }
 
-// read takes messages from a connection until it ends.
+// read receives messages from a connection until it ends or has to be closed, and then closes it.
 func (t *Transport) read(s *inboundStream) {
 	conn := s.conn
 	defer t.track(conn)()
-	var ended error // nil: it is closed from here
+	var readErr error // nil: this process closes the connection
 	defer func() {
 		closeQuietly(conn)
 		t.detach(s.from, conn)
-		if s.shaken && endedByPeer(ended) && t.Disconnected != nil {
+		if s.handshakeDone && endedByPeer(readErr) && t.Disconnected != nil {
 			t.Disconnected(s.from)
 		}
 	}()
 	buf := make([]byte, readBufferSize)
 	for {
-		n, err := readWithin(conn, buf, idleTimeout)
-		if n > 0 && !s.shaken && s.decoder.Empty() && buf[0] == tlsHandshakeRecord {
-			t.logRefused(conn.RemoteAddr().String(), errNoKeysHere)
+		n, err := readWithTimeout(conn, buf, idleTimeout)
+		if n > 0 && !s.handshakeDone && s.decoder.Empty() && buf[0] == tlsHandshakeRecord {
+			t.logRefused(conn.RemoteAddr().String(), errNoKeysConfigured)
 			return
 		}
 		s.decoder.Feed(buf[:n])
@@ -55,27 +55,28 @@
 			return
 		}
 		if err != nil {
-			ended = err
+			readErr = err
 			t.Log(events.PeerDisconnected, "from", s.from, "error", err.Error())
 			return
 		}
 	}
 }
 
-// endedByPeer reports whether a connection's reads ended by its other end, or a reset.
+// endedByPeer reports whether err is the read error of a connection that the peer closed or that was reset.
 func endedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// readWithin reads what there is, and fails if nothing comes within the time.
-func readWithin(conn net.Conn, buf []byte, limit time.Duration) (n int, err error) {
-	if err := conn.SetReadDeadline(time.Now().Add(limit)); err != nil {
+// readWithTimeout reads the available bytes. It fails if none arrive within the timeout.
+func readWithTimeout(conn net.Conn, buf []byte, timeout time.Duration) (n int, err error) {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
 	}
 	return conn.Read(buf)
 }
 
-// deliver hands on the messages that are complete. It reports false if the connection is to be closed.
+// deliver handles all messages that were received completely. It returns false if the connection must be
+// closed.
 func (s *inboundStream) deliver() bool {
 	for {
 		m, err := s.decoder.Next()
@@ -86,29 +87,30 @@
 		if m == nil {
 			return true
 		}
-		if err := s.take(m); err != nil {
+		if err := s.handle(m); err != nil {
 			s.transport.Log(events.PeerProtocolError, "from", s.conn.RemoteAddr().String(), "error", err.Error())
 			return false
 		}
 	}
 }
 
-// take takes a message: the handshake first, then all others.
-func (s *inboundStream) take(m *message.Message) error {
+// handle processes a message. The first message must be the handshake; all others are passed to
+// Options.Handle.
+func (s *inboundStream) handle(m *message.Message) error {
 	handshake, ok := m.Body.(*message.Handshake)
 	switch {
-	case !ok && !s.shaken:
+	case !ok && !s.handshakeDone:
 		return errNoHandshake
 	case !ok:
 		s.transport.Handle(s.from, m)
 		return nil
-	case s.shaken:
+	case s.handshakeDone:
 		return errRepeatedHandshake
 	}
-	s.shaken = true
+	s.handshakeDone = true
 	if host, _, err := net.SplitHostPort(handshake.Sender); s.authenticatedHost != "" &&
 		(err != nil || host != s.authenticatedHost) {
-		return errClaimedAddress
+		return errAddressMismatch
 	}
 	if err := s.transport.handleHandshake(s.conn, s.dialled, handshake, m.Incarnation); err != nil {
 		return err
@@ -117,7 +119,8 @@
 	return nil
 }
 
-// handleHandshake takes who is at the other end of a connection, and answers who is at this one.
+// handleHandshake checks the identity of the peer, responds with a handshake if the peer opened the
+// connection, and attaches the connection to the peer.
 func (t *Transport) handleHandshake(conn net.Conn, dialled string, h *message.Handshake,
 	incarnation uint64) error {
 	switch {
@@ -134,7 +137,8 @@
 	return nil
 }
 
-// sendHandshake says who is at this end of a connection, and whom it has dialled.
+// sendHandshake sends the identity of this process and the address that it dialled; empty: the peer opened
+// the connection.
 func (t *Transport) sendHandshake(conn net.Conn, dialled string) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
--- a/internal/controlplane/transport/transport.go
+++ b/internal/controlplane/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport carries messages between the system's processes, over TCP: a connection for each pair
-// that has something to say, used in both directions. What can't be sent is lost, and those who speak over it
-// retry. Nothing is sent twice, and of a message that was cut off nothing is delivered.
+// Package transport sends messages between the system's processes over TCP, with one connection per pair of
+// processes, which is opened on demand and used in both directions. Messages that cannot be sent are lost,
+// and the callers retry. No message is sent twice, and no part of an incomplete message is delivered.
 //
-// Both ends begin with a handshake: their address, and their incarnation. A connection to an address that
-// another process answers ends there, before any message on it is taken.
+// Both ends first send a handshake with their address and incarnation. If another process answers at the
+// dialled address, the connection is closed before any message on it is handled.
 package transport
 
 import (
@@ -19,78 +19,81 @@
 	"dunespoke/internal/events"
 )
 
-// Bounds and times of connections.
+// Limits and timeouts of connections.
 const (
-	// writeTimeout is for a peer that has what was sent and does not say so: the connection is dead.
+	// writeTimeout is how long a write may block, and how long sent data may stay unacknowledged, before the
+	// connection is considered dead.
 	writeTimeout          = 1000 * time.Millisecond
-	redialDelay           = 100 * time.Millisecond // to a peer that could not be reached
-	maxWriteSize          = 64 << 10               // bytes at once: a link that bears 64 kB/s is not dead
+	redialDelay           = 100 * time.Millisecond // minimum time before an unreachable peer is dialled again
+	maxWriteSize          = 64 << 10               // bytes per write; a link with 64 kB/s is not considered dead
 	maxInboundConnections = 512
-	idleTimeout           = 15 * time.Second // after which a connection with nothing to say is closed
+	idleTimeout           = 15 * time.Second // a connection on which nothing arrives for this long is closed
 	readBufferSize        = 4 << 10
 )
 
-// Options are what New needs.
+// Options are the parameters of New.
 type Options struct {
-	Self        string // this process's address
-	Incarnation uint64 // and its incarnation: no other process has or had it
+	Self        string // address of this process
+	Incarnation uint64 // of this process; no other process has or had the same
 	Listen      func(network, addr string) (net.Listener, error)
 	Dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Handle takes what others send. It is called from many goroutines.
+	// Handle is called with each received message. It is called concurrently from many goroutines.
 	Handle func(from string, m *message.Message)
-	// Disconnected is told when a connection to a peer has ended, by its end or a reset, and not by silence; its
-	// process may be gone, or live on. Called from many goroutines; nil: nobody wants to know.
+	// Disconnected is called when a connection was closed by the peer or reset, but not when it timed out. The
+	// peer's process may have ended or still be running. It is called concurrently and may be nil.
 	Disconnected func(peer string)
-	// Refused is told when a peer's address refuses a connection: no process listens there. Likewise.
+	// Refused is called when a peer's address refuses a connection because no process listens there. It is
+	// called concurrently and may be nil.
 	Refused func(peer string)
 	Log     func(e events.Event, pairs ...any)
-	// Authentication is by what peers are authenticated, until SetAuthentication.
+	// Authentication is the initial authentication of peers. SetAuthentication replaces it.
 	Authentication Authentication
 }
 
-// Transport is a process's connections to its peers.
+// Transport manages the connections of a process to its peers. It is safe for concurrent use.
 type Transport struct {
 	Options
 	listener net.Listener
 
-	mu             sync.Mutex
-	peers          map[string]*peer
-	inbound        int
-	authentication Authentication
-	open           map[net.Conn]struct{} // all connections
-	plaintextUntil map[string]time.Time  // by address: it knows no TLS
-	refusedAt      map[string]time.Time  // by host: when a log line last told that it was refused
+	mu              sync.Mutex
+	peers           map[string]*peer
+	inbound         int
+	authentication  Authentication
+	openConns       map[net.Conn]struct{} // all open connections
+	plaintextUntil  map[string]time.Time  // by address; until then the peer is dialled without TLS
+	refusalLoggedAt map[string]time.Time  // by host; time of the last log line about a refusal
 }
 
-// peer is another process, and what waits to be sent to it. The transport's lock guards it.
+// peer is another process and the messages that are queued for it. Transport.mu guards it.
 type peer struct {
 	addr        string
 	queue       sendQueue
-	conn        net.Conn // to write to; nil: none is open
-	incarnation uint64   // of the process at its other end; 0: not told yet
-	writing     bool
-	cancelDial  func() // ends the dial under way; nil: none is
-	lastFailure time.Time
+	conn        net.Conn  // connection for writing; nil: none is open
+	incarnation uint64    // of the process at the other end of conn; 0: not known yet
+	writing     bool      // the write goroutine is running
+	cancelDial  func()    // cancels the dial in progress; nil: there is none
+	lastFailure time.Time // of dialling the peer
 }
 
-// New listens for peers.
+// New returns a Transport that accepts connections at options.Self.
 func New(options Options) (*Transport, error) {
 	listener, err := options.Listen("tcp", options.Self)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
 	t := &Transport{Options: options, listener: listener, peers: map[string]*peer{},
-		authentication: options.Authentication, open: map[net.Conn]struct{}{},
-		plaintextUntil: map[string]time.Time{}, refusedAt: map[string]time.Time{}}
+		authentication: options.Authentication, openConns: map[net.Conn]struct{}{},
+		plaintextUntil: map[string]time.Time{}, refusalLoggedAt: map[string]time.Time{}}
 	go t.accept()
 	return t, nil
 }
 
-// Close accepts no more connections. Open ones end with the process.
+// Close stops accepting connections. It does not close open ones; they end with the process.
 func (t *Transport) Close() error { return t.listener.Close() }
 
-// setUserTimeout has a connection end that leads to a peer which has gone or is cut off: left alone, it would
-// retransmit at ever longer times, and hold up what is sent for seconds after the peer is back.
+// setUserTimeout sets TCP_USER_TIMEOUT, so that a connection fails if its peer has failed or is
+// unreachable. Otherwise TCP would retransmit at increasing intervals, and messages would be delayed for
+// seconds after the peer is reachable again.
 func (t *Transport) setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -101,16 +104,17 @@
 	if err != nil {
 		return
 	}
-	var refused error
+	var optionErr error
 	err = raw.Control(func(fd uintptr) {
-		refused = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT,
 			int(writeTimeout.Milliseconds()))
 	})
-	if err != nil || refused != nil {
+	if err != nil || optionErr != nil {
 		t.Log(events.UserTimeoutUnsupported)
 	}
 }
 
+// accept accepts connections until the listener is closed.
 func (t *Transport) accept() {
 	for {
 		conn, err := t.listener.Accept()
@@ -129,7 +133,7 @@
 	}
 }
 
-// readInbound authenticates a connection that a peer has opened, and reads it.
+// readInbound authenticates an accepted connection and receives messages from it until it ends.
 func (t *Transport) readInbound(conn net.Conn) {
 	authenticated, host, err := t.authenticateInbound(conn)
 	if err != nil {
@@ -140,7 +144,8 @@
 	t.read(&inboundStream{transport: t, conn: authenticated, authenticatedHost: host})
 }
 
-// admitInbound counts a connection that a peer has opened, unless there are too many.
+// admitInbound reports whether another inbound connection is allowed, and counts it if so. The caller must
+// then call releaseInbound when the connection ends.
 func (t *Transport) admitInbound() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,9 +162,10 @@
 	t.inbound--
 }
 
-// closeQuietly closes a connection that is given up anyway: nothing follows from an error.
+// closeQuietly closes a connection that is no longer used, and ignores the error.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
+// peer returns the peer at an address and creates it if needed. It must be called with t.mu held.
 func (t *Transport) peer(addr string) *peer {
 	p := t.peers[addr]
 	if p == nil {
@@ -169,8 +175,8 @@
 	return p
 }
 
-// attach has a connection used to write to a peer. One that leads to another incarnation of it is closed: the
-// process that was there is gone.
+// attach uses a connection for writing to a peer, unless another one is already in use. If the one in use
+// leads to another incarnation of the peer, attach closes and replaces it, as that process has ended.
 func (t *Transport) attach(from string, incarnation uint64, conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +186,7 @@
 		p.incarnation = incarnation
 	case p.conn == nil || !p.writing:
 		p.conn, p.incarnation = conn, incarnation
-		if p.cancelDial != nil { // what waits for it goes by this connection
+		if p.cancelDial != nil { // the queued messages are sent on this connection instead
 			p.cancelDial()
 		}
 	case p.incarnation != 0 && p.incarnation != incarnation:
@@ -189,7 +195,7 @@
 	}
 }
 
-// detach forgets a connection that has ended.
+// detach stops using a connection that has ended, and removes the peer if nothing is being sent to it.
 func (t *Transport) detach(from string, conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,7 +209,8 @@
 	}
 }
 
-// Send sends a message, or loses it. It does not block.
+// Send queues a message for a peer, or drops it if the queue is full or dialling the peer has just failed.
+// It does not block, except that a message to this process itself is passed to Handle before it returns.
 func (t *Transport) Send(to string, m *message.Message) {
 	if to == t.Self {
 		t.Handle(to, m)
@@ -221,7 +228,8 @@
 	}
 }
 
-// write sends what is queued for a peer, until nothing is.
+// write sends the messages that are queued for a peer until the queue is empty. It runs in its own
+// goroutine, one for each peer, and releases t.mu while it dials or writes.
 func (t *Transport) write(p *peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -249,18 +257,18 @@
 	p.writing = false
 }
 
-// writeAll writes frames. A connection is dead if it takes nothing for long, and not if it takes much
-// slowly: the limit is on each piece.
+// writeAll writes frames in chunks of at most maxWriteSize, each with its own deadline: a connection is
+// dead if it makes no progress within writeTimeout, but not if a long queue takes longer to write.
 func writeAll(conn net.Conn, frames []byte) error {
 	for len(frames) > 0 {
-		piece := frames[:min(len(frames), maxWriteSize)]
+		chunk := frames[:min(len(frames), maxWriteSize)]
 		if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
-		if _, err := conn.Write(piece); err != nil {
+		if _, err := conn.Write(chunk); err != nil {
 			return err
 		}
-		frames = frames[len(piece):]
+		frames = frames[len(chunk):]
 	}
 	return nil
 }
--- a/internal/controlplane/transport/transport_test.go
+++ b/internal/controlplane/transport/transport_test.go
@@ -11,15 +11,16 @@
 	"dunespoke/internal/events"
 )
 
-// given makes two ends on this machine that log nothing but trouble.
-func given(t *testing.T, heard func(from string, m *message.Message)) (a, b *Transport) {
+// newPair starts two transports on the loopback interface and closes them when the test ends. The test
+// fails if TCP_USER_TIMEOUT is unsupported.
+func newPair(t *testing.T, received func(from string, m *message.Message)) (a, b *Transport) {
 	var ends []*Transport
 	for range 2 {
 		l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := New(Options{Self: l.Addr().String(), Dial: (&net.Dialer{}).DialContext, Handle: heard,
+		transport, err := New(Options{Self: l.Addr().String(), Dial: (&net.Dialer{}).DialContext, Handle: received,
 			Listen: func(string, string) (net.Listener, error) { return l, nil },
 			Log: func(e events.Event, _ ...any) {
 				if e == events.UserTimeoutUnsupported {
@@ -29,35 +30,35 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = x.Close() })
-		ends = append(ends, x)
+		t.Cleanup(func() { _ = transport.Close() })
+		ends = append(ends, transport)
 	}
 	return ends[0], ends[1]
 }
 
-// Given two processes, when each says something, then the other hears it, by one connection that ends early
-// if the other machine goes.
-func TestWhatIsSentComesByOneConnectionWithAUserTimeout(t *testing.T) {
-	type heard struct {
+// Messages in both directions use a single connection, on which TCP_USER_TIMEOUT is set, so that it fails
+// early if the other machine fails.
+func TestBothDirectionsShareOneConnectionWithUserTimeout(t *testing.T) {
+	type received struct {
 		from string
 		m    *message.Message
 	}
-	came := make(chan heard, 8)
-	a, b := given(t, func(from string, m *message.Message) { came <- heard{from, m} })
+	messages := make(chan received, 8)
+	a, b := newPair(t, func(from string, m *message.Message) { messages <- received{from, m} })
 	a.Send(b.Self, &message.Message{RequestID: 7, Body: &message.Watch{}})
-	if h := <-came; h.from != a.Self || h.m.RequestID != 7 {
-		t.Fatalf("b heard %+v of %s", h.m, h.from)
+	if h := <-messages; h.from != a.Self || h.m.RequestID != 7 {
+		t.Fatalf("b received %+v from %s", h.m, h.from)
 	}
 	b.Send(a.Self, &message.Message{RequestID: 7, Body: &message.WatchResponse{}})
-	if h := <-came; h.from != b.Self || h.m.Type() != message.TypeWatchResponse {
-		t.Fatalf("a heard %+v of %s", h.m, h.from)
+	if h := <-messages; h.from != b.Self || h.m.Type() != message.TypeWatchResponse {
+		t.Fatalf("a received %+v from %s", h.m, h.from)
 	}
-	for _, x := range []*Transport{a, b} {
-		x.mu.Lock()
-		if len(x.peers) != 1 {
-			t.Errorf("%d peers, want one", len(x.peers))
+	for _, transport := range []*Transport{a, b} {
+		transport.mu.Lock()
+		if len(transport.peers) != 1 {
+			t.Errorf("%d peers, want one", len(transport.peers))
 		}
-		for _, p := range x.peers {
+		for _, p := range transport.peers {
 			raw, err := p.conn.(*net.TCPConn).SyscallConn()
 			if err != nil {
 				t.Fatal(err)
@@ -65,66 +66,66 @@
 			err = raw.Control(func(fd uintptr) {
 				ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 				if err != nil || ms != int(writeTimeout.Milliseconds()) {
-					t.Errorf("a line ends after %d ms of silence, %v", ms, err)
+					t.Errorf("TCP_USER_TIMEOUT is %d ms, error %v", ms, err)
 				}
 			})
 			if err != nil {
 				t.Error(err)
 			}
 		}
-		x.mu.Unlock()
+		transport.mu.Unlock()
 	}
 	if a.inbound+b.inbound != 1 {
-		t.Errorf("%d lines, want one", a.inbound+b.inbound)
+		t.Errorf("%d connections, want one", a.inbound+b.inbound)
 	}
 }
 
-// Given a stranger who speaks something else, when it calls, then its line is closed and nothing is heard.
-func TestAStrangerIsDisconnected(t *testing.T) {
-	a, _ := given(t, func(from string, m *message.Message) { t.Errorf("heard %+v of %s", m, from) })
+// A client that does not begin with a handshake is disconnected, and no message is handled.
+func TestAClientWithoutHandshakeIsDisconnected(t *testing.T) {
+	a, _ := newPair(t, func(from string, m *message.Message) { t.Errorf("received %+v from %s", m, from) })
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", string(message.AppendFrame(nil,
 		&message.Message{Body: &message.Heartbeat{}}))} {
-		nc, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", a.Self)
+		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", a.Self)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := nc.Write([]byte(text)); err != nil {
+		if _, err := conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := nc.Read(make([]byte, 1)); n != 0 || err == nil {
-			t.Errorf("%q: %d bytes, %v; want the end", text, n, err)
+		if n, err := conn.Read(make([]byte, 1)); n != 0 || err == nil {
+			t.Errorf("%q: read %d bytes, %v; want a closed connection", text, n, err)
 		}
-		nc.Close()
+		conn.Close()
 	}
 }
 
-// slow is a connection that ends at a piece, and counts what is written with a limit of its own.
-type slow struct {
+// recordingConn is a connection that counts deadlines and writes. The write with number failAt fails.
+type recordingConn struct {
 	net.Conn
-	limits, pieces, bytes, most int
-	end                         int
+	deadlines, writes, bytes, maxSize int
+	failAt                            int
 }
 
-func (c *slow) SetWriteDeadline(time.Time) error { c.limits++; return nil }
+func (c *recordingConn) SetWriteDeadline(time.Time) error { c.deadlines++; return nil }
 
-func (c *slow) Write(p []byte) (int, error) {
-	if c.pieces++; c.pieces == c.end {
+func (c *recordingConn) Write(p []byte) (int, error) {
+	if c.writes++; c.writes == c.failAt {
 		return 0, net.ErrClosed
 	}
-	c.bytes, c.most = c.bytes+len(p), max(c.most, len(p))
+	c.bytes, c.maxSize = c.bytes+len(p), max(c.maxSize, len(p))
 	return len(p), nil
 }
 
-// Given a line that takes much slowly, when a long queue is written, then each piece has the limit of silence
-// to itself, and nothing is written behind a piece that failed.
-func TestALongQueueIsWrittenInPieces(t *testing.T) {
-	c, queue := &slow{}, make([]byte, 1<<20)
-	if err := writeAll(c, queue); err != nil || c.bytes != len(queue) || c.most > maxWriteSize ||
-		c.limits != c.pieces {
+// A long queue is written in chunks of at most maxWriteSize, each with its own deadline, so that a slow
+// connection is not taken for a dead one. Nothing is written after a chunk that failed.
+func TestALongQueueIsWrittenInChunks(t *testing.T) {
+	c, queue := &recordingConn{}, make([]byte, 1<<20)
+	if err := writeAll(c, queue); err != nil || c.bytes != len(queue) || c.maxSize > maxWriteSize ||
+		c.deadlines != c.writes {
 		t.Errorf("%+v, %v", c, err)
 	}
-	c = &slow{end: 3}
-	if err := writeAll(c, queue); err == nil || c.pieces != 3 {
+	c = &recordingConn{failAt: 3}
+	if err := writeAll(c, queue); err == nil || c.writes != 3 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
