--- a/internal/controlplane/peerauth/keys.go
+++ b/internal/controlplane/peerauth/keys.go
@@ -1,11 +1,12 @@
-// Package peerauth authenticates the system's processes to each other: mutual TLS 1.3 by keys that an
-// operator gives to all of them. Whoever holds a key may claim any address, and nobody else can claim
-// one.
+// Package peerauth authenticates the system's processes to each other with mutual TLS 1.3, based on keys
+// that an operator deploys to all of them. A process that has a key can claim any address; one without a
+// key can claim none.
 //
-// A key stands for an authority: an Ed25519 key pair that each process derives from it. With the first of
-// its keys a process issues itself a certificate for its own address; it accepts certificates under any
-// of them. So keys are replaced without a stop: the new one is added behind the old one everywhere, then
-// put first everywhere, then the old one is removed everywhere.
+// Each process derives a certificate authority, an Ed25519 key pair, from each key. With the authority of
+// its first key a process issues itself a certificate for its own address. It accepts certificates issued
+// by the authority of any of its keys. Keys can therefore be replaced without interruption: in all
+// processes add the new key after the old one, then move it to the first place, then remove the old one.
+// Each step must be complete everywhere before the next one.
 package peerauth
 
 import (
@@ -20,17 +21,19 @@
 	"github.com/gravitational/trace"
 )
 
-// minKeyLength is the least length of a key in characters. 32 random hexadecimal digits have 128 bits.
+// minKeyLength is the minimum length of a key in bytes. 32 random hexadecimal digits have 128 bits of
+// entropy.
 const minKeyLength = 32
 
-// authorityInfo separates the keys derived here from others derived from the same secret.
+// authorityInfo is the HKDF info that separates these derived keys from others derived from the same secret.
 const authorityInfo = "dunespoke peer authority v1"
 
-// Keys are the secrets that processes share, the one that is used first. They are never logged.
+// Keys contains the authorities derived from the shared keys, in the order of the keys. The first one
+// issues this process's certificate. Keys are never logged.
 type Keys struct{ authorities []ed25519.PrivateKey }
 
-// ReadFile reads a file of keys: one a line, without spaces; empty lines and those that begin with # are
-// passed over.
+// ReadFile reads a key file with one key per line. Keys contain no spaces. Empty lines and lines that begin
+// with # are ignored.
 func ReadFile(path string) (Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,8 +43,8 @@
 	return keys, trace.Wrap(err, "peer keys %s", path)
 }
 
-// ParseKeys reads keys as ReadFile does. The error is a trace.BadParameter that names the line, and not
-// the key.
+// ParseKeys parses the content of a key file, as described at ReadFile. For an invalid key it returns a
+// trace.BadParameter error that contains the number of the line but not the key.
 func ParseKeys(text []byte) (Keys, error) {
 	var keys Keys
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -51,9 +54,9 @@
 		case line == "" || strings.HasPrefix(line, "#"):
 			continue
 		case len(line) < minKeyLength:
-			return Keys{}, trace.BadParameter("line %d: a key has at least %d characters", number, minKeyLength)
+			return Keys{}, trace.BadParameter("line %d: a key must have at least %d characters", number, minKeyLength)
 		case strings.ContainsAny(line, " \t"):
-			return Keys{}, trace.BadParameter("line %d: a key has no spaces", number)
+			return Keys{}, trace.BadParameter("line %d: a key must not contain spaces", number)
 		}
 		seed, err := hkdf.Key(sha256.New, []byte(line), nil, authorityInfo, ed25519.SeedSize)
 		if err != nil {
@@ -62,10 +65,10 @@
 		keys.authorities = append(keys.authorities, ed25519.NewKeyFromSeed(seed))
 	}
 	if err := lines.Err(); err != nil {
-		return Keys{}, trace.BadParameter("a line is too long")
+		return Keys{}, trace.BadParameter("line too long")
 	}
 	if len(keys.authorities) == 0 {
-		return Keys{}, trace.BadParameter("no key")
+		return Keys{}, trace.BadParameter("no key found")
 	}
 	return keys, nil
 }
