--- a/internal/controlplane/message/membership.go
+++ b/internal/controlplane/message/membership.go
@@ -75,7 +75,7 @@
 	MembershipEpoch   uint64   `pb:"30"`
 	Reason            string   `pb:"37"` // why the request was not carried out
 	ToleratedFailures uint64   `pb:"38"` // number of members that may fail now
-	ToleranceGap      string   `pb:"48"` // why fewer members may fail now than by design; empty: as many may
+	ToleranceGap      string   `pb:"48"` // why not all required failures can be tolerated now; empty: they can
 }
 
 // Type is TypeChangeMembersResult.
--- a/internal/controlplane/message/watch.go
+++ b/internal/controlplane/message/watch.go
@@ -11,7 +11,8 @@
 	Zone          string        `pb:"18"`
 
 	// EchoRequestID is the id of the request to which the sender last received a response from the receiver,
-	// and EchoDelayMillis the time since that response arrived. The lease is counted from when this was sent.
+	// and EchoDelayMillis the time since that response arrived. The lease counts from when this watch was sent,
+	// which the receiver computes from both.
 	EchoRequestID   uint64 `pb:"46"`
 	EchoDelayMillis uint64 `pb:"47"`
 
@@ -116,8 +117,8 @@
 	Offset    uint64   `pb:"4"` // in a Watch: number of bytes received; in a response: the offset of Data
 	Data      []byte   `pb:"5"`
 	Stale     bool     `pb:"6"` // in a response: the snapshot is outdated and usable only as a base
-	// Version and BaseVersion are, for a configuration, its version and the version that it is a delta over. 0:
-	// none.
+	// Version and BaseVersion are, for a configuration, its version and the version that it is a delta over;
+	// 0: none.
 	Version     uint64 `pb:"7"`
 	BaseVersion uint64 `pb:"8"`
 }
