--- a/internal/controlplane/client/calls.go
+++ b/internal/controlplane/client/calls.go
@@ -9,49 +9,49 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Times of calls to the core.
+// Timing of calls to the core.
 const (
-	callRetryInterval = 200 * time.Millisecond // a call is sent again, to who serves by then
-	// CallTimeout is how long a call may take: operators move on after a second of silence.
+	callRetryInterval = 200 * time.Millisecond // a retry goes to the replica that serves by then
+	// CallTimeout is the maximum duration of a call. Operators give up after a second without a response.
 	CallTimeout = 880 * time.Millisecond
 )
 
-// ErrNoResponse tells of a call that got no clear answer in time: it may have been carried out, or may be
-// yet.
-var ErrNoResponse = errors.New("client: no clear answer of the core in time")
+// ErrNoResponse reports that a call got no definite response in time. The core may have executed the call,
+// or may still execute it.
+var ErrNoResponse = errors.New("client: no definite response from the core in time")
 
-// ConflictError tells of a configuration whose version was accepted before with another content.
+// ConflictError reports that the version of a configuration was already accepted with different content.
 type ConflictError struct {
-	Committed uint64 // the version that is committed
+	Committed uint64 // the committed version
 }
 
-// Error tells the committed version.
+// Error implements the error interface.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("client: the version was accepted with another content; version %d is committed",
+	return fmt.Sprintf("client: the version was accepted with different content; version %d is committed",
 		e.Committed)
 }
 
-// PutDone is called once with the end of a Put: the version that the core holds, which may be a later one.
-// The error is ErrNoResponse or a *ConflictError.
-type PutDone func(held uint64, err error)
+// PutDone is called once when a Put ends, with the version that the core has committed, which may be later
+// than the one that was put. The error is ErrNoResponse or a *ConflictError.
+type PutDone func(committed uint64, err error)
 
-// ReadDone is called once with the end of a Read: the newest configuration. The error is ErrNoResponse.
+// ReadDone is called once when a Read ends, with the newest configuration. The error wraps ErrNoResponse.
 type ReadDone func(version uint64, config []byte, err error)
 
-// ChangeMembersDone is called once with the end of a ChangeMembers. The error is ErrNoResponse.
+// ChangeMembersDone is called once when a ChangeMembers ends. The error is ErrNoResponse.
 type ChangeMembersDone func(result *message.ChangeMembersResult, err error)
 
-// pendingCall is a call that awaits its end.
+// pendingCall is a call that waits for its response.
 type pendingCall struct {
 	request   message.Message
 	startedAt time.Duration
 	sentAt    time.Duration
 	sentTo    string
 	attempts  int
-	done      func(response message.Body) // nil: there was none in time
+	done      func(response message.Body) // response is nil after a timeout
 }
 
-// calls are those that await their end.
+// calls are the pending calls of a Client.
 type calls struct {
 	pending map[uint64]*pendingCall // by request id
 	lastID  uint64
@@ -59,7 +59,8 @@
 
 func newCalls() calls { return calls{pending: map[uint64]*pendingCall{}} }
 
-// complete ends the call that a response answers, if it is of a type that the request may have.
+// complete ends the call that m responds to. It ignores a message of a type that is no response to the
+// request.
 func (cs *calls) complete(m *message.Message) {
 	call := cs.pending[m.RequestID]
 	if call == nil || !slices.Contains(message.ResponseTypes[call.request.Type()], m.Type()) {
@@ -69,7 +70,7 @@
 	call.done(m.Body)
 }
 
-// Put hands a configuration to the core.
+// Put sends a configuration to the core.
 func (c *Client) Put(now time.Duration, version uint64, config []byte, done PutDone) {
 	request := &message.Put{Version: version, Config: message.NewDelta(config, 0, nil)}
 	c.startCall(now, request, func(response message.Body) {
@@ -84,7 +85,7 @@
 	})
 }
 
-// ChangeMembers has the core change its members, or tell them where both addresses are empty.
+// ChangeMembers requests a change of the core's members. If both addresses are empty, it only lists them.
 func (c *Client) ChangeMembers(now time.Duration, add, remove string, done ChangeMembersDone) {
 	request := &message.ChangeMembers{AddMember: add, RemoveMember: remove}
 	c.startCall(now, request, func(response message.Body) {
@@ -96,18 +97,18 @@
 	})
 }
 
-// Read asks the core for the newest configuration.
+// Read requests the newest configuration from the core.
 func (c *Client) Read(now time.Duration, done ReadDone) {
-	held := c.resources.config
-	c.startCall(now, &message.Read{Version: held.Version}, func(response message.Body) {
+	current := c.resources.config
+	c.startCall(now, &message.Read{Version: current.Version}, func(response message.Body) {
 		result, ok := response.(*message.ReadResult)
 		switch {
 		case !ok:
 			done(0, nil, ErrNoResponse)
 		case result.Config == nil:
-			done(held.Version, held.Config, nil)
+			done(current.Version, current.Config, nil)
 		default:
-			config, err := result.Config.Apply(held.Version, held.Config)
+			config, err := result.Config.Apply(current.Version, current.Config)
 			if err != nil {
 				done(0, nil, fmt.Errorf("%w: %w", ErrNoResponse, err))
 				return
@@ -126,8 +127,9 @@
 	c.sendCall(call)
 }
 
-// sendCall sends a call to who serves: reads to the tail, all others to the head; every third time, and where
-// nobody is known, to one member of the core after the other.
+// sendCall sends a call to the replica that serves it: reads to the tail of the chain, all others to the
+// head. Every third attempt, and every attempt while no chain is known, goes to a member of the core instead,
+// in round-robin order.
 func (c *Client) sendCall(call *pendingCall) {
 	call.sentAt = c.now
 	call.attempts++
@@ -144,7 +146,7 @@
 	}
 }
 
-// callTarget is the replica that answers a call in the view that is known.
+// callTarget returns the replica that serves a call in the known view.
 func (c *Client) callTarget(call *pendingCall) string {
 	if call.request.Type() == message.TypeRead {
 		return c.chain[len(c.chain)-1]
@@ -152,7 +154,7 @@
 	return c.chain[0]
 }
 
-// redirectCalls sends the calls on that another replica answers in a new view.
+// redirectCalls resends the calls that a different replica serves in a new view.
 func (c *Client) redirectCalls() {
 	for _, id := range sortedKeys(c.calls.pending) {
 		call := c.calls.pending[id]
@@ -163,8 +165,8 @@
 	}
 }
 
-// tickCalls ends calls that have taken too long and sends others again. It returns when it wants the next
-// call.
+// tickCalls ends the calls that have timed out and retries the others. It returns the time by which it must
+// be called again.
 func (c *Client) tickCalls() (next time.Duration) {
 	next = c.now + watchWait
 	for _, id := range sortedKeys(c.calls.pending) {
@@ -181,7 +183,8 @@
 	return next
 }
 
-// handleReject sends a call on by the view that a replica tells that doesn't serve it.
+// handleReject handles the rejection of a call by a replica that doesn't serve it. If the rejection carries a
+// newer view, the client adopts that view and resends the call accordingly.
 func (c *Client) handleReject(requestID uint64, reject *message.Reject) {
 	call := c.calls.pending[requestID]
 	if call != nil && reject.Epoch > c.epoch && len(reject.Chain) > 0 {
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -1,7 +1,7 @@
-// Package client is every process's client of the control plane: it finds the replicas by the seeds, watches
-// one of them with the versions that it has, and by watching renews this process's lease. What it holds only
-// ever moves on. It knows no sockets and no clock: the caller drives it by Step and Tick, and it acts through
-// Actions.
+// Package client is the control-plane client of every process. It discovers the replicas through the seeds
+// and watches one of them, sending the versions that it has; each watch also renews this process's lease. The
+// versions that it applies never go back. It uses no sockets and no clock: the caller drives it through Step
+// and Tick, and it acts through Actions.
 package client
 
 import (
@@ -15,107 +15,116 @@
 	"dunespoke/internal/events"
 )
 
-// Times of finding and changing the replica that is watched.
+// Timing of discovery and failover.
 const (
 	announceInterval       = 200 * time.Millisecond // while no replica is known
-	firstResponseTimeout   = 250 * time.Millisecond // of a replica that was just chosen: it answers at once
+	firstResponseTimeout   = 250 * time.Millisecond // a newly selected replica responds immediately
 	congestedFirstResponse = 2 * firstResponseTimeout
 	retryDelay             = 60 * time.Millisecond // before the next replica, after one that doesn't serve
-	maxRetryDelay          = 250 * time.Millisecond
-	nearestRetryInterval   = 3 * time.Second // after which the nearest replica is tried again
+	// maxRetryDelay limits the pause before the next replica is tried.
+	maxRetryDelay        = 250 * time.Millisecond
+	nearestRetryInterval = 3 * time.Second // until the nearest replica is tried again
 )
 
-// Times of watching.
+// Timing of watches.
 const (
-	// for which a replica may hold a request: leases last for three of these
-	watchWait     = 800 * time.Millisecond
-	responseGrace = 450 * time.Millisecond // beyond that, until another replica is asked
+	// watchWait is how long a replica may delay the response to a watch. A lease lasts three times as long.
+	watchWait = 800 * time.Millisecond
+	// watchResponseGrace is how long after watchWait the client fails over to another replica.
+	watchResponseGrace = 450 * time.Millisecond
 )
 
-// Bounds that others rely on.
+// Bounds that other packages rely on.
 const (
-	// ResponseTimeout is how long a response is awaited and taken.
-	ResponseTimeout = watchWait + responseGrace
-	// FailoverTimeout is how long it takes until another replica than one that has fallen silent has answered,
-	// or has not.
+	// ResponseTimeout is how long a connected client waits for the response to a watch. It treats a response
+	// that arrives after that as late.
+	ResponseTimeout = watchWait + watchResponseGrace
+	// FailoverTimeout is the maximum time from the last request to a replica that has stopped responding until
+	// the next replica has responded or timed out.
 	FailoverTimeout = ResponseTimeout + congestedFirstResponse
-	// RedirectTimeout is the same, from the answer of a replica that says that it doesn't serve.
+	// RedirectTimeout is the same bound, counted from the response of a replica that reports that it doesn't
+	// serve.
 	RedirectTimeout = retryDelay + congestedFirstResponse
 )
 
-// Actions are what a Client does. They must not call it back.
+// Actions are the side effects of a Client. Their methods must not call back into the Client.
 type Actions interface {
 	Send(to string, m *message.Message)
 	Log(e events.Event, pairs ...any)
-	// ApplyConfig takes a configuration that is newer than the one before.
+	// ApplyConfig applies a configuration, which is newer than the previous one.
 	ApplyConfig(version uint64, config []byte)
-	// SetEndpoints takes the list of servers.
+	// SetEndpoints replaces the list of servers.
 	SetEndpoints(list []message.Endpoint)
-	// SetNodes takes the processes that hold leases, in an agreed order.
+	// SetNodes replaces the list of processes with a lease. The order is the same on all processes.
 	SetNodes(list []message.Node)
-	// SetView takes the replicas that serve, the head of the chain first.
+	// SetView sets the replicas that serve, starting with the head of the chain.
 	SetView(epoch uint64, chain []string)
 }
 
-// State is what a Client is in.
+// State is the connection state of a Client.
 type State int
 
 // The states of a Client.
 const (
-	StateDiscovering State = iota // it knows no replica
-	StateConnecting               // it has asked one, and awaits the first response
-	StateConnected                // it is answered by one that serves
+	StateDiscovering State = iota // no replica is known
+	StateConnecting               // a replica is selected, and has not responded yet
+	StateConnected                // the selected replica serves and has responded
 )
 
-// Options are what New needs.
+// Options are the parameters of New.
 type Options struct {
 	Self        message.Node
-	Seeds       []string // addresses for the system's own processes
-	HasDisk     bool     // this process holds a replica
-	FirstStart  bool     // the whole system starts for the first time
-	Incarnation uint64   // of the process: no other has or had it
+	Seeds       []string // internal addresses of the seed processes
+	HasDisk     bool     // this process runs a replica
+	FirstStart  bool     // the entire cluster starts for the first time
+	Incarnation uint64   // identifies this run of the process; never reused
 	Actions     Actions
 }
 
-// Client is one process's client of the control plane. Its methods must not be called concurrently.
+// Client is the control-plane client of one process. It is not safe for concurrent use.
 type Client struct {
 	options Options
 	now     time.Duration
 	state   State
 
 	members membership
-	epoch   uint64 // of the view that is known
+	epoch   uint64 // of the known view
 	chain   []string
 
-	server        string // the replica that is watched
+	server        string // address of the watched replica
 	requestID     uint64 // of the last watch
 	requestSentAt time.Duration
-	nextRequest   time.Duration // 0: a request is out
-	triedNearest  time.Duration
-	failures      int  // replicas that were given up since the nearest was tried
-	silent        int  // of these, in a row, those that gave no response in time
-	congested     bool // a response came after another replica was asked
-	lastResponses map[string]lastResponse
+	nextRequest   time.Duration // zero while a request is in flight
+	// nearestRetryStart is when the current nearestRetryInterval began: at the last failover or at the last
+	// attempt to return to the nearest replica.
+	nearestRetryStart time.Duration
+	// failures counts the failovers since the nearest replica was last tried.
+	failures int
+	// consecutiveTimeouts counts the timeouts since the last response in time.
+	consecutiveTimeouts int
+	congested           bool // a response arrived too late
+	lastResponses       map[string]lastResponse
 
 	resources resources
 	calls     calls
 }
 
-// lastResponse is the last response of a replica to a watch.
+// lastResponse identifies the last response of a replica to a watch.
 type lastResponse struct {
 	requestID uint64
 	at        time.Duration
 }
 
-// New returns a Client. The members of the core may be known from before.
-func New(now time.Duration, options Options, known *message.MemberList) *Client {
-	c := &Client{options: options, now: now, triedNearest: now, lastResponses: map[string]lastResponse{},
+// New returns a Client. The initial list holds the members of the core that this process already knows, if
+// any.
+func New(now time.Duration, options Options, initial *message.MemberList) *Client {
+	c := &Client{options: options, now: now, nearestRetryStart: now, lastResponses: map[string]lastResponse{},
 		resources: newResources(), calls: newCalls()}
-	c.learnMembers(known)
+	c.updateMembers(initial)
 	return c
 }
 
-// transition is the one place where the state changes.
+// transition changes the state. Nothing else writes it.
 func (c *Client) transition(to State) {
 	if to == c.state {
 		return
@@ -128,7 +137,8 @@
 	c.state = to
 }
 
-// ConnectedHost returns the host of the replica that answers this process; nil: none does.
+// ConnectedHost returns the host of the replica to which this process is connected, or nil if it is not
+// connected.
 func (c *Client) ConnectedHost() *string {
 	if c.state != StateConnected {
 		return nil
@@ -143,14 +153,14 @@
 // SetSeeds replaces the seeds.
 func (c *Client) SetSeeds(seeds []string) { c.options.Seeds = seeds }
 
-// Step takes a message.
+// Step handles a received message.
 func (c *Client) Step(now time.Duration, from string, m *message.Message) {
 	c.now = now
 	switch body := m.Body.(type) {
 	case *message.MemberList:
-		c.learnMembers(body)
+		c.updateMembers(body)
 	case *message.MemberUpdate:
-		c.learnMembers((*message.MemberList)(body))
+		c.updateMembers((*message.MemberList)(body))
 	case *message.WatchResponse:
 		c.handleWatchResponse(from, m.RequestID, body)
 	case *message.Reject:
@@ -160,13 +170,14 @@
 	}
 }
 
-// Tick does what is due, and returns when it wants the next call at the latest.
+// Tick runs due timers and returns the time by which it must be called again.
 func (c *Client) Tick(now time.Duration) (next time.Duration) {
 	c.now = now
 	return min(c.tickWatch(), c.tickCalls())
 }
 
-// tickWatch looks after the watch, and returns when it wants the next call.
+// tickWatch sends the watch when it is due and fails over when it has timed out. It returns the time by which
+// it must be called again.
 func (c *Client) tickWatch() (next time.Duration) {
 	next = c.now + watchWait
 	switch {
@@ -177,13 +188,13 @@
 		}
 		return c.nextRequest
 	case c.nextRequest == 0 && c.now >= c.requestSentAt+c.responseTimeout():
-		c.silent++
-		c.resources.shrinkBudget()
+		c.consecutiveTimeouts++
+		c.resources.reduceChunkBudget()
 		c.failOver(c.retryPause())
 	}
-	if c.state == StateConnected && c.failures > 0 && c.now >= c.triedNearest+nearestRetryInterval &&
+	if c.state == StateConnected && c.failures > 0 && c.now >= c.nearestRetryStart+nearestRetryInterval &&
 		!c.resources.transferring() {
-		c.failures, c.triedNearest = 0, c.now
+		c.failures, c.nearestRetryStart = 0, c.now
 		c.selectServer()
 	}
 	if c.nextRequest == 0 {
@@ -196,8 +207,8 @@
 	return c.nextRequest
 }
 
-// Announce tells the seeds, and the core as far as it is known, that this process is there. One with a disk
-// that would be a member tells the id of its store; 0: it would not.
+// Announce announces this process to the seeds and the known members of the core. A process with a disk that
+// can become a member passes the id of its store; zero means that it is no candidate.
 func (c *Client) Announce(storeID uint64) {
 	to := slices.Clone(c.options.Seeds)
 	for _, member := range c.members.list {
@@ -210,8 +221,8 @@
 	}
 }
 
-// selectServer chooses the replica to watch: this process's own, then those of its zone, then the others; the
-// next one after each failure.
+// selectServer selects the replica to watch: this process's own first, then those in its zone, then the
+// others. Each failure moves the selection to the next one in that order.
 func (c *Client) selectServer() {
 	order := slices.Clone(c.members.list)
 	rank := func(member message.Node) int {
@@ -229,7 +240,8 @@
 	c.nextRequest = max(c.now, 1)
 }
 
-// responseTimeout is how long a response may take. A replica that was just chosen answers at once.
+// responseTimeout returns how long to wait for the response in flight. A newly selected replica responds
+// immediately, so its timeout is shorter.
 func (c *Client) responseTimeout() time.Duration {
 	switch {
 	case c.state == StateConnected:
@@ -240,61 +252,62 @@
 	return firstResponseTimeout
 }
 
-// retryPause is how long to wait before the next replica is asked, when some have been silent, and late
-// responses tell of congestion: not at all after the first, and then longer each time, with jitter, so that
-// clients that fail at the same moment ask again at moments of their own. It stays short, since a partition
-// that ends must be over for all soon after; where no responses come at all, as in a partition, there is
-// none.
+// retryPause returns the pause before the next replica is tried after a timeout. It is zero after the first
+// timeout, and then backs off exponentially with jitter, so that clients that fail at the same time don't
+// retry at the same time. The pause applies only while late responses indicate congestion: if no responses
+// arrive at all, as in a partition, there is none. It stays short so that all clients recover soon after a
+// partition ends.
 func (c *Client) retryPause() time.Duration {
-	if !c.congested || c.silent < 2 {
+	if !c.congested || c.consecutiveTimeouts < 2 {
 		return 0
 	}
 	const maxDoublings = 4
-	pause := min(retryDelay<<min(c.silent-2, maxDoublings), maxRetryDelay)
+	pause := min(retryDelay<<min(c.consecutiveTimeouts-2, maxDoublings), maxRetryDelay)
 	jitter := rand.New(rand.NewPCG(c.options.Incarnation, c.requestID)).Int64N(int64(pause / 2))
 	return pause/2 + time.Duration(jitter)
 }
 
-// failOver turns to another replica.
+// failOver selects the next replica and watches it after the pause.
 func (c *Client) failOver(pause time.Duration) {
 	c.failures++
-	if c.failures%len(c.members.list) == 0 { // none of them answers: they may be members no longer
+	if c.failures%len(c.members.list) == 0 { // none of them responds: the members may have changed
 		c.Announce(0)
 	}
-	c.triedNearest = c.now
+	c.nearestRetryStart = c.now
 	c.selectServer()
 	c.nextRequest = c.now + max(pause, 1)
 }
 
-// sendWatch asks the chosen replica for what is new.
+// sendWatch sends a watch, a request for updates, to the selected replica.
 func (c *Client) sendWatch() {
 	c.requestID++
 	c.nextRequest, c.requestSentAt = 0, c.now
 	watch := &message.Watch{Epoch: c.epoch, Zone: c.options.Self.Zone}
-	if c.state == StateConnected { // a replica that was just chosen says at once how it is
+	if c.state == StateConnected { // a newly selected replica must report its state immediately
 		watch.WaitMillis = uint64(watchWait.Milliseconds())
 	}
-	// so that it knows when this was sent: the lease counts from then
+	// The echo lets the replica compute when this watch was sent: the lease is counted from that time.
 	if last, ok := c.lastResponses[c.server]; ok {
 		watch.EchoRequestID = last.requestID
 		watch.EchoDelayMillis = uint64((c.now - last.at).Milliseconds())
 	}
-	c.resources.describe(watch)
+	c.resources.fillWatch(watch)
 	c.options.Actions.Send(c.server, &message.Message{RequestID: c.requestID, Body: watch})
 }
 
-// handleWatchResponse takes a response to a watch. One that comes later than it is awaited was held up on its
-// way, or with this process and its turn to ask another replica: it says nothing of what is the newest.
+// handleWatchResponse handles a response to a watch. A response after the timeout, or to an earlier request,
+// was delayed on the network or in this process, so it doesn't show which versions are the newest. Only its
+// snapshot chunks are used.
 func (c *Client) handleWatchResponse(from string, requestID uint64, response *message.WatchResponse) {
 	expected := from == c.server && requestID == c.requestID && c.nextRequest == 0
 	if !expected || c.now >= c.requestSentAt+c.responseTimeout() {
 		c.congested = true
-		c.resources.takeLate(response.Chunks)
+		c.resources.receiveLateChunks(response.Chunks)
 		return
 	}
 	c.lastResponses[from] = lastResponse{requestID, c.now}
-	c.silent = 0
-	if !response.Fresh { // it doesn't serve, or is cut off: what it says may be old
+	c.consecutiveTimeouts = 0
+	if !response.Fresh { // the replica doesn't serve or is partitioned: its data may be stale
 		c.failOver(retryDelay)
 		return
 	}
@@ -303,10 +316,10 @@
 	}
 	c.transition(StateConnected)
 	if response.Epoch > c.epoch {
-		c.learnMembers(response.MemberList())
+		c.updateMembers(response.MemberList())
 		c.setView(response.Epoch, response.Chain)
 	}
-	c.resources.take(response, c.now-c.requestSentAt, c.options.Actions)
+	c.resources.handleResponse(response, c.now-c.requestSentAt, c.options.Actions)
 	c.sendWatch()
 }
 
@@ -316,8 +329,8 @@
 	c.redirectCalls()
 }
 
-// HandleDisconnected tells that a connection to a process has ended, by its end or a reset. What was
-// asked of the replica that is watched may be lost, and is asked again: at once where that lives.
+// HandleDisconnected handles the close or reset of a connection to a process. If it is the watched replica,
+// the request in flight may be lost, so it is sent again immediately.
 func (c *Client) HandleDisconnected(now time.Duration, addr string) {
 	c.now = now
 	if addr == c.server && c.state == StateConnected && c.nextRequest == 0 {
@@ -325,8 +338,8 @@
 	}
 }
 
-// HandleRefused tells that an address has refused a connection: no process listens there. Another replica is
-// watched, after a pause, since it may be that none listens.
+// HandleRefused handles a connection refused by an address: no process listens there. If it is the watched
+// replica's, the client fails over, after a pause because possibly no replica is listening.
 func (c *Client) HandleRefused(now time.Duration, addr string) {
 	c.now = now
 	if addr == c.server && c.state != StateDiscovering && c.nextRequest == 0 {
@@ -334,19 +347,19 @@
 	}
 }
 
-// membership is what a Client knows of the members of the core.
+// membership is what a Client knows about the members of the core.
 type membership struct {
 	list    []message.Node
 	epoch   uint64         // of the view that installed them
-	removed []message.Node // that operators have removed last
-	joint   bool           // the change to them is not known to be complete
+	removed []message.Node // the members that operators removed most recently
+	joint   bool           // the change to this membership is not known to be complete
 }
 
-// Members returns the members of the core, as far as known.
+// Members returns the known members of the core.
 func (c *Client) Members() []message.Node { return c.members.list }
 
-// MemberList returns what this process may tell others of the core; without members where it knows nothing
-// for sure.
+// MemberList returns the members of the core that this process may send to others. It has no members while
+// none are known from a complete membership change.
 func (c *Client) MemberList() *message.MemberList {
 	list := &message.MemberList{MembershipEpoch: c.members.epoch}
 	if !c.members.joint {
@@ -355,9 +368,9 @@
 	return list
 }
 
-// learnMembers takes what is said of the members. Of a change that is not known to be complete it is taken
-// where nothing else is known, and not passed on.
-func (c *Client) learnMembers(list *message.MemberList) {
+// updateMembers applies a received list of members unless its epoch is older. A list from a membership change
+// that is not known to be complete is applied only if no members are known, and is not sent to others.
+func (c *Client) updateMembers(list *message.MemberList) {
 	joint := len(list.OutgoingMembers) > 0
 	if len(list.Members) == 0 || list.MembershipEpoch < c.members.epoch || joint && len(c.members.list) > 0 {
 		return
@@ -371,5 +384,5 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in rising order, so that a simulation repeats by its seed.
+// sortedKeys returns the keys of a map in ascending order, so that a simulation is reproducible by its seed.
 func sortedKeys[V any](m map[uint64]V) []uint64 { return slices.Sorted(maps.Keys(m)) }
--- a/internal/controlplane/client/client_test.go
+++ b/internal/controlplane/client/client_test.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Given clients that have failed at the same moments, when late responses tell of congestion, then they ask
-// again at moments of their own, within the longest pause; after the first failure, or where nothing comes at
-// all, each asks the next replica at once, by which the bounds of what is told out of touch go.
-func TestClientsThatFailTogetherRetryApart(t *testing.T) {
-	moments := map[time.Duration]bool{}
+// Given clients that have timed out at the same times, when late responses indicate congestion, then their
+// retry pauses are jittered and at most maxRetryDelay. After the first timeout, and without any responses,
+// there is no pause: the failover timeouts that other packages rely on assume that.
+func TestRetryPauseIsJittered(t *testing.T) {
+	pauses := map[time.Duration]bool{}
 	for incarnation := range uint64(50) {
-		c := &Client{options: Options{Incarnation: incarnation}, requestID: 9, silent: 6, congested: true}
+		c := &Client{options: Options{Incarnation: incarnation}, requestID: 9, consecutiveTimeouts: 6,
+			congested: true}
 		d := c.retryPause()
-		if moments[d] = true; d < maxRetryDelay/2 || d > maxRetryDelay {
-			t.Errorf("a pause of %v", d)
+		if pauses[d] = true; d < maxRetryDelay/2 || d > maxRetryDelay {
+			t.Errorf("pause %v is out of range", d)
 		}
-		if c.silent = 1; c.retryPause() != 0 {
-			t.Errorf("%v before the second replica", c.retryPause())
+		if c.consecutiveTimeouts = 1; c.retryPause() != 0 {
+			t.Errorf("pause %v after the first timeout, want none", c.retryPause())
 		}
-		if c.silent, c.congested = 6, false; c.retryPause() != 0 {
-			t.Errorf("%v where nothing comes", c.retryPause())
+		if c.consecutiveTimeouts, c.congested = 6, false; c.retryPause() != 0 {
+			t.Errorf("pause %v without late responses, want none", c.retryPause())
 		}
 	}
-	if len(moments) < 45 {
-		t.Errorf("50 clients ask at %d moments", len(moments))
+	if len(pauses) < 45 {
+		t.Errorf("50 clients have %d distinct pauses, want at least 45", len(pauses))
 	}
 }
--- a/internal/controlplane/client/resources.go
+++ b/internal/controlplane/client/resources.go
@@ -7,49 +7,50 @@
 	"dunespoke/internal/events"
 )
 
-// chunkTargetTime is how long a chunk of a snapshot is to take.
+// chunkTargetTime is the target duration of the transfer of a snapshot chunk.
 const chunkTargetTime = firstResponseTimeout / 2
 
-// resources are what a Client has of each resource that it watches, and what is on its way.
+// resources are the versions that a Client has of the resources that it watches, and the snapshots in
+// transfer.
 type resources struct {
 	config          message.ConfigVersion
-	base            message.ConfigVersion // a configuration that is held and not in force
-	needFullConfig  bool                  // a delta did not apply
+	deltaBase       message.ConfigVersion // a newer configuration that is stored and not in force
+	needFullConfig  bool                  // the last delta could not be applied
 	endpoints       *message.EndpointList
-	endpointsDigest message.Digest // of the servers in the list; zero: not computed yet
+	endpointsDigest message.Digest // of the servers in the list; zero means not computed yet
 	nodesChecksum   uint64
 
 	transfers   snapshotTransfers
-	chunkBudget uint64 // bytes of snapshots that a response may bring
+	chunkBudget uint64 // maximum bytes of snapshot chunks per response
 }
 
 func newResources() resources {
 	return resources{transfers: snapshotTransfers{}, chunkBudget: message.InitialChunkBudget}
 }
 
-// transferring reports whether a snapshot is on its way.
+// transferring reports whether a snapshot transfer is in progress.
 func (r *resources) transferring() bool { return len(r.transfers) > 0 }
 
-// shrinkBudget asks for less, after a response that did not come in time.
-func (r *resources) shrinkBudget() {
+// reduceChunkBudget reduces the size of the next response, after one has timed out.
+func (r *resources) reduceChunkBudget() {
 	r.chunkBudget = max(r.chunkBudget/4, message.MinChunkBudget)
 }
 
-// describe tells in a watch what is here.
-func (r *resources) describe(watch *message.Watch) {
+// fillWatch sets the fields of a watch that report the versions and transfers of this client.
+func (r *resources) fillWatch(watch *message.Watch) {
 	watch.Version = r.config.Version
 	watch.NodesChecksum = r.nodesChecksum
 	watch.Chunks = r.transfers.progress()
 	if r.chunkBudget != message.InitialChunkBudget {
 		watch.ChunkBudget = r.chunkBudget
 	}
-	if r.base.Version > r.config.Version {
-		watch.BaseVersion = r.base.Version
+	if r.deltaBase.Version > r.config.Version {
+		watch.BaseVersion = r.deltaBase.Version
 	}
 	if r.endpoints != nil {
 		watch.Endpoints = &message.EndpointList{Epoch: r.endpoints.Epoch, Sequence: r.endpoints.Sequence}
-		if r.endpoints.Epoch < watch.Epoch { // another view is there, whose reader reads the list anew
-			watch.EndpointsDigest = r.digestOfEndpoints()
+		if r.endpoints.Epoch < watch.Epoch { // in a new view, the endpoint reader reads the list again
+			watch.EndpointsDigest = r.computeEndpointsDigest()
 		}
 	}
 	if r.needFullConfig {
@@ -57,21 +58,23 @@
 	}
 }
 
-// digestOfEndpoints returns the digest of the servers in the list. It takes 50 ms for 47,000 servers.
-func (r *resources) digestOfEndpoints() message.Digest {
+// computeEndpointsDigest returns the digest of the servers in the list, which it caches. Computing it takes
+// 50 ms for 47,000 servers.
+func (r *resources) computeEndpointsDigest() message.Digest {
 	if r.endpointsDigest == (message.Digest{}) {
 		r.endpointsDigest = r.endpoints.ContentDigest()
 	}
 	return r.endpointsDigest
 }
 
-// take takes a fresh response, which took the given time since its request.
-func (r *resources) take(response *message.WatchResponse, took time.Duration, actions Actions) {
+// handleResponse applies a fresh response. The elapsed time is counted from its request.
+func (r *resources) handleResponse(response *message.WatchResponse, elapsed time.Duration, actions Actions) {
 	r.apply(response, actions)
-	r.takeChunks(response.Chunks, took, actions)
+	r.receiveChunks(response.Chunks, elapsed, actions)
 }
 
-// apply puts in force what a fresh response, or a complete snapshot that it names as the newest, tells.
+// apply puts the versions of a fresh response in force, or those of a complete snapshot that a fresh response
+// names as the newest.
 func (r *resources) apply(response *message.WatchResponse, actions Actions) {
 	if response.Version > r.config.Version && response.Config != nil {
 		config, err := r.applyDelta(response.Config)
@@ -82,8 +85,8 @@
 			actions.ApplyConfig(response.Version, config)
 		}
 	}
-	if r.base.Version <= r.config.Version {
-		r.base = message.ConfigVersion{}
+	if r.deltaBase.Version <= r.config.Version {
+		r.deltaBase = message.ConfigVersion{}
 	}
 	if list := response.Endpoints; list != nil && list.Newer(r.endpoints) {
 		r.endpoints, r.endpointsDigest = list, message.Digest{}
@@ -99,19 +102,19 @@
 	}
 }
 
-// applyDelta returns a configuration, which may be a delta over the one in force or over the one that is
-// held.
+// applyDelta returns the configuration that results from a delta. Its base is the configuration in force or
+// deltaBase.
 func (r *resources) applyDelta(delta *message.Delta) ([]byte, error) {
 	base := r.config
-	if delta.BaseVersion != base.Version && delta.BaseVersion == r.base.Version {
-		base = r.base
+	if delta.BaseVersion != base.Version && delta.BaseVersion == r.deltaBase.Version {
+		base = r.deltaBase
 	}
 	return delta.Apply(base.Version, base.Config)
 }
 
-// takeChunks takes what a fresh response brings of snapshots. Each that the response names as the newest, and
-// that is complete by now, comes into force. What it doesn't name is of no use any more.
-func (r *resources) takeChunks(chunks []message.SnapshotChunk, took time.Duration, actions Actions) {
+// receiveChunks handles the snapshot chunks of a fresh response. A snapshot that is complete and that the
+// response names as the newest is put in force. Transfers that the response doesn't mention are dropped.
+func (r *resources) receiveChunks(chunks []message.SnapshotChunk, elapsed time.Duration, actions Actions) {
 	incomplete := snapshotTransfers{}
 	received := 0
 	for i := range chunks {
@@ -123,7 +126,7 @@
 		case !transfer.complete():
 			incomplete[chunk.Resource] = transfer
 		case chunk.Stale:
-			r.hold(transfer)
+			r.keepAsDeltaBase(transfer)
 		default:
 			if snapshot, ok := transfer.decode(); ok {
 				r.apply(snapshot, actions)
@@ -135,31 +138,33 @@
 		r.chunkBudget = message.InitialChunkBudget
 		return
 	}
-	// As much as comes in that time at the rate of this response, which counts the wait for it, too.
-	affordable := uint64(received) * uint64(chunkTargetTime) / uint64(max(took, time.Millisecond))
+	// The bytes that arrive in chunkTargetTime at the rate of this response, whose elapsed time includes the
+	// wait for it.
+	affordable := uint64(received) * uint64(chunkTargetTime) / uint64(max(elapsed, time.Millisecond))
 	r.chunkBudget = min(max(r.chunkBudget, affordable), message.MaxChunkBudget)
 }
 
-// takeLate takes what the response to an earlier request brings: bytes, and not a word of what is newest.
-func (r *resources) takeLate(chunks []message.SnapshotChunk) {
+// receiveLateChunks handles the snapshot chunks of a late response. Their bytes are usable, but a late
+// response doesn't show which version is the newest.
+func (r *resources) receiveLateChunks(chunks []message.SnapshotChunk) {
 	for i := range chunks {
 		chunk := &chunks[i]
 		transfer := r.transfers.merge(chunk, true)
 		if transfer != nil && transfer.complete() && chunk.Resource == message.ResourceConfig {
-			r.hold(transfer)
+			r.keepAsDeltaBase(transfer)
 			delete(r.transfers, chunk.Resource)
 		}
 	}
 }
 
-// hold keeps a configuration that is complete and may be old, as the base of deltas: the next response tells
-// what is newer, or that nothing is, in a few bytes, and that puts it in force.
-func (r *resources) hold(transfer *snapshotTransfer) {
+// keepAsDeltaBase stores a complete configuration that may be stale as the base of deltas. The next response
+// then needs only a few bytes to put it, or a newer version based on it, in force.
+func (r *resources) keepAsDeltaBase(transfer *snapshotTransfer) {
 	snapshot, ok := transfer.decode()
-	if !ok || snapshot.Config == nil || snapshot.Version <= max(r.config.Version, r.base.Version) {
+	if !ok || snapshot.Config == nil || snapshot.Version <= max(r.config.Version, r.deltaBase.Version) {
 		return
 	}
 	if config, err := r.applyDelta(snapshot.Config); err == nil {
-		r.base = message.ConfigVersion{Version: snapshot.Version, Config: config}
+		r.deltaBase = message.ConfigVersion{Version: snapshot.Version, Config: config}
 	}
 }
--- a/internal/controlplane/client/snapshot_transfer.go
+++ b/internal/controlplane/client/snapshot_transfer.go
@@ -2,37 +2,40 @@
 
 import "dunespoke/internal/controlplane/message"
 
-// A long snapshot comes in chunks. Its bytes are one thing, and the word that it is the newest another: bytes
-// are kept whenever they come, whoever sent them, since they are named by a checksum; and what they are put
-// together to comes into force by a response to the present request alone, which names it as the newest.
+// A long snapshot is transferred in chunks. The bytes of a snapshot are handled separately from the question
+// whether it is the newest: chunks are accepted at any time and from any replica, because a checksum
+// identifies their snapshot; the assembled snapshot is put in force only by a response to the current request
+// that names it as the newest.
 
 const (
-	// maxTransferSize bounds what is kept of one, in bytes. A list of 47,000 servers has 2.6 MB.
+	// maxTransferSize is the maximum size of a snapshot in bytes. A list of 47,000 servers takes 2.6 MB.
 	maxTransferSize = 2 * message.MaxFrameSize
-	// maxIgnoredChunks is how many late chunks of others, in a row, a transfer outlives: nobody goes on with it.
+	// maxIgnoredChunks is the number of consecutive late chunks of other snapshots after which a transfer is
+	// replaced: no replica continues it any more.
 	maxIgnoredChunks = 8
 )
 
-// snapshotTransfer is a snapshot on its way.
+// snapshotTransfer is a snapshot that has been received in part.
 type snapshotTransfer struct {
-	header  message.SnapshotChunk // without data
-	data    []byte
-	ignored int // late chunks of others since the last that was of use
+	header        message.SnapshotChunk // without data
+	data          []byte
+	ignoredChunks int // late chunks of other snapshots since the last one that was appended
 }
 
 func (t *snapshotTransfer) complete() bool { return uint64(len(t.data)) == t.header.TotalSize }
 
-// append takes a chunk's data, if it goes on where the data ends so far.
+// append appends the part of a chunk's data that is not received yet. It ignores a chunk that would leave a
+// gap, adds nothing or exceeds the total size.
 func (t *snapshotTransfer) append(chunk *message.SnapshotChunk) {
-	held := uint64(len(t.data))
+	received := uint64(len(t.data))
 	end := chunk.Offset + uint64(len(chunk.Data))
-	if chunk.Offset <= held && end > held && end <= chunk.TotalSize {
-		t.data = append(t.data, chunk.Data[held-chunk.Offset:]...)
-		t.ignored = 0
+	if chunk.Offset <= received && end > received && end <= chunk.TotalSize {
+		t.data = append(t.data, chunk.Data[received-chunk.Offset:]...)
+		t.ignoredChunks = 0
 	}
 }
 
-// decode reads a snapshot that is complete.
+// decode decodes a complete snapshot. It reports false if the checksum doesn't match or the data is invalid.
 func (t *snapshotTransfer) decode() (*message.WatchResponse, bool) {
 	snapshot := new(message.WatchResponse)
 	if message.Checksum(t.data) != t.header.Checksum || message.Unmarshal(t.data, snapshot) != nil {
@@ -41,11 +44,12 @@
 	return snapshot, true
 }
 
-// snapshotTransfers are those of all resources.
+// snapshotTransfers are the transfers in progress, by resource.
 type snapshotTransfers map[message.Resource]*snapshotTransfer
 
-// merge takes what a chunk brings, and returns its transfer; nil: it is of no use. A chunk that answers an
-// earlier request starts nothing anew while something else goes on.
+// merge adds a chunk to the transfer of its snapshot and returns that transfer, or nil if the chunk was
+// ignored. A late chunk doesn't replace the transfer of another snapshot, unless that transfer has ignored
+// maxIgnoredChunks in a row.
 func (ts snapshotTransfers) merge(chunk *message.SnapshotChunk, late bool) *snapshotTransfer {
 	transfer := ts[chunk.Resource]
 	if transfer == nil || transfer.header.Checksum != chunk.Checksum ||
@@ -54,7 +58,7 @@
 			return nil
 		}
 		if transfer != nil && late {
-			if transfer.ignored++; transfer.ignored < maxIgnoredChunks {
+			if transfer.ignoredChunks++; transfer.ignoredChunks < maxIgnoredChunks {
 				return nil
 			}
 		}
@@ -71,7 +75,7 @@
 	return &snapshotTransfer{header: header}
 }
 
-// progress tells how far the transfers have come, for a watch.
+// progress returns the received offset of each transfer, for a watch.
 func (ts snapshotTransfers) progress() (list []message.SnapshotChunk) {
 	for resource := message.ResourceConfig; resource <= message.ResourceNodes; resource++ {
 		if transfer := ts[resource]; transfer != nil {
