--- a/internal/controlplane/api/api.go
+++ b/internal/controlplane/api/api.go
@@ -1,8 +1,8 @@
 // Package api is the control API: the calls of servers and operators, each declared beside its handler, and
-// the question whether this process is ready.
+// the readiness check of this process.
 //
-// The names of calls and of JSON fields are those of the wire, which stays; the Go names beside them are the
-// field's.
+// The names of calls and of JSON fields are part of the protocol and must not change, even where the Go names
+// differ.
 package api
 
 import (
@@ -19,45 +19,45 @@
 	"dunespoke/internal/net/accept"
 )
 
-// Cluster is what the API passes on to.
+// Cluster executes the calls of the API.
 type Cluster interface {
-	// Put hands a configuration to the core.
+	// Put sends a configuration to the core.
 	Put(version uint64, config []byte, done client.PutDone)
-	// Read asks for the newest configuration.
+	// Read requests the newest configuration from the core.
 	Read(done client.ReadDone)
-	// NearestReplica is the host of a replica that answers and has a wider link than this process; empty: this
-	// process has a replica itself, or knows none.
+	// NearestReplica returns the host of a replica that responds and has more network bandwidth than this
+	// process. It is empty if this process has a replica itself or is connected to none.
 	NearestReplica() string
-	// ChangeMembers has the core change its members: add one, remove one or both; or tell them where both
-	// addresses are empty.
+	// ChangeMembers requests a change of the core's members: the addition of one, the removal of one, or both.
+	// If both addresses are empty, it only lists the members.
 	ChangeMembers(add, remove string, done client.ChangeMembersDone)
-	// Status tells how this process sees the cluster; done is called once.
+	// Status passes this process's view of the cluster to done, which is called once.
 	Status(done func(NodeStatus))
 }
 
 var _ accept.Handler = (*Handler)(nil)
 
-// Handler answers calls.
+// Handler serves the calls of the control API.
 type Handler struct {
 	Cluster     Cluster
 	Ready       func() bool
-	SlowLog     *slowlog.Log // of requests that ran late or were given up
-	ControlPort string       // of the control address, which is alike on all machines
+	SlowLog     *slowlog.Log // of requests that were late, rejected or failed
+	ControlPort string       // of the control address; the same on all machines
 	Log         func(e events.Event, pairs ...any)
 
-	open atomic.Int64
+	openCalls atomic.Int64
 }
 
 const (
-	// maxOpenCalls bounds the calls that are answered at once, and what their bodies hold.
+	// maxOpenCalls limits the number of concurrent calls, and thereby the memory that their bodies use.
 	maxOpenCalls = 64
-	// busyRetryAfter is when a call may come back that found too many.
+	// busyRetryAfter is the Retry-After of a call that was rejected because too many were open.
 	busyRetryAfter = 200 * time.Millisecond
 )
 
-// call is one that the API has.
+// call declares a call of the API.
 type call struct {
-	method, path, name string // the name is the query's call; empty: the call has none
+	method, path, name string // name is the query parameter "call"; empty if the path alone identifies the call
 	serve              func(h *Handler, r *http1.Request, respond func(*http1.Answer))
 }
 
@@ -72,21 +72,21 @@
 	{http.MethodPost, "/api/rpc", "core.change", (*Handler).changeMembers},
 }
 
-// Serve takes a call.
+// Serve dispatches a request to its call.
 func (h *Handler) Serve(r *http1.Request, respond func(*http1.Answer)) (leave func()) {
 	name := r.URL.Query().Get("call")
-	known := false
+	pathKnown := false
 	for _, c := range calls {
 		if c.path != r.URL.Path || c.name != "" && c.name != name {
 			continue
 		}
-		known = true
+		pathKnown = true
 		if c.method == r.Method {
 			h.admit(c, r, respond)
 			return nil
 		}
 	}
-	if known {
+	if pathKnown {
 		respond(http1.Plain(http.StatusMethodNotAllowed, "not a method for there"))
 		return nil
 	}
@@ -95,35 +95,35 @@
 	return nil
 }
 
-// admit bounds how many calls are open. Readiness checks are answered at once, and not counted: a busy API is
-// no reason for clients to go elsewhere.
+// admit serves a call unless maxOpenCalls are open. Readiness checks are served without this limit: a busy
+// API is no reason for clients to use another process.
 func (h *Handler) admit(c call, r *http1.Request, respond func(*http1.Answer)) {
 	if c.name == "" {
 		c.serve(h, r, respond)
 		return
 	}
-	if h.open.Add(1) > maxOpenCalls {
-		h.open.Add(-1)
+	if h.openCalls.Add(1) > maxOpenCalls {
+		h.openCalls.Add(-1)
 		respond(unavailable("too many calls", busyRetryAfter))
 		return
 	}
 	c.serve(h, r, func(a *http1.Answer) {
-		h.open.Add(-1)
+		h.openCalls.Add(-1)
 		respond(a)
 	})
 }
 
-// unavailable is an answer that asks the caller to come back.
+// unavailable returns a response with status 503 and a Retry-After header.
 func unavailable(text string, after time.Duration) *http1.Answer {
 	a := http1.Plain(http.StatusServiceUnavailable, text)
 	a.Header = append(a.Header, [2]string{"Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64)})
 	return a
 }
 
-// jsonResponse is an answer with a document.
+// jsonResponse returns a response whose body is v, encoded as JSON.
 func jsonResponse(v any) *http1.Answer {
 	body, err := json.Marshal(v)
-	if err != nil { // of our own types only: a fault of the program
+	if err != nil { // only types of this program are encoded: this is a programming error
 		return http1.Plain(http.StatusInternalServerError, "the answer can't be written")
 	}
 	return jsonBody(body)
--- a/internal/controlplane/api/config.go
+++ b/internal/controlplane/api/config.go
@@ -18,12 +18,12 @@
 const (
 	putRetryAfter  = 50 * time.Millisecond
 	readRetryAfter = 100 * time.Millisecond
-	// redirectThreshold is the length in bytes from which a configuration is not sent over the link of a machine
-	// without a disk: a quarter of a second of the narrowest.
+	// redirectThreshold is the length in bytes above which a machine without a disk redirects the read of a
+	// configuration to a replica. It takes a quarter of a second on the slowest link.
 	redirectThreshold = 64 << 10
 )
 
-// replaceConfig takes a whole configuration.
+// replaceConfig handles the call that replaces the entire configuration.
 func (h *Handler) replaceConfig(r *http1.Request, respond func(*http1.Answer)) {
 	table, err := routing.Validate(r.Content)
 	if err != nil {
@@ -31,7 +31,7 @@
 		respond(http1.Plain(http.StatusBadRequest, trace.UserMessage(err)))
 		return
 	}
-	h.Cluster.Put(table.Version, r.Content, func(held uint64, err error) {
+	h.Cluster.Put(table.Version, r.Content, func(committed uint64, err error) {
 		var conflict *client.ConflictError
 		switch {
 		case errors.As(err, &conflict):
@@ -42,13 +42,14 @@
 			h.Log(events.ConfigUnacknowledged, "version", table.Version)
 			respond(unavailable("not acknowledged yet: send it again", putRetryAfter))
 		default:
-			h.Log(events.ConfigCommitted, "version", table.Version, "held", held)
-			respond(jsonResponse(map[string]any{"version": fmt.Sprintf("r%d", held)}))
+			h.Log(events.ConfigCommitted, "version", table.Version, "held", committed)
+			respond(jsonResponse(map[string]any{"version": fmt.Sprintf("r%d", committed)}))
 		}
 	})
 }
 
-// readConfig tells the newest configuration, as it was sent.
+// readConfig responds with the newest configuration, exactly as it was put. A long one is redirected to a
+// replica.
 func (h *Handler) readConfig(r *http1.Request, respond func(*http1.Answer)) {
 	h.Cluster.Read(func(_ uint64, config []byte, err error) {
 		if err != nil || config == nil { // nil: there is none yet
@@ -65,7 +66,7 @@
 	})
 }
 
-// redirect sends a caller to a replica, whose link is wider.
+// redirect returns a response that redirects the caller to a replica, which has more network bandwidth.
 func redirect(to string) *http1.Answer {
 	a := http1.Plain(http.StatusTemporaryRedirect, "a machine of the core tells it sooner")
 	a.Header = append(a.Header, [2]string{"Location", to})
--- a/internal/controlplane/api/members.go
+++ b/internal/controlplane/api/members.go
@@ -10,47 +10,49 @@
 	"dunespoke/internal/http1"
 )
 
-// Members are those of the core, as the head of the chain tells them.
+// Members describes the members of the core, as reported by the head of the chain.
 type Members struct {
 	MembershipEpoch   uint64   `json:"generation"` // of the view that installed them
 	Members           []Member `json:"members"`
-	Learners          []Member `json:"candidates"` // replicas that are no members
-	ToleratedFailures uint64   `json:"spare"`      // members that may be lost now
-	// why not all that survive names may be lost now; empty: it may
+	Learners          []Member `json:"candidates"` // replicas that are not members
+	ToleratedFailures uint64   `json:"spare"`      // members that may fail now
+	// ToleranceGap explains why the failures required by the setting survive can't all be tolerated now; empty
+	// if they can.
 	ToleranceGap string `json:"lacks"`
 }
 
-// Member is one of the core, or could be.
+// Member is a member of the core, or a replica that can become one.
 type Member struct {
-	Addr    string `json:"address"` // for the system's own processes
+	Addr    string `json:"address"` // internal address
 	Zone    string `json:"zone"`
-	StoreID string `json:"store"`  // in hexadecimal; another store at the address is another member
+	StoreID string `json:"store"`  // in hexadecimal; a different store at the same address is a different member
 	Serves  bool   `json:"serves"` // it is in the chain
 }
 
-// MemberChange is a change of the members that an operator orders.
+// MemberChange is a change of the members that an operator requests.
 type MemberChange struct {
-	Add    string `json:"add"`    // address; empty: none
-	Remove string `json:"remove"` // address; empty: none
+	Add    string `json:"add"`    // address; empty for none
+	Remove string `json:"remove"` // address; empty for none
 }
 
-// listMembers tells the members of the core.
+// listMembers responds with the members of the core.
 func (h *Handler) listMembers(_ *http1.Request, respond func(*http1.Answer)) {
-	h.orderMembers(MemberChange{}, respond)
+	h.submitMemberChange(MemberChange{}, respond)
 }
 
-// changeMembers changes the members of the core.
+// changeMembers changes the members of the core and responds with the new ones.
 func (h *Handler) changeMembers(r *http1.Request, respond func(*http1.Answer)) {
 	var change MemberChange
 	if err := json.Unmarshal(r.Content, &change); err != nil || change.Add == "" && change.Remove == "" {
 		respond(http1.Plain(http.StatusBadRequest, `want {"add": ADDRESS, "remove": ADDRESS}, one or both`))
 		return
 	}
-	h.orderMembers(change, respond)
+	h.submitMemberChange(change, respond)
 }
 
-// orderMembers has the core change its members, or tell them where nothing is to be changed.
-func (h *Handler) orderMembers(change MemberChange, respond func(*http1.Answer)) {
+// submitMemberChange sends a change to the core and responds with the resulting members. An empty change only
+// lists them.
+func (h *Handler) submitMemberChange(change MemberChange, respond func(*http1.Answer)) {
 	h.Cluster.ChangeMembers(change.Add, change.Remove, func(result *message.ChangeMembersResult, err error) {
 		switch {
 		case err != nil:
