--- a/internal/controlplane/node/node.go
+++ b/internal/controlplane/node/node.go
@@ -1,7 +1,7 @@
-// Package node puts together all that one process does for the control plane: its client, its replica if it
-// has a disk, its part in the first start, and its rate-limit allocator. It is pure, and is driven by one
-// goroutine, or by the simulation of the tests: Step for a message, HandleSaved for a save that has ended,
-// Tick when it says so.
+// Package node combines the parts of the control plane that run in one process: its client, its replica if it
+// has a disk, its bootstrapper for the first start of the cluster, and its rate-limit allocator. It does no
+// I/O and reads no clock. One goroutine, or the simulation of the tests, drives it: Step for each message,
+// HandleSaved for each finished save, and Tick at the time that the last Tick returned.
 package node
 
 import (
@@ -20,61 +20,63 @@
 	_ replica.Actions = requestStamper{}
 )
 
-// Times of a node.
+// Timing of a node.
 const (
-	// announceInterval is how often a replica that is of no core says that it is there.
+	// announceInterval is how often a replica that belongs to no core announces itself.
 	announceInterval = 300 * time.Millisecond
-	// seedUpdateInterval is how often a member tells its seeds who the members are: those that have no disk know
-	// nothing after a start, and all processes find the core by them.
+	// seedUpdateInterval is how often a member sends the list of members to the seeds. A seed without a disk
+	// knows no members after a restart, and all processes discover the core through the seeds.
 	seedUpdateInterval = 2 * time.Second
-	// replicaTickInterval is how often a replica is to be looked after.
+	// replicaTickInterval is the maximum time between two ticks of a replica.
 	replicaTickInterval = 50 * time.Millisecond
 )
 
-// Actions are what a Node does. They must not call it back.
+// Actions are the side effects of a Node. Their methods must not call back into the Node.
 type Actions interface {
 	client.Actions
-	// Save writes a state and syncs it, and then calls HandleSaved with the token. Saves are done in order.
+	// Save writes and syncs a state, and then causes a call of HandleSaved with the token. Saves are executed in
+	// order.
 	Save(token uint64, state replica.PersistentState)
 }
 
-// Options are what New needs.
+// Options are the parameters of New.
 type Options struct {
 	Self      message.Node
-	Seeds     []string               // addresses for the system's own processes
-	Tolerance replica.FaultTolerance // of the machines with a disk
-	// ReplaceAfter is for how long a member must be silent before another takes its place; 0: two seconds.
+	Seeds     []string               // internal addresses of the seed processes
+	Tolerance replica.FaultTolerance // required of the machines with a disk
+	// ReplaceAfter is how long a member must be silent before another replica replaces it; zero means two
+	// seconds.
 	ReplaceAfter time.Duration
-	FirstStart   bool                     // the whole system starts for the first time
+	FirstStart   bool                     // the entire cluster starts for the first time
 	Saved        *replica.PersistentState // as found on disk; nil without a disk
-	Incarnation  uint64                   // of the process: no other has or had it
+	Incarnation  uint64                   // identifies this run of the process; never reused
 	Actions      Actions
 	Limits       func(tenant string) ratelimit.Limits
 }
 
-// Node is one process's part in the control plane. Its methods must not be called concurrently.
+// Node is the control-plane part of one process. It is not safe for concurrent use.
 type Node struct {
 	options      Options
 	now          time.Duration
 	replica      *replica.Replica // nil without a disk
 	client       *client.Client
-	bootstrapper *replica.Bootstrapper // at seeds, until they are restarted with nothing kept; nil elsewhere
+	bootstrapper *replica.Bootstrapper // nil if this process takes no part in a first start
 
 	allocator  *ratelimit.Allocator
 	allocating bool
 
-	nextAnnounce   time.Duration // when a replica that is of no core yet says so again
-	nextSeedUpdate time.Duration // and when a member tells the seeds
+	nextAnnounce   time.Duration // when a replica without a core announces itself again
+	nextSeedUpdate time.Duration // when a member sends the list of members to the seeds again
 }
 
-// requestStamper has every request of this process tell its incarnation, and that it was a member that an
-// operator has removed, if it was.
+// requestStamper is an Actions that adds this process's incarnation to its requests, and to its announcements
+// whether an operator has removed it from the members.
 type requestStamper struct {
 	Actions
 	node *Node
 }
 
-// Send stamps requests and passes all on.
+// Send completes requests and announcements, and sends all messages.
 func (s requestStamper) Send(to string, m *message.Message) {
 	if m.IsRequest() {
 		m.Incarnation = s.node.options.Incarnation
@@ -85,13 +87,13 @@
 	s.Actions.Send(to, m)
 }
 
-// nodesObserver passes a client's actions on, and takes the nodes for the allocator.
+// nodesObserver is an Actions for the client that also passes the list of nodes to the allocator.
 type nodesObserver struct {
 	Actions
 	node *Node
 }
 
-// SetNodes tells the allocator, too.
+// SetNodes updates the allocator, and then the list of the wrapped Actions.
 func (o nodesObserver) SetNodes(list []message.Node) {
 	o.node.allocator.SetNodes(o.node.now, list)
 	o.Actions.SetNodes(list)
@@ -103,22 +105,22 @@
 	options.Actions = requestStamper{options.Actions, n}
 	options.Seeds = slices.Sorted(slices.Values(options.Seeds))
 	n.options = options
-	known := &message.MemberList{}
+	members := &message.MemberList{}
 	if options.Saved != nil {
 		n.replica = replica.New(now, replica.Options{Self: options.Self, Tolerance: options.Tolerance,
 			ReplaceAfter: options.ReplaceAfter, Incarnation: options.Incarnation, FirstStart: options.FirstStart,
 			Seeds: options.Seeds, Saved: *options.Saved, Actions: options.Actions})
-		known = n.replica.MemberList()
+		members = n.replica.MemberList()
 	}
 	n.bootstrapper = n.newBootstrapper(now)
 	n.client = client.New(now, client.Options{Self: options.Self, Seeds: options.Seeds,
 		HasDisk: options.Saved != nil, FirstStart: n.isFirstStart(), Incarnation: options.Incarnation,
-		Actions: nodesObserver{options.Actions, n}}, known)
+		Actions: nodesObserver{options.Actions, n}}, members)
 	return n
 }
 
-// isFirstStart reports whether the whole system starts for the first time: by the settings, or by what the
-// disk says from before this process was restarted.
+// isFirstStart reports whether the entire cluster starts for the first time. Without a disk, the settings
+// decide; otherwise the stored state, which survives a restart of this process during the first start.
 func (n *Node) isFirstStart() bool {
 	if n.replica == nil {
 		return n.options.FirstStart
@@ -126,9 +128,9 @@
 	return n.replica.Bootstrap().Trusted && !n.options.Saved.CaughtUp
 }
 
-// newBootstrapper makes this process's bootstrapper; nil: it has no part in a first start. One that is
-// restarted votes by what it has on its disk; without a disk it may have forgotten what it promised, and has
-// no vote.
+// newBootstrapper returns the bootstrapper of this process, or nil if the process takes no part in a first
+// start. After a restart, a process with a disk votes according to its stored state. A process without a disk
+// may have lost its promises and must not vote.
 func (n *Node) newBootstrapper(now time.Duration) *replica.Bootstrapper {
 	options := replica.BootstrapOptions{Self: n.options.Self.Addr, Seeds: n.options.Seeds,
 		Tolerance: n.options.Tolerance, Actions: n.options.Actions,
@@ -155,8 +157,8 @@
 	return replica.NewBootstrapper(now, options)
 }
 
-// Step takes a message of another process, or of this one. A response that an earlier incarnation of this
-// process asked for, or another process at its address, is dropped.
+// Step handles a message from another process or from this one. It drops a response to a request of an
+// earlier incarnation of this process, or of another process at its address.
 func (n *Node) Step(now time.Duration, from string, m *message.Message) {
 	n.now = now
 	if m.IsResponse() && m.Incarnation != n.options.Incarnation {
@@ -194,7 +196,7 @@
 	}
 }
 
-// HandleDisconnected tells that a connection to a process has ended, by its end or a reset.
+// HandleDisconnected handles the close or reset of a connection to a process.
 func (n *Node) HandleDisconnected(now time.Duration, addr string) {
 	n.now = now
 	n.client.HandleDisconnected(now, addr)
@@ -203,7 +205,7 @@
 	}
 }
 
-// HandleRefused tells that the address of a process has refused a connection.
+// HandleRefused handles a connection refused by the address of a process.
 func (n *Node) HandleRefused(now time.Duration, addr string) {
 	n.now = now
 	n.client.HandleRefused(now, addr)
@@ -212,7 +214,8 @@
 	}
 }
 
-// handleAnnounce tells a process that starts what this one knows of the core.
+// handleAnnounce handles the announcement of a process, and responds with the members of the core if they are
+// known here.
 func (n *Node) handleAnnounce(from string, m *message.Message, announce *message.Announce) {
 	if n.bootstrapper != nil {
 		n.bootstrapper.HandleAnnounce(n.now, from, announce)
@@ -225,8 +228,8 @@
 	}
 }
 
-// memberList is what this process tells of the core: what its replica has or what it was told, whichever is
-// newer; and what a bootstrapper has decided where nothing is known.
+// memberList returns the members of the core that this process sends to others: those of its replica or of
+// its client, whichever are newer. If neither knows any, they are those that the bootstrapper has decided on.
 func (n *Node) memberList() *message.MemberList {
 	list := n.client.MemberList()
 	if n.replica != nil {
@@ -240,10 +243,11 @@
 	return list
 }
 
-// Members returns the members of the core, as far as known.
+// Members returns the known members of the core.
 func (n *Node) Members() []message.Node { return n.memberList().Members }
 
-// knownMembers returns the members of the core as this process was told them.
+// knownMembers returns the members of the core that are stored in the replica, or else those known to the
+// client.
 func (n *Node) knownMembers() []message.Node {
 	if n.replica != nil {
 		if members := n.replica.PersistentState().Members; len(members) > 0 {
@@ -263,8 +267,8 @@
 	n.options.Actions.Send(from, m.Reply(grant))
 }
 
-// updateAllocator activates the allocator as soon as this process holds that role: buckets fill from then on.
-// It reports whether it does.
+// updateAllocator activates the allocator when this process holds the allocator role; token buckets fill from
+// then on. It reports whether the process holds the role.
 func (n *Node) updateAllocator(now time.Duration) bool {
 	epoch, ok := n.HoldsRole(now, replica.QuotaAllocator)
 	if ok && !n.allocating {
@@ -277,7 +281,7 @@
 	return ok
 }
 
-// HoldsRole reports whether this process holds a role now, and under which epoch.
+// HoldsRole reports whether this process holds a role now, and in which epoch.
 func (n *Node) HoldsRole(now time.Duration, role replica.Role) (epoch uint64, ok bool) {
 	if n.replica == nil {
 		return 0, false
@@ -285,22 +289,22 @@
 	return n.replica.HoldsRole(now, role)
 }
 
-// SetEndpoints takes the list of servers, as this process read it by its role: with the epoch under which it
-// held that when the reading began.
+// SetEndpoints publishes the list of servers that this process has read as the endpoint reader. The epoch is
+// the one in which it held that role when it started to read.
 func (n *Node) SetEndpoints(now time.Duration, epoch uint64, list []message.Endpoint) {
 	if n.replica != nil {
 		n.replica.SetEndpoints(now, epoch, list)
 	}
 }
 
-// HandleSaved tells that a save has ended, and whether the state is on disk.
+// HandleSaved handles the end of a save; ok reports whether the state is on disk.
 func (n *Node) HandleSaved(now time.Duration, token uint64, ok bool) {
 	if n.replica != nil {
 		n.replica.HandleSaved(now, token, ok)
 	}
 }
 
-// Tick does what is due, and returns when it wants the next call at the latest.
+// Tick runs due timers and returns the time by which it must be called again.
 func (n *Node) Tick(now time.Duration) (next time.Duration) {
 	n.now = now
 	next = n.client.Tick(now)
@@ -310,7 +314,7 @@
 	if n.replica == nil {
 		return next
 	}
-	// its client may know the core, and it is none of that yet
+	// Announce even if the client knows the core: the replica is not part of it yet.
 	if n.replica.IsUninitialized() && now >= n.nextAnnounce {
 		n.nextAnnounce = now + announceInterval
 		n.client.Announce(n.replica.PersistentState().StoreID)
@@ -324,7 +328,7 @@
 	return min(next, now+replicaTickInterval)
 }
 
-// updateSeeds tells the seeds that are no members who the members are.
+// updateSeeds sends the list of members to the seeds that are not members.
 func (n *Node) updateSeeds() {
 	list := n.memberList()
 	for _, seed := range n.client.Seeds() {
@@ -336,44 +340,47 @@
 	}
 }
 
-// Drain notes that this process was told to stop.
+// Drain tells the replica that this process has been requested to stop.
 func (n *Node) Drain(now time.Duration) {
 	if n.replica != nil {
 		n.replica.Drain(now)
 	}
 }
 
-// Leave notes that this process is about to end. Left reports whether the others do without it by now.
+// Leave starts the removal of the replica from the view, because this process is about to exit. Left reports
+// when that is complete.
 func (n *Node) Leave(now time.Duration) {
 	if n.replica != nil {
 		n.replica.Leave(now)
 	}
 }
 
-// Left reports whether this process's replica is in no view that serves.
+// Left reports whether this process has no replica, or one that doesn't serve in the current view.
 func (n *Node) Left() bool { return n.replica == nil || n.replica.State() != replica.StateServing }
 
-// HandingOver reports whether another replica is about to take this one's place in the core.
+// HandingOver reports whether another replica is about to replace this one in the core.
 func (n *Node) HandingOver() bool { return n.replica != nil && n.replica.HandingOver() }
 
-// Put hands a configuration to the core.
+// Put sends a configuration to the core.
 func (n *Node) Put(now time.Duration, version uint64, config []byte, done client.PutDone) {
 	n.client.Put(now, version, config, done)
 }
 
-// ChangeMembers has the core change its members by hand, or tell them where both addresses are empty.
+// ChangeMembers requests a change of the core's members for an operator. If both addresses are empty, it only
+// lists them.
 func (n *Node) ChangeMembers(now time.Duration, add, remove string, done client.ChangeMembersDone) {
 	n.client.ChangeMembers(now, add, remove, done)
 }
 
-// Read asks the core for the newest configuration.
+// Read requests the newest configuration from the core.
 func (n *Node) Read(now time.Duration, done client.ReadDone) { n.client.Read(now, done) }
 
-// Replica returns the replica; nil without a disk.
+// Replica returns the replica, or nil without a disk.
 func (n *Node) Replica() *replica.Replica { return n.replica }
 
 // SetSeeds replaces the seeds.
 func (n *Node) SetSeeds(seeds []string) { n.client.SetSeeds(seeds) }
 
-// ConnectedHost returns the host of the replica that answers this process; nil: none does.
+// ConnectedHost returns the host of the replica to which this process is connected, or nil if it is not
+// connected.
 func (n *Node) ConnectedHost() *string { return n.client.ConnectedHost() }
