--- a/cmd/dunespoke-gateway/config.go
+++ b/cmd/dunespoke-gateway/config.go
@@ -11,7 +11,7 @@
 
 type configGet struct{ endpoint }
 
-// Execute prints the newest configuration, as it was sent.
+// Execute prints the newest configuration, exactly as it was put.
 func (c *configGet) Execute([]string) error {
 	text, err := c.call("config.read", nil)
 	if err != nil {
@@ -21,13 +21,14 @@
 	return trace.Wrap(err)
 }
 
-// configFile is a configuration in a file.
+// configFile is the argument that names a file with a configuration.
 type configFile struct {
 	Args struct {
-		File string `positional-arg-name:"FILE" description:"a configuration, JSON"`
+		File string `positional-arg-name:"FILE" description:"configuration file, JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
+// read reads and validates the file.
 func (f configFile) read() ([]byte, *routing.Table, error) {
 	text, err := os.ReadFile(f.Args.File)
 	if err != nil {
@@ -42,7 +43,7 @@
 	configFile
 }
 
-// Execute sends a configuration, after it was checked here.
+// Execute validates a configuration and sends it.
 func (c *configPut) Execute([]string) error {
 	text, table, err := c.read()
 	if err != nil {
@@ -60,7 +61,7 @@
 	configFile
 }
 
-// Execute shows what a configuration would change of the newest.
+// Execute prints the differences between the newest configuration and the one in the file.
 func (c *configDiff) Execute([]string) error {
 	_, next, err := c.read()
 	if err != nil {
--- a/cmd/dunespoke-gateway/endpoint.go
+++ b/cmd/dunespoke-gateway/endpoint.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	callTimeout     = 5 * time.Second // for a call with its answer
+	callTimeout     = 5 * time.Second // of a call, including its response
 	maxResponseSize = message.MaxFrameSize
 )
 
-// endpoint is the machine that is called.
+// endpoint is the option that selects the machine to call.
 type endpoint struct {
-	Endpoint string `long:"endpoint" description:"control address of any machine, as in 10.1.0.13:8381"`
-	At       string `long:"at" hidden:"true" description:"the old name of --endpoint"`
+	Endpoint    string `long:"endpoint" description:"control address of any machine, e.g. 10.1.0.13:8381"`
+	OldEndpoint string `long:"at" hidden:"true" description:"deprecated name of --endpoint"`
 }
 
-// call makes a call of the control API and returns its answer. An answer that is not 200 is an error with its
-// text.
+// call sends a call to the control API and returns the body of the response. If the status is not 200, it
+// returns an error that contains the body.
 func (e endpoint) call(name string, body []byte) ([]byte, error) {
-	addr := cmp.Or(e.Endpoint, e.At)
+	addr := cmp.Or(e.Endpoint, e.OldEndpoint)
 	if addr == "" {
 		return nil, trace.BadParameter("the required flag `--endpoint' was not specified")
 	}
@@ -51,29 +51,30 @@
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "%s broke off its answer", addr)
+		return nil, trace.ConnectionProblem(err, "%s closed the connection before its response was complete", addr)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, trace.BadParameter("%s answers %s: %s", addr, response.Status, bytes.TrimSpace(text))
+		return nil, trace.BadParameter("%s responded with %s: %s", addr, response.Status, bytes.TrimSpace(text))
 	}
 	return text, nil
 }
 
-// decode reads an answer that is a document.
+// decode decodes a JSON response.
 func (e endpoint) decode(text []byte, into any) error {
 	if err := json.Unmarshal(text, into); err != nil {
-		return trace.BadParameter("%s does not answer as this program does: %v", cmp.Or(e.Endpoint, e.At), err)
+		return trace.BadParameter("%s sent an invalid response: %v", cmp.Or(e.Endpoint, e.OldEndpoint), err)
 	}
 	return nil
 }
 
-// query is a call whose answer is a document.
+// query is a call with a JSON response.
 type query struct {
 	endpoint
-	JSON bool `long:"json" description:"print the answer as it came"`
+	JSON bool `long:"json" description:"print the response as received, JSON"`
 }
 
-// get makes the call. The answer is read, or, where that is wanted, printed as it came: printed is true then.
+// get sends the call and decodes the response. With --json it prints the response as received instead, and
+// printed is true.
 func (q query) get(name string, into any) (printed bool, err error) {
 	text, err := q.call(name, nil)
 	if err != nil {
--- a/cmd/dunespoke-gateway/main.go
+++ b/cmd/dunespoke-gateway/main.go
@@ -1,6 +1,6 @@
-// Command dunespoke-gateway is the whole gateway: one program for all machines. It takes clients' requests,
-// operators' calls and other processes' messages; on machines with a disk it holds the control state. Its
-// other commands are an operator's.
+// Command dunespoke-gateway is the gateway; the same program runs on all machines. Its command serve handles
+// clients' requests, operators' calls and other processes' messages, and stores the control state on machines
+// with a disk. Its other commands are for operators.
 package main
 
 import (
@@ -14,55 +14,57 @@
 
 const programName = "dunespoke-gateway"
 
-// command is one of the command line. Old names are hidden: they stay for one version.
+// command is a command of the command line. The alias is its previous name, which is kept for one version and
+// hidden in the help.
 type command struct {
-	name, old string
-	short     string
-	data      any
-	commands  []command
+	name, alias string
+	short       string
+	data        any
+	commands    []command
 }
 
 func commands() []command {
 	return []command{
 		{name: "serve", short: "Serve clients, operators and other machines", data: &serve{}},
-		{name: "check", short: "Check settings and configurations, and name what is wrong", data: &check{}},
-		{name: "status", old: "view", short: "Show how a machine sees the cluster", data: &status{}},
-		{name: "slow-requests", old: "late",
-			short: "Show which requests of a machine ran late or were given up", data: &slowRequests{}},
+		{name: "check", short: "Validate settings and configurations, and report errors", data: &check{}},
+		{name: "status", alias: "view", short: "Show the state of a machine and its view of the cluster",
+			data: &status{}},
+		{name: "slow-requests", alias: "late",
+			short: "Show a machine's requests that were late, rejected or failed", data: &slowRequests{}},
 		{name: "config", short: "Get, compare and put configurations", data: &struct{}{}, commands: []command{
-			{name: "get", old: "read", short: "Print the newest configuration, as it was sent", data: &configGet{}},
-			{name: "diff", short: "Show what a configuration would change of the newest", data: &configDiff{}},
-			{name: "put", short: "Check a configuration and send it", data: &configPut{}},
+			{name: "get", alias: "read", short: "Print the newest configuration, as it was put", data: &configGet{}},
+			{name: "diff", short: "Compare a configuration with the newest", data: &configDiff{}},
+			{name: "put", short: "Validate a configuration and send it", data: &configPut{}},
 		}},
-		{name: "member", old: "core", short: "List and change the members of the core", data: &struct{}{},
+		{name: "member", alias: "core", short: "List and change the members of the core", data: &struct{}{},
 			commands: []command{
-				{name: "list", old: "show", short: "List the members, and the machines that could become some",
+				{name: "list", alias: "show", short: "List the members, and the machines that can become members",
 					data: &memberList{}},
 				{name: "add", short: "Make a machine a member", data: &memberAdd{}},
-				{name: "remove", short: "Remove a member for good", data: &memberRemove{}},
-				{name: "replace", short: "Put a machine in the place of a member", data: &memberReplace{}},
+				{name: "remove", short: "Remove a member permanently", data: &memberRemove{}},
+				{name: "replace", short: "Replace a member by another machine", data: &memberReplace{}},
 			}},
-		{name: "snapshot", old: "store", short: "Check, save and restore the store of a stopped machine",
+		{name: "snapshot", alias: "store", short: "Check, save and restore the store of a stopped machine",
 			data: &struct{}{}, commands: []command{
 				{name: "check", short: "Check the store of a stopped machine", data: &snapshotCheck{}},
-				{name: "save", old: "export",
-					short: "Print the store of a stopped machine as a document, with tenants' keys",
+				{name: "save", alias: "export",
+					short: "Export the store of a stopped machine to standard output, including tenants' keys",
 					data:  &snapshotSave{}},
-				{name: "restore", old: "found", short: "Make a machine's store of a core that is restored",
+				{name: "restore", alias: "found", short: "Create the store of a machine of a restored core",
 					data: &snapshotRestore{}},
 			}},
-		{name: "version", short: "Show which build this is", data: &version{}},
+		{name: "version", short: "Show the version of this build", data: &version{}},
 	}
 }
 
-// commandAdder is a parser, or a command that has others.
+// commandAdder is a parser, or a command with subcommands.
 type commandAdder interface {
 	AddCommand(name, short, long string, data any) (*flags.Command, error)
 }
 
-// addTo adds a command, under its old name, too.
+// addTo adds a command and its subcommands to the parent, each also under its alias.
 func (c command) addTo(parent commandAdder) error {
-	for _, name := range []string{c.name, c.old} {
+	for _, name := range []string{c.name, c.alias} {
 		if name == "" {
 			continue
 		}
@@ -70,7 +72,7 @@
 		if err != nil {
 			return trace.Wrap(err, "command %s", name)
 		}
-		added.Hidden = name == c.old
+		added.Hidden = name == c.alias
 		for _, sub := range c.commands {
 			if err := sub.addTo(added); err != nil {
 				return err
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// newParser returns a parser that knows all commands.
+// newParser returns a parser for all commands.
 func newParser() (*flags.Parser, error) {
 	p := flags.NewNamedParser(programName, flags.HelpFlag|flags.PassDoubleDash)
 	for _, c := range commands() {
@@ -91,7 +93,7 @@
 	return p, nil
 }
 
-// run runs the command that the arguments name.
+// run executes the command that the arguments select.
 func run(args []string) error {
 	p, err := newParser()
 	if err != nil {
--- a/cmd/dunespoke-gateway/main_test.go
+++ b/cmd/dunespoke-gateway/main_test.go
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// Given the program, then it links no library for agreement, membership, discovery or proxying: those are the
-// project's own work.
-func TestTheProgramLinksNoForeignControl(t *testing.T) {
+// The program links no third-party library for consensus, membership, discovery or proxying: the project
+// implements these itself.
+func TestNoThirdPartyControlPlaneIsLinked(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	deps := string(out)
 	if !strings.Contains(deps, "dunespoke/internal/controlplane/replica") {
-		t.Fatal("the list of what is linked is not whole")
+		t.Fatal("the list of linked packages is incomplete")
 	}
 	for _, bad := range []string{"go.etcd.io/raft", "hashicorp/memberlist", "dunespoke/fleet"} {
 		if strings.Contains(deps, bad) {
-			t.Errorf("links %s", bad)
+			t.Errorf("the program links %s", bad)
 		}
 	}
-	// pebble's reports of errors bring httputil, for dumps of requests; nothing of the project uses its proxy.
+	// pebble's error reporting links httputil to dump requests. No package of the project may import its proxy.
 	out, err = exec.CommandContext(t.Context(), "go", "list", "-deps", "-f", "{{.ImportPath}}: {{.Imports}}",
 		".").Output()
 	if err != nil {
@@ -34,14 +34,14 @@
 	}
 	for line := range strings.Lines(string(out)) {
 		if strings.HasPrefix(line, "dunespoke/") && strings.Contains(line, "net/http/httputil") {
-			t.Errorf("imports a proxy: %s", line)
+			t.Errorf("a package of the project imports net/http/httputil: %s", line)
 		}
 	}
 }
 
-// Given settings that name a file of keys, when that is missing or has a key that is too short, then check
-// says so, and doesn't show the key.
-func TestCheckReadsTheKeys(t *testing.T) {
+// If the key file named in the settings is missing or contains a key that is too short, check reports it
+// without printing the key.
+func TestCheckValidatesPeerKeys(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../example/cluster/settings.toml")
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	check := []string{"check", "--settings", file}
 	if err := run(check); err == nil || !strings.Contains(err.Error(), "peer.keys") {
-		t.Errorf("no file of keys: %v", err)
+		t.Errorf("missing key file: %v", err)
 	}
 	wanted := map[string]string{"short-one": "at least 32 characters", strings.Repeat("k", 32): ""}
 	for key, want := range wanted {
@@ -71,9 +71,9 @@
 	}
 }
 
-// Given the command line, then files and folders reach the commands that take them, and what is missing is
-// named.
-func TestCommandsTakeTheirFiles(t *testing.T) {
+// The commands read the files and directories that they are given, and report missing arguments, under their
+// present and their previous names.
+func TestCommandErrors(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
 		args []string
@@ -91,7 +91,7 @@
 		{[]string{"slow-requests", "--endpoint", "127.0.0.1:1"}, "does not answer"},
 		{[]string{"member", "list", "--endpoint", "127.0.0.1:1"}, "does not answer"},
 		{[]string{"member", "replace", "--endpoint", "127.0.0.1:1", "10.1.0.13:7560"}, "NEW"},
-		// The names of the version before.
+		// The previous names.
 		{[]string{"store", "check", dir}, "no store in this folder"},
 		{[]string{"store", "check"}, "DIR"},
 		{[]string{"store", "found", "--from", dir + "/no", "--core", "z=a", dir}, "no such file"},
--- a/cmd/dunespoke-gateway/member.go
+++ b/cmd/dunespoke-gateway/member.go
@@ -11,7 +11,7 @@
 
 type memberList struct{ query }
 
-// Execute lists the members of the core, and the machines that could become some.
+// Execute lists the members of the core, and the machines that can become members.
 func (c *memberList) Execute([]string) error {
 	var members api.Members
 	if printed, err := c.get("core.show", &members); printed || err != nil {
@@ -20,7 +20,7 @@
 	return printMembers(members)
 }
 
-// printTolerance prints what may be lost of the members.
+// printTolerance prints how many members may fail now, and why that is less than required, if it is.
 func printTolerance(membershipEpoch, tolerated uint64, gap string) {
 	fmt.Printf("members of epoch %d; of them %d may be lost now\n", membershipEpoch, tolerated)
 	if gap != "" {
@@ -44,7 +44,7 @@
 	return t.flush()
 }
 
-// changeMembers orders a change of members, and prints them as they are then.
+// changeMembers requests a change of members and prints the resulting members.
 func (e endpoint) changeMembers(change api.MemberChange) error {
 	body, err := json.Marshal(change)
 	if err != nil {
@@ -64,7 +64,7 @@
 type memberAdd struct {
 	endpoint
 	Args struct {
-		New string `positional-arg-name:"ADDRESS" description:"of a machine with a disk, as member list tells it"`
+		New string `positional-arg-name:"ADDRESS" description:"address of a machine with a disk, as in member list"`
 	} `positional-args:"yes" required:"yes"`
 }
 
@@ -76,11 +76,11 @@
 type memberRemove struct {
 	endpoint
 	Args struct {
-		Old string `positional-arg-name:"ADDRESS" description:"of a member"`
+		Old string `positional-arg-name:"ADDRESS" description:"address of a member"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute removes a member for good.
+// Execute removes a member permanently.
 func (c *memberRemove) Execute([]string) error {
 	return c.changeMembers(api.MemberChange{Remove: c.Args.Old})
 }
@@ -93,7 +93,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute puts a machine in the place of a member.
+// Execute replaces a member by another machine.
 func (c *memberReplace) Execute([]string) error {
 	return c.changeMembers(api.MemberChange{Add: c.Args.New, Remove: c.Args.Old})
 }
--- a/cmd/dunespoke-gateway/serve.go
+++ b/cmd/dunespoke-gateway/serve.go
@@ -17,7 +17,7 @@
 )
 
 type serve struct {
-	Settings string `long:"settings" env:"DUNESPOKE_CONFIG" required:"yes" description:"file of settings, TOML"`
+	Settings string `long:"settings" env:"DUNESPOKE_CONFIG" required:"yes" description:"settings file, TOML"`
 	Verbose  []bool `long:"verbose" short:"v" description:"log more"`
 }
 
@@ -33,14 +33,14 @@
 }
 
 type check struct {
-	Settings string `long:"settings" description:"file of settings, TOML"`
-	Config   string `long:"config" description:"file of a configuration, JSON, as config.replace takes it"`
+	Settings string `long:"settings" description:"settings file, TOML"`
+	Config   string `long:"config" description:"configuration file, JSON, as accepted by config.replace"`
 }
 
-// Execute names the faults of files.
+// Execute validates the given files and returns the first error.
 func (c *check) Execute([]string) error {
 	if c.Settings == "" && c.Config == "" {
-		return trace.BadParameter("check: nothing to check; see --help")
+		return trace.BadParameter("check: neither --settings nor --config was specified")
 	}
 	if c.Settings != "" {
 		set, err := settings.ReadFile(c.Settings)
@@ -69,7 +69,7 @@
 
 type version struct{}
 
-// Execute shows which build this is.
+// Execute prints the version of this build.
 func (version) Execute([]string) error {
 	build := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/dunespoke-gateway/snapshot.go
+++ b/cmd/dunespoke-gateway/snapshot.go
@@ -14,16 +14,16 @@
 	"dunespoke/internal/routing"
 )
 
-// dataDir is a stopped machine's.
+// dataDir is the argument that names the data directory of a stopped machine.
 type dataDir struct {
 	Args struct {
-		Dir string `positional-arg-name:"DIR" description:"a stopped machine's data_dir"`
+		Dir string `positional-arg-name:"DIR" description:"data_dir of a stopped machine"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 type snapshotCheck struct{ dataDir }
 
-// Execute looks at a stopped machine's store, and checks what is in it.
+// Execute reads the store of a stopped machine, validates the configuration in it and prints a summary.
 func (c *snapshotCheck) Execute([]string) error {
 	s, err := storage.ReadSnapshot(c.Args.Dir)
 	if err != nil {
@@ -36,7 +36,8 @@
 			return trace.Wrap(err, "the configuration in the store")
 		}
 		if table.Version != s.Version {
-			return trace.CompareFailed("the store says r%d, its configuration r%d", s.Version, table.Version)
+			return trace.CompareFailed("the store is at version r%d, but its configuration is version r%d",
+				s.Version, table.Version)
 		}
 		config = table.String()
 	}
@@ -48,7 +49,7 @@
 
 type snapshotSave struct{ dataDir }
 
-// Execute prints a stopped machine's store as a document. It holds tenants' keys.
+// Execute writes the store of a stopped machine to standard output. The output contains tenants' keys.
 func (c *snapshotSave) Execute([]string) error {
 	s, err := storage.ReadSnapshot(c.Args.Dir)
 	if err != nil {
@@ -63,15 +64,15 @@
 }
 
 type snapshotRestore struct {
-	From    string   `long:"from" required:"yes" description:"file that snapshot save wrote"`
-	Members []string `long:"member" description:"member of the new core, ZONE=ADDRESS; for each"`
-	Core    []string `long:"core" hidden:"true" description:"the old name of --member"`
-	Args    struct {
-		Dir string `positional-arg-name:"DIR" description:"this machine's data_dir; it must hold no store"`
+	From       string   `long:"from" required:"yes" description:"file written by snapshot save"`
+	Members    []string `long:"member" description:"member of the restored core, ZONE=ADDRESS; repeatable"`
+	OldMembers []string `long:"core" hidden:"true" description:"deprecated name of --member"`
+	Args       struct {
+		Dir string `positional-arg-name:"DIR" description:"data_dir of this machine; must not contain a store"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes one member's store of a core that is restored.
+// Execute creates the store of one member of a restored core.
 func (c *snapshotRestore) Execute([]string) error {
 	text, err := os.ReadFile(c.From)
 	if err != nil {
@@ -81,7 +82,7 @@
 	if err != nil {
 		return trace.Wrap(err, "%s", c.From)
 	}
-	members, err := parseMembers(slices.Concat(c.Members, c.Core))
+	members, err := parseMembers(slices.Concat(c.Members, c.OldMembers))
 	if err != nil {
 		return err
 	}
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// parseMembers reads members of the form ZONE=ADDRESS.
+// parseMembers parses members of the form ZONE=ADDRESS.
 func parseMembers(texts []string) (members []message.Node, err error) {
 	if len(texts) == 0 {
 		return nil, trace.BadParameter("the required flag `--member' was not specified")
--- a/cmd/dunespoke-gateway/status.go
+++ b/cmd/dunespoke-gateway/status.go
@@ -19,7 +19,7 @@
 
 type status struct{ query }
 
-// Execute shows how a machine sees the cluster.
+// Execute prints the state of a machine and its view of the cluster.
 func (c *status) Execute([]string) error {
 	var s api.NodeStatus
 	if printed, err := c.get("exchange.view", &s); printed || err != nil {
@@ -44,13 +44,14 @@
 	fmt.Printf("roles: %s\n", cmp.Or(strings.Join(roleNames(r.Roles), ", "), "none"))
 }
 
-// roleTerms are the field's terms for roles, by their names on the wire.
+// roleTerms are the displayed names of the roles, by their names in the protocol.
 var roleTerms = map[string]string{
 	replica.EndpointReader.String(): "endpoint reader",
 	replica.QuotaAllocator.String(): "quota allocator",
 }
 
-// roleNames returns what operators are shown of roles; of one that this version doesn't know, its name.
+// roleNames returns the displayed names of roles. A role that this version doesn't know keeps its protocol
+// name.
 func roleNames(roles []string) []string {
 	var names []string
 	for _, role := range roles {
@@ -61,11 +62,12 @@
 
 type slowRequests struct {
 	query
-	Route string `long:"route" description:"of this route alone"`
-	Each  bool   `long:"each" description:"each request, the last one first, and not their sums"`
+	Route string `long:"route" description:"show only requests of this route"`
+	Each  bool   `long:"each" description:"list the requests, newest first, instead of summaries"`
 }
 
-// Execute shows which requests of a machine ran late or were given up, and where their time went.
+// Execute prints the requests of a machine that were late, rejected or failed, and the time spent in each
+// phase.
 func (c *slowRequests) Execute([]string) error {
 	var list api.SlowRequests
 	if printed, err := c.get("exchange.late", &list); printed || err != nil {
@@ -101,7 +103,7 @@
 
 func millis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// table prints rows with their columns aligned.
+// table prints rows with aligned columns. It keeps the first error, which flush returns.
 type table struct {
 	w   *tabwriter.Writer
 	err error
