--- a/cmd/dunespoke/wiring.go
+++ b/cmd/dunespoke/wiring.go
@@ -375,7 +375,7 @@
 // take starts a server of clients.
 func (p *program) take(s *accept.Server, addr string, clients int, side *secure.Side) {
 	p.servers = append(p.servers, s)
-	s.LeaveWhile(p.leaves)
+	s.DrainWhile(p.leaves)
 	go func() { p.failed <- s.Serve() }()
 	p.log.Info().Str("code", "started").Str("listen", addr).Bool("tls", side != nil).Int("clients", clients).
 		Msg("serving")
--- a/front/gateway/gateway.go
+++ b/front/gateway/gateway.go
@@ -150,7 +150,7 @@
 			return nil
 		}
 	}
-	x.Hold(&route.Terms, admitted, route.Replay, f.clock)
+	x.SetTerms(&route.Terms, admitted, route.Replay, f.clock)
 	in.Payload = f.newMessage(x, route)
 	in.Reply = func(a core.Answer) { f.reply(x, in.Deadline-route.Core.Now(), a) }
 	if !route.Token {
--- a/front/platform/platform.go
+++ b/front/platform/platform.go
@@ -88,13 +88,13 @@
 		longTerms.Head, m.terms = in.Deadline, &longTerms
 		in.Deadline += maxUploadTime(x.Upload.Length()) // the client's time-out starts at its last byte
 	}
-	x.Hold(m.terms, admitted, 0, f.core.Now)
+	x.SetTerms(m.terms, admitted, 0, f.core.Now)
 	m.upload = x.Upload
 	if !f.register(m.id) {
 		x.Answer(http1.Plain(409, "X-Txn: that request is still being answered"))
 		return nil
 	}
-	if remaining, stopping := x.Left(); stopping { // no answer can be sent once the process has stopped
+	if remaining, stopping := x.TimeLeft(); stopping { // no answer can be sent once the process has stopped
 		in.Deadline = min(in.Deadline, remaining-deadlineMargin)
 	}
 	in.Deadline += now
@@ -127,7 +127,7 @@
 func (f *Front) passReply(x *accept.Exchange, class string, r *transfer.Reply) {
 	x.OnEnd(f.core.TrackResponse(class))
 	if admitted, _ := f.budget.Admit(f.core.Now()); admitted != nil {
-		x.Widen(admitted, f.core.Now)
+		x.SetTransfer(admitted, f.core.Now)
 	}
 	x.Pass(r)
 }
--- a/front/platform/platform_test.go
+++ b/front/platform/platform_test.go
@@ -91,7 +91,7 @@
 			return
 		}
 		m := in.Payload.(*message)
-		m.upload, m.terms = transfer.Whole(r.Content), &defaultTerms
+		m.upload, m.terms = transfer.Buffered(r.Content), &defaultTerms
 		out := append(m.Append(nil, core.Server{}, time.Second), r.Content...)
 		frames = http1.NewRequests(http1.DefaultLimits)
 		frames.Feed(out)
--- a/internal/dataplane/proxy/reply.go
+++ b/internal/dataplane/proxy/reply.go
@@ -38,7 +38,7 @@
 		if streamed, ok := a.Body.(*transfer.Reply); ok {
 			x.OnEnd(service.TrackResponse(in.Class))
 			if reservation, _ := h.BodyBudget.Admit(service.Now()); reservation != nil {
-				x.Widen(reservation, service.Now)
+				x.SetTransfer(reservation, service.Now)
 			}
 			x.Pass(streamed)
 			return
--- a/internal/dataplane/proxy/stream.go
+++ b/internal/dataplane/proxy/stream.go
@@ -91,7 +91,7 @@
 		extendedTerms := *request.terms
 		extendedTerms.ServerDown.Stall, request.terms = left, &extendedTerms
 	}
-	if processEnd, known := x.Left(); known { // a response after the end of the process would be lost
+	if processEnd, known := x.TimeLeft(); known { // a response after the end of the process would be lost
 		left = min(left, processEnd-deadlineMargin)
 	}
 	in.Deadline = now + left
@@ -99,7 +99,7 @@
 	for _, name := range generatedHeaders {
 		delete(request.header, name)
 	}
-	x.Hold(request.terms, reservation, 0, service.Now)
+	x.SetTerms(request.terms, reservation, 0, service.Now)
 	request.upload = x.Upload
 	return true
 }
--- a/internal/dataplane/proxy/upstream_request_test.go
+++ b/internal/dataplane/proxy/upstream_request_test.go
@@ -26,7 +26,7 @@
 		host:   "one.example",
 		id:     "id-1",
 		tenant: "t1",
-		upload: transfer.Whole([]byte("abc")),
+		upload: transfer.Buffered([]byte("abc")),
 		terms:  &defaultTerms,
 		header: http.Header{"X-Own": {"kept"}},
 	}
--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -58,7 +58,7 @@
 		n, h := scenario.NewNet(), &held{}
 		l, _ := n.Listen("memory", "ingress")
 		s := New(l, h, 4, zerolog.New(zerolog.SyncWriter(&log)))
-		s.LeaveWhile(h.leaving.Load)
+		s.DrainWhile(h.leaving.Load)
 		ended := make(chan error)
 		go func() { ended <- s.Serve() }()
 		play(t, s, h, n)
@@ -265,7 +265,7 @@
 type refuser struct{}
 
 func (refuser) Stream(x *Exchange) func() {
-	left, _ := x.Left()
+	left, _ := x.TimeLeft()
 	x.Answer(http1.Plain(429, left.String()))
 	return nil
 }
@@ -302,7 +302,7 @@
 }
 
 func (taker) Write([]byte) error { return nil }
-func (taker) Last()              {}
+func (taker) Commit()              {}
 func (taker) Close([]byte) error { return nil }
 func (t taker) Cut()             { t.x.Answer(http1.Plain(502, "cut")) }
 
--- a/internal/net/accept/drain.go
+++ b/internal/net/accept/drain.go
@@ -61,7 +61,7 @@
 // Draining reports whether the server is on its way out, for good or until it is told to join again.
 func (s *Server) Draining() bool { return s.drained.Load() != 0 || s.leaving != nil && s.leaving() }
 
-// LeaveWhile has every answer close its connection while an operator's word holds; the listener stays open,
+// DrainWhile has every answer close its connection while an operator's word holds; the listener stays open,
 // since such a drain may end. Clients see it in the front's health check and stop coming; idle connections
 // end by their own time limit. It is to be called before Serve.
-func (s *Server) LeaveWhile(told func() bool) { s.leaving = told }
+func (s *Server) DrainWhile(told func() bool) { s.leaving = told }
--- a/internal/net/accept/exchange.go
+++ b/internal/net/accept/exchange.go
@@ -36,20 +36,20 @@
 	onEnd  func(whole bool) // of the answer; may be nil
 }
 
-// Hold holds the exchange to terms, and, where the room is not nil, moves its bodies by that. Up to replay
+// SetTerms holds the exchange to terms, and, where the room is not nil, moves its bodies by that. Up to replay
 // bytes of a body to come are held to be sent again. It is for the Streamer to call, before it returns.
-func (x *Exchange) Hold(t *transfer.Terms, room *flow.Transfer, replay int, clock func() time.Duration) {
+func (x *Exchange) SetTerms(t *transfer.Terms, room *flow.Transfer, replay int, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
 	x.terms, x.room, x.clock = t, room, clock
 	if x.Long && x.prefix == nil {
-		x.Upload = transfer.Coming(x.Upload.Length(), room, replay)
+		x.Upload = transfer.Streaming(x.Upload.Length(), room, replay)
 	}
 }
 
-// Widen lets an answer that is about to be passed on move by a room, unless the exchange has one. It is for
+// SetTransfer lets an answer that is about to be passed on move by a room, unless the exchange has one. It is for
 // the caller of Pass, before that; the room is closed with the exchange.
-func (x *Exchange) Widen(room *flow.Transfer, clock func() time.Duration) {
+func (x *Exchange) SetTransfer(room *flow.Transfer, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
 	switch {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Left tells how long the process still lives, if it has been told to end by a certain time.
-func (x *Exchange) Left() (left time.Duration, ends bool) {
+// TimeLeft tells how long the process still lives, if it has been told to end by a certain time.
+func (x *Exchange) TimeLeft() (left time.Duration, ends bool) {
 	s := x.conn.server
 	since := s.drained.Load()
 	if s.streams.Life == 0 || since == 0 {
--- a/internal/net/accept/request_body.go
+++ b/internal/net/accept/request_body.go
@@ -31,7 +31,7 @@
 		if !ok {
 			return false
 		}
-		x.Upload, x.whole = transfer.Whole(body), true
+		x.Upload, x.whole = transfer.Buffered(body), true
 	case store != nil && store.Fits(length):
 		if x.expect {
 			c.proceed(x)
@@ -40,7 +40,7 @@
 			return false
 		}
 	default:
-		x.Upload, x.Long = transfer.Coming(length, nil, 0), true
+		x.Upload, x.Long = transfer.Streaming(length, nil, 0), true
 	}
 	c.mu.Lock()
 	if c.state == stateClosed {
--- a/internal/net/accept/response_writer.go
+++ b/internal/net/accept/response_writer.go
@@ -39,7 +39,7 @@
 		}
 	}
 	last := c.closes(x)
-	lengthless := !r.Bare && r.Length < 0
+	lengthless := !r.NoBody && r.Length < 0
 	if lengthless && !modern {
 		c.last, last = true, true
 	}
@@ -51,9 +51,9 @@
 	case lengthless && modern:
 		x.form = formChunks
 		out = http1.AppendHeader(out, "Transfer-Encoding", "chunked")
-	case r.Bare && r.StatusCode != http.StatusNoContent && r.ContentLength >= 0:
+	case r.NoBody && r.StatusCode != http.StatusNoContent && r.ContentLength >= 0:
 		out = http1.AppendHeader(out, "Content-Length", strconv.FormatInt(r.ContentLength, 10))
-	case !r.Bare && !lengthless:
+	case !r.NoBody && !lengthless:
 		out = http1.AppendHeader(out, "Content-Length", strconv.FormatInt(r.Length, 10))
 	}
 	if last {
--- a/internal/net/accept/server.go
+++ b/internal/net/accept/server.go
@@ -60,8 +60,8 @@
 		conns: map[connection]struct{}{}, empty: make(chan struct{})}
 }
 
-// Bound sets how long messages may be that are held whole. It is to be called before Serve.
-func (s *Server) Bound(l http1.Limits) { s.limits = l }
+// SetLimits sets how long messages may be that are held whole. It is to be called before Serve.
+func (s *Server) SetLimits(l http1.Limits) { s.limits = l }
 
 // Serve takes connections until Drain has closed the listener.
 func (s *Server) Serve() error {
--- a/internal/net/forward/forward_test.go
+++ b/internal/net/forward/forward_test.go
@@ -58,7 +58,7 @@
 func TestABodyHasNotRunBeforeItsLastByte(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
-	up := transfer.Coming(10, nil, 0)
+	up := transfer.Streaming(10, nil, 0)
 	s := &bodyStream{up: up, terms: &transfer.Terms{Whole: true}, side: transfer.NewSide(near, flow.Pace{})}
 	s.begin(nil)
 	for part, want := range []choice.Code{choice.Refused, choice.Reset} {
@@ -93,7 +93,7 @@
 	f.slots <- struct{}{}
 	c := &connection{forwarder: f, at: placeOf(core.Server{})}
 	x := &exchange{forwarder: f, conn: c, written: true}
-	x.stream = &bodyStream{exchange: x, up: transfer.Coming(10, nil, 0), terms: &transfer.Terms{Whole: true}}
+	x.stream = &bodyStream{exchange: x, up: transfer.Streaming(10, nil, 0), terms: &transfer.Terms{Whole: true}}
 	x.stream.part.Store(true)
 	c.exchange, c.netConn = x, racing{near, func() { x.stream.part.Store(false) }}
 	if !x.Abort() {
@@ -159,7 +159,7 @@
 // greeting is a request whose answer is passed on as it comes.
 type greeting struct{ hello }
 
-func (greeting) Upload() *transfer.Upload { return transfer.Whole(nil) }
+func (greeting) Upload() *transfer.Upload { return transfer.Buffered(nil) }
 func (greeting) Terms() *transfer.Terms   { return &transfer.Terms{} }
 func (greeting) Method() string           { return http.MethodGet }
 
--- a/internal/net/forward/request_stream.go
+++ b/internal/net/forward/request_stream.go
@@ -41,9 +41,9 @@
 	reply    *transfer.Reply // that the core took before its head had come; nil: it waits for that
 }
 
-// Last tells the core that its part is over: whatever comes of this attempt is the answer. So the gate's room
+// Commit tells the core that its part is over: whatever comes of this attempt is the answer. So the gate's room
 // for attempts is not taken up by long bodies, nor its deadline held against them.
-func (s *bodyStream) Last() {
+func (s *bodyStream) Commit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.answered || s.terms.Awaited {
--- a/internal/net/forward/response_stream.go
+++ b/internal/net/forward/response_stream.go
@@ -95,7 +95,7 @@
 	if reply.Length >= 0 {
 		reply.Length += int64(len(c.held))
 	}
-	reply.Bare = x.stream.head || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
+	reply.NoBody = x.stream.head || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
 	reply.Interim, c.interim = c.interim, nil
 	if !early {
 		result.Body, result.Drop = reply, reply.Drop
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -14,7 +14,7 @@
 // time, Cut by any.
 type Sink interface {
 	Write(piece []byte) error
-	Last()                      // no other attempt can have the body from here on
+	Commit()                      // no other attempt can have the body from here on
 	Close(trailer []byte) error // the body is whole
 	Cut()                       // it never will be
 }
@@ -49,16 +49,16 @@
 	ErrOver  = errors.New("nobody takes the body")
 )
 
-// Whole returns the upload of a body that has come already.
-func Whole(body []byte) *Upload {
+// Buffered returns the upload of a body that has come already.
+func Buffered(body []byte) *Upload {
 	u := &Upload{length: int64(len(body)), held: body, whole: true, ended: true}
 	u.changed.L = &u.mu
 	return u
 }
 
-// Coming returns the upload of a body that is yet to come, of a length or of -1. Up to replay bytes of it are
+// Streaming returns the upload of a body that is yet to come, of a length or of -1. Up to replay bytes of it are
 // held to be sent again, out of the room.
-func Coming(length int64, room *flow.Transfer, replay int) *Upload {
+func Streaming(length int64, room *flow.Transfer, replay int) *Upload {
 	u := &Upload{length: length, room: room, replay: replay, whole: true}
 	u.changed.L = &u.mu
 	return u
@@ -67,7 +67,7 @@
 // Stored returns the upload of a body that is held in a store, as long as that has room, before any attempt
 // takes it.
 func Stored(store *flow.Store) *Upload {
-	u := Coming(0, nil, 0)
+	u := Streaming(0, nil, 0)
 	u.store = store
 	return u
 }
@@ -225,7 +225,7 @@
 		if !kept && u.whole {
 			u.whole = false
 			u.mu.Unlock()
-			s.Last()
+			s.Commit()
 			u.mu.Lock()
 		}
 		err := error(nil)
--- a/internal/server/listeners.go
+++ b/internal/server/listeners.go
@@ -40,7 +40,7 @@
 			return trace.ConvertSystemError(err)
 		}
 		server := accept.New(listener, s.api, maxControlConnections, zerolog.Nop())
-		server.Bound(http1.Limits{Head: maxControlHeader, Body: maxControlBody})
+		server.SetLimits(http1.Limits{Head: maxControlHeader, Body: maxControlBody})
 		go s.serve(server)
 	}
 	return nil
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -29,7 +29,7 @@
 	requests := metrics.NewRequests(registry)
 	registry.MustRegister(metrics.NewCluster(s))
 	server := accept.New(listener, metrics.NewHandler(path, registry), maxMetricsConnections, zerolog.Nop())
-	server.Bound(http1.Limits{Head: maxControlHeader})
+	server.SetLimits(http1.Limits{Head: maxControlHeader})
 	go s.serve(server)
 	return requests, nil
 }
