--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -18,14 +18,14 @@
 	"dunespoke/internal/scenario"
 )
 
-// held answers /now at once, and the rest when the test says so.
-type held struct {
+// delayedHandler answers /now at once, and other requests when the test calls release.
+type delayedHandler struct {
 	leaving atomic.Bool
 	mu      sync.Mutex
 	waiting []func(*http1.Answer)
 }
 
-func (h *held) Serve(r *http1.Request, respond func(*http1.Answer)) func() {
+func (h *delayedHandler) Serve(r *http1.Request, respond func(*http1.Answer)) func() {
 	if r.URL.Path == "/now" {
 		respond(http1.Plain(200, "at once"))
 		return nil
@@ -36,7 +36,7 @@
 	return func() {}
 }
 
-func (h *held) release() {
+func (h *delayedHandler) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, respond := range h.waiting {
@@ -50,12 +50,12 @@
 	hold = `GET /hold HTTP/1.1\r\nHost: h\r\n\r\n`
 )
 
-// serve plays a script against a server of four connections and returns the log.
-func serve(t *testing.T, play func(t *testing.T, s *Server, h *held, n *scenario.Net)) string {
+// serve runs a scenario against a server with four connection slots and returns the log.
+func serve(t *testing.T, play func(t *testing.T, s *Server, h *delayedHandler, n *scenario.Net)) string {
 	t.Helper()
 	var log bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
-		n, h := scenario.NewNet(), &held{}
+		n, h := scenario.NewNet(), &delayedHandler{}
 		l, _ := n.Listen("memory", "ingress")
 		s := New(l, h, 4, zerolog.New(zerolog.SyncWriter(&log)))
 		s.DrainWhile(h.leaving.Load)
@@ -71,8 +71,10 @@
 	return log.String()
 }
 
-func TestDrainFinishesWhatWasTaken(t *testing.T) {
-	log := serve(t, func(t *testing.T, s *Server, h *held, n *scenario.Net) {
+// A drain answers the requests that were received, accepts new connections for a while, and closes each
+// connection with its response.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
+	log := serve(t, func(t *testing.T, s *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(time.Second, func() { go s.Drain() })
 		time.AfterFunc(3*time.Second, h.release)
 		scenario.Play(t, n, nil, `
@@ -91,12 +93,12 @@
 			client2 wait closed`)
 	})
 	if strings.Count(log, `"code":"answered-last"`) != 3 {
-		t.Errorf("want three last answers in\n%s", log)
+		t.Errorf("want three final responses in\n%s", log)
 	}
 }
 
-func TestDrainClosesWhatIsIdle(t *testing.T) {
-	log := serve(t, func(t *testing.T, s *Server, _ *held, n *scenario.Net) {
+func TestDrainClosesIdleConnections(t *testing.T) {
+	log := serve(t, func(t *testing.T, s *Server, _ *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(time.Second, func() { go s.Drain() })
 		scenario.Play(t, n, nil, `
 			client send `+now+`
@@ -108,10 +110,10 @@
 	}
 }
 
-// A client that connects just before a drain closes the listener is heard all the same.
-func TestDrainHearsWhoHasJustConnected(t *testing.T) {
-	serve(t, func(t *testing.T, s *Server, _ *held, n *scenario.Net) {
-		time.AfterFunc(time.Second-drainAccept, func() { go s.Drain() })
+// A client that connects just before a drain closes the listener still gets its request answered.
+func TestDrainAnswersRecentlyConnectedClients(t *testing.T) {
+	serve(t, func(t *testing.T, s *Server, _ *delayedHandler, n *scenario.Net) {
+		time.AfterFunc(time.Second-drainAcceptTime, func() { go s.Drain() })
 		scenario.Play(t, n, nil, `
 			client0 wait 990ms
 			client1 send 
@@ -121,10 +123,10 @@
 	})
 }
 
-// Whoever sends nothing, or no whole request, is told or closed within 2.5 s of connecting, however it
-// trickles.
-func TestSilentAndSlowClientsEnd(t *testing.T) {
-	log := serve(t, func(t *testing.T, s *Server, h *held, n *scenario.Net) {
+// A client that sends nothing or only part of a request gets an error or is disconnected within 2.5 s of
+// connecting, however slowly it keeps sending.
+func TestSilentAndSlowClientsAreDisconnected(t *testing.T) {
+	log := serve(t, func(t *testing.T, s *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(time.Minute, h.release)
 		scenario.Play(t, n, nil, `
 			client1 send GET /
@@ -156,22 +158,22 @@
 			client2 wait nothing
 			client2 wait 1m
 			client2 expect done`)
-		time.Sleep(idleWait + lateWait)
+		time.Sleep(idleTimeout + lateReadTimeout)
 		if s.Free() != 100 {
-			t.Errorf("%d%% free after all have gone", s.Free())
+			t.Errorf("%d%% free after all clients were disconnected", s.Free())
 		}
 	})
 	for code, times := range map[string]int{"silent": 1, "idle": 2, "answered-last": 2} {
 		if strings.Count(log, `"code":"`+code+`"`) != times {
-			t.Errorf("want %d times %s in\n%s", times, code, log)
+			t.Errorf("want %d times code %s in\n%s", times, code, log)
 		}
 	}
 }
 
-// At the limit, who has long been silent makes room before who was answered, who has just come after both,
-// and who is being answered never.
-func TestSilentClientsMakeRoomFirst(t *testing.T) {
-	log := serve(t, func(t *testing.T, _ *Server, h *held, n *scenario.Net) {
+// When all slots are in use, a client that has long been silent is evicted first, then an idle one, then one
+// that has just connected. One whose request is being answered is never evicted.
+func TestSilentClientsAreEvictedFirst(t *testing.T) {
+	log := serve(t, func(t *testing.T, _ *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(2400*time.Millisecond, h.release)
 		scenario.Play(t, n, nil, `
 			client1 send `+now+`
@@ -193,14 +195,14 @@
 			client7 expect done`)
 	})
 	if strings.Count(log, `"code":"made-room"`) != 3 {
-		t.Errorf("want three connections that made room in\n%s", log)
+		t.Errorf("want three evicted connections in\n%s", log)
 	}
 }
 
-// While more than half of the connections are taken, answers close theirs: clients that ask once and keep
-// their connections once held all there were, and new requests found none.
-func TestAnswersCloseWhileConnectionsAreShort(t *testing.T) {
-	serve(t, func(t *testing.T, _ *Server, _ *held, n *scenario.Net) {
+// While more than half of the slots are in use, responses close their connections. Guards against clients
+// that send one request and keep the connection: they once used up all slots and blocked new requests.
+func TestResponsesCloseConnectionsAboveHalfOfTheLimit(t *testing.T) {
+	serve(t, func(t *testing.T, _ *Server, _ *delayedHandler, n *scenario.Net) {
 		scenario.Play(t, n, nil, `
 			client1 send `+now+`
 			client1 expect at once\n
@@ -215,11 +217,11 @@
 	})
 }
 
-// A client that sends far ahead of its answer gets that answer, and no other.
-func TestTooMuchAheadIsDropped(t *testing.T) {
-	serve(t, func(t *testing.T, _ *Server, h *held, n *scenario.Net) {
+// A client that pipelines too much while it waits for a response gets that response and no other.
+func TestTooMuchPipelinedInputIsDiscarded(t *testing.T) {
+	serve(t, func(t *testing.T, _ *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(time.Second, h.release)
-		scenario.Play(t, n, map[string]string{"ahead": strings.Repeat(now, 2+mostAhead/len(now))}, `
+		scenario.Play(t, n, map[string]string{"ahead": strings.Repeat(now, 2+maxPipelinedBytes/len(now))}, `
 			client send `+hold+`
 			client send $ahead$ahead
 			client expect done
@@ -227,7 +229,7 @@
 	})
 }
 
-// serveUntilDrained takes connections until the server drains, or its listener is closed with the test.
+// serveUntilDrained accepts connections until the server drains or its listener is closed with the test.
 func serveUntilDrained(s *Server) { _ = s.Serve() }
 
 // send writes to a connection.
@@ -238,13 +240,14 @@
 	}
 }
 
-// An error reaches a client that still sends what it is about, and its connection ends well.
-func TestAnErrorIsNotOvertakenByAReset(t *testing.T) {
+// An error response reaches a client that is still sending the refused request, and the connection ends
+// without a reset.
+func TestErrorResponseIsNotLostToAReset(t *testing.T) {
 	l, err := direct.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(l, &held{}, 2, zerolog.Nop())
+	s := New(l, &delayedHandler{}, 2, zerolog.Nop())
 	go serveUntilDrained(s)
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
@@ -252,7 +255,7 @@
 	}
 	defer c.Close()
 	send(t, c, []byte("POST /now HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
-	send(t, c, make([]byte, lingerMost/2))
+	send(t, c, make([]byte, lingerMaxBytes/2))
 	got, err := io.ReadAll(c)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 413") {
 		t.Errorf("%q, %v", got, err)
@@ -261,22 +264,24 @@
 	s.Drain()
 }
 
-// refuser answers every request at once, however much of its body is yet to come, with what time is left.
-type refuser struct{}
+// immediateResponder answers every request as soon as its head is received. The body of the response is the
+// time left until the process exits.
+type immediateResponder struct{}
 
-func (refuser) Stream(x *Exchange) func() {
+func (immediateResponder) Stream(x *Exchange) func() {
 	left, _ := x.TimeLeft()
 	x.Answer(http1.Plain(429, left.String()))
 	return nil
 }
 
-// Before the process must end, one that asks hears of the time left, and one still sending that it is over.
-func TestDrainTurnsBackWhoIsStillSending(t *testing.T) {
+// During a drain, Exchange.TimeLeft returns the time until the exit. Shortly before the exit, a client that is
+// still sending its request gets a 503.
+func TestDrainRefusesIncompleteRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, o := scenario.NewNet(), Platform
 		l, _ := n.Listen("memory", "ingress")
 		o.Life = 3 * time.Second
-		s := NewStreams(l, refuser{}, 4, o, zerolog.Nop())
+		s := NewStreams(l, immediateResponder{}, 4, o, zerolog.Nop())
 		go serveUntilDrained(s)
 		time.AfterFunc(time.Second, s.Drain)
 		scenario.Play(t, n, map[string]string{"half": strings.Repeat("x", 50000)}, `
@@ -293,28 +298,29 @@
 	})
 }
 
-// taker takes bodies, and says of one that is cut that it may have run.
-type taker struct{ x *Exchange }
+// bodySink accepts request bodies. If one is cut off, it answers with a status that allows that the request
+// has run.
+type bodySink struct{ x *Exchange }
 
-func (taker) Stream(x *Exchange) func() {
-	go func() { _ = x.Upload.Attach(taker{x}) }() // what becomes of it shows in the answer
+func (bodySink) Stream(x *Exchange) func() {
+	go func() { _ = x.Upload.Attach(bodySink{x}) }() // the response shows the outcome
 	return nil
 }
 
-func (taker) Write([]byte) error { return nil }
-func (taker) Commit()              {}
-func (taker) Close([]byte) error { return nil }
-func (t taker) Cut()             { t.x.Answer(http1.Plain(502, "cut")) }
+func (bodySink) Write([]byte) error { return nil }
+func (bodySink) Commit()            {}
+func (bodySink) Close([]byte) error { return nil }
+func (t bodySink) Cut()             { t.x.Answer(http1.Plain(502, "cut")) }
 
-// Given a body that breaks off when part of it has left, then its client is not told by a status that
-// promises it that the request has not run, where these statuses promise that.
-func TestNothingIsPromisedOfWhatHasLeft(t *testing.T) {
+// When a body is cut off after part of it was sent to a server, the request may have run. Under
+// Streams.Promises the client must not get a status that says that it has not.
+func TestNoPromiseAfterPartOfABodyWasSent(t *testing.T) {
 	for promises, want := range map[bool]string{false: "503", true: "502"} {
 		synctest.Test(t, func(t *testing.T) {
 			n, o := scenario.NewNet(), Platform
 			l, _ := n.Listen("memory", "ingress")
 			o.Life, o.Promises = 3*time.Second, promises
-			s := NewStreams(l, taker{}, 4, o, zerolog.Nop())
+			s := NewStreams(l, bodySink{}, 4, o, zerolog.Nop())
 			go serveUntilDrained(s)
 			time.AfterFunc(time.Second, s.Drain)
 			scenario.Play(t, n, map[string]string{"part": strings.Repeat("x", 65000)}, `
@@ -325,13 +331,13 @@
 	}
 }
 
-// A client that sends all of a long body before it reads gets the answer that was given at its head.
-func TestTheRestOfARefusedBodyIsRead(t *testing.T) {
+// A client that sends all of a long body before it reads gets the response that was sent after its head.
+func TestRestOfARefusedBodyIsRead(t *testing.T) {
 	l, err := direct.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewStreams(l, refuser{}, 2, Platform, zerolog.Nop())
+	s := NewStreams(l, immediateResponder{}, 2, Platform, zerolog.Nop())
 	go serveUntilDrained(s)
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
@@ -351,8 +357,8 @@
 	s.Drain()
 }
 
-func TestTheLongestIdleMakesRoom(t *testing.T) {
-	log := serve(t, func(t *testing.T, _ *Server, h *held, n *scenario.Net) {
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
+	log := serve(t, func(t *testing.T, _ *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(1500*time.Millisecond, h.release)
 		scenario.Play(t, n, nil, `
 			client1 send `+now+`
@@ -370,12 +376,12 @@
 			client1 expect at once`)
 	})
 	if strings.Count(log, `"code":"made-room"`) != 1 {
-		t.Errorf("want one connection that made room in\n%s", log)
+		t.Errorf("want one evicted connection in\n%s", log)
 	}
 }
 
-func TestMessagesSentAheadAreAnsweredInTurn(t *testing.T) {
-	log := serve(t, func(t *testing.T, _ *Server, h *held, n *scenario.Net) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	log := serve(t, func(t *testing.T, _ *Server, h *delayedHandler, n *scenario.Net) {
 		time.AfterFunc(time.Second, h.release)
 		scenario.Play(t, n, nil, `
 			client send `+hold+now+now+`
@@ -392,11 +398,11 @@
 	}
 }
 
-// A client that takes 2 s for its head and sends its body at 48 kB a second is served: what it has sent buys
-// it time. One that trickles as slowly as the silent ones above is not.
-func TestSlowBodiesThatMoveAreTaken(t *testing.T) {
+// A client that takes 2 s for its head and then sends its body at 48 kB/s is served, as the bytes that it has
+// sent extend its time limit. One that trickles as in TestSilentAndSlowClientsAreDisconnected is not.
+func TestSteadySlowBodiesAreAccepted(t *testing.T) {
 	half := strings.Repeat("x", 24<<10)
-	serve(t, func(t *testing.T, _ *Server, _ *held, n *scenario.Net) {
+	serve(t, func(t *testing.T, _ *Server, _ *delayedHandler, n *scenario.Net) {
 		scenario.Play(t, n, map[string]string{"half": half}, `
 			client send POST /now HTTP/1.1\r\nHost: h\r\n
 			client wait 2s
@@ -408,10 +414,10 @@
 	})
 }
 
-// Told to leave, the server closes each connection with its answer but goes on taking new ones; told to join,
-// it keeps them open again.
-func TestLeaveEndsConnectionsUntilJoin(t *testing.T) {
-	serve(t, func(t *testing.T, s *Server, h *held, n *scenario.Net) {
+// While an operator drains the server, each response closes its connection, but new connections are accepted.
+// After the drain, connections stay open again.
+func TestOperatorDrainClosesConnectionsUntilItEnds(t *testing.T) {
+	serve(t, func(t *testing.T, s *Server, h *delayedHandler, n *scenario.Net) {
 		scenario.Play(t, n, nil, `
 			client1 send `+now+`
 			client1 expect at once`)
@@ -431,7 +437,7 @@
 			client3 expect at once\n
 			client3 wait nothing`)
 		if s.Draining() {
-			t.Error("still draining after being told to join")
+			t.Error("still draining after the operator ended the drain")
 		}
 	})
 }
--- a/internal/net/accept/closing.go
+++ b/internal/net/accept/closing.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// What a client still sends after an error is read and dropped, since to close a connection with unread bytes
-// resets it, and the reset may overtake the error.
+// After an error response, further input is read and discarded for a limited time and up to a limited size.
+// Closing a connection with unread input resets it, and the reset may destroy the response before the client
+// has read it.
 const (
-	lingerWait = time.Second
-	lingerMost = 1 << 20
+	lingerTimeout  = time.Second
+	lingerMaxBytes = 1 << 20
 )
 
-// restMost bounds the rest of a body that is dropped: twice the longest that the platform's clients send.
-const restMost = 64 << 20
+// discardMaxBytes limits how much of a request body is discarded when Streams.Rest is set. It is twice the
+// longest body that the platform's clients send.
+const discardMaxBytes = 64 << 20
 
-var errAhead = errors.New("too much ahead")
+var errTooMuchPipelined = errors.New("client sent too much pipelined data")
 
-// left says how a client has gone.
-func left(nc net.Conn, err error) string {
+// closeReason returns the log code for a connection whose read failed with err.
+func closeReason(nc net.Conn, err error) string {
 	switch {
-	case unsafeYet(nc):
+	case handshakePending(nc):
 		return "tls-failed"
-	case errors.Is(err, errAhead):
+	case errors.Is(err, errTooMuchPipelined):
 		return "too-much-ahead"
 	case errors.Is(err, io.EOF):
 		return "client-closed"
@@ -33,17 +35,17 @@
 	return "client-reset"
 }
 
-// unsafeYet reports whether a connection is to have TLS, and its handshake has not come to its end.
-func unsafeYet(nc net.Conn) bool {
+// handshakePending reports whether nc is a TLS connection whose handshake is not complete.
+func handshakePending(nc net.Conn) bool {
 	t, ok := nc.(*tls.Conn)
 	return ok && !t.ConnectionState().HandshakeComplete
 }
 
+// closeWrite closes the sending side of a connection. It reports false if that is not supported or fails.
 func closeWrite(nc net.Conn) bool {
 	w, ok := nc.(interface{ CloseWrite() error })
 	return ok && w.CloseWrite() == nil
 }
 
-// sendContinue tells a client that waits for it to send its body. An error tells that the client has
-// gone, which the next read tells, too.
+// sendContinue sends a 100 Continue response. A write error is ignored, as the next read returns it too.
 func sendContinue(conn net.Conn) { _, _ = conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) }
--- a/internal/net/accept/connection_state.go
+++ b/internal/net/accept/connection_state.go
@@ -1,14 +1,14 @@
 package accept
 
-// connectionState is what a streamConnection is in. It changes by streamConnection.transition alone.
+// connectionState is the state of a streamConnection. Only streamConnection.transition changes it.
 type connectionState int
 
 // The states of a streamConnection.
 const (
-	stateIdle      connectionState = iota // it is new, or was answered, and nothing of a next request has come
-	stateReceiving                        // part of a request has come that is to come whole
-	stateServing                          // a request is with the Streamer
-	stateLingering                        // the last answer is out: what still comes is read and dropped
+	stateIdle      connectionState = iota // new, or between requests: no part of the next request was received
+	stateReceiving                        // part of a head or of a body that is buffered was received
+	stateServing                          // the Streamer has a request
+	stateLingering                        // the last response was sent: further input is discarded
 	stateClosed
 )
 
@@ -16,7 +16,7 @@
 	return [...]string{"idle", "receiving", "serving", "lingering", "closed"}[s]
 }
 
-// transition is the one place where the state changes. A connection that is closed stays so. The lock is
+// transition changes the state, unless the connection is closed, which is final. It must be called with mu
 // held.
 func (c *streamConnection) transition(to connectionState) {
 	if c.state != stateClosed {
--- a/internal/net/accept/exchange.go
+++ b/internal/net/accept/exchange.go
@@ -11,33 +11,34 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// Exchange is one request and its answer.
+// Exchange is one request and its response.
 type Exchange struct {
 	*http.Request // without its body
 	Peer          net.Addr
 	Upload        *transfer.Upload
-	Long          bool // the body is yet to come
+	Long          bool // the body is not completely received
 
-	conn   *streamConnection
-	terms  *transfer.Terms
-	room   *flow.Transfer
-	clock  func() time.Duration
-	expect bool   // 100 Continue
-	prefix []byte // of a long body, for which the store had no room
-	leave  func()
-	whole  bool          // the request has come to its end
-	answer *http1.Answer // instead of one that says that there is none; nil: as given
-	reply  *transfer.Reply
-	down   *transfer.Side
-	form   bodyForm
-	out    []byte
-	told   bool             // the head is on its way
-	up     atomic.Int64     // bytes of the body
-	onEnd  func(whole bool) // of the answer; may be nil
+	conn       *streamConnection
+	terms      *transfer.Terms
+	room       *flow.Transfer
+	clock      func() time.Duration
+	expect     bool          // the client waits for 100 Continue
+	prefix     []byte        // part of a long body that was read but did not fit into the store
+	cancel     func()        // tells the Streamer that the client disconnected; may be nil
+	complete   bool          // the whole request was received
+	answer     *http1.Answer // error response that replaces the Streamer's; nil: none
+	reply      *transfer.Reply
+	down       *transfer.Side
+	framing    bodyFraming
+	out        []byte
+	responding bool             // writing the response has begun
+	up         atomic.Int64     // bytes received of the request body
+	onEnd      func(whole bool) // see OnEnd; may be nil
 }
 
-// SetTerms holds the exchange to terms, and, where the room is not nil, moves its bodies by that. Up to replay
-// bytes of a body to come are held to be sent again. It is for the Streamer to call, before it returns.
+// SetTerms sets the limits of the exchange and, if room is not nil, the transfer that its bodies' memory is
+// reserved from. Up to replay bytes of a streamed body are kept for retries. The Streamer may call it until
+// Stream returns.
 func (x *Exchange) SetTerms(t *transfer.Terms, room *flow.Transfer, replay int, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
@@ -47,8 +48,9 @@
 	}
 }
 
-// SetTransfer lets an answer that is about to be passed on move by a room, unless the exchange has one. It is for
-// the caller of Pass, before that; the room is closed with the exchange.
+// SetTransfer sets the transfer that the memory of a streamed response is reserved from, unless the exchange
+// has one. It must be called before Pass. The transfer is closed when the exchange ends, or at once if it has
+// ended.
 func (x *Exchange) SetTransfer(room *flow.Transfer, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
@@ -60,7 +62,8 @@
 	}
 }
 
-// TimeLeft tells how long the process still lives, if it has been told to end by a certain time.
+// TimeLeft returns the time until the process exits; ends is false if the server does not drain or its exit
+// has no time limit.
 func (x *Exchange) TimeLeft() (left time.Duration, ends bool) {
 	s := x.conn.server
 	since := s.drained.Load()
@@ -70,8 +73,8 @@
 	return s.streams.Life - time.Since(time.Unix(0, since)), true
 }
 
-// OnEnd has a function told whether the answer has gone out whole, once it has, or never will. It must not
-// block.
+// OnEnd sets a function that is called when the exchange ends, with whole true if the complete response was
+// sent. If the exchange has already ended, f(false) is called at once. f must not block.
 func (x *Exchange) OnEnd(f func(whole bool)) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
@@ -82,10 +85,10 @@
 	x.onEnd = f
 }
 
-// Answer gives a whole answer. It does not block.
+// Answer sends a complete response. It does not block.
 func (x *Exchange) Answer(a *http1.Answer) { go x.conn.respond(x, a) }
 
-// Pass gives an answer that is passed on as it comes. It does not block.
+// Pass streams a response to the client while it is received from the server. It does not block.
 func (x *Exchange) Pass(r *transfer.Reply) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
@@ -97,5 +100,5 @@
 	r.To(x)
 }
 
-// Room is what the answer may hold.
+// Room returns the transfer that the response's memory is reserved from, or nil.
 func (x *Exchange) Room() *flow.Transfer { return x.room }
--- a/internal/net/accept/request_body.go
+++ b/internal/net/accept/request_body.go
@@ -11,7 +11,8 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// request takes a request from its head on until it is answered. It reports whether to read on.
+// request handles a request whose head was read: it reads or streams the body, passes the request to the
+// Streamer and waits for the response. It reports whether to read the next request.
 func (c *streamConnection) request(r *http.Request) bool {
 	x := &Exchange{Request: r, Peer: c.netConn.RemoteAddr(), conn: c, terms: &transfer.Terms{}}
 	if t, ok := c.netConn.(*tls.Conn); ok {
@@ -25,16 +26,16 @@
 	switch {
 	case short && (!x.expect || length == 0 || store != nil):
 		if x.expect && length > 0 {
-			c.proceed(x)
+			c.allowContinue(x)
 		}
 		body, ok := c.collect(int(length))
 		if !ok {
 			return false
 		}
-		x.Upload, x.whole = transfer.Buffered(body), true
+		x.Upload, x.complete = transfer.Buffered(body), true
 	case store != nil && store.Fits(length):
 		if x.expect {
-			c.proceed(x)
+			c.allowContinue(x)
 		}
 		if !c.store(x, length) {
 			return false
@@ -51,29 +52,29 @@
 	c.transition(stateServing)
 	c.exchange, c.received = x, 0
 	c.count++
-	c.last = r.Close || !r.ProtoAtLeast(1, 1)
+	c.closeAfter = r.Close || !r.ProtoAtLeast(1, 1)
 	c.mu.Unlock()
-	leave := c.server.streamer.Stream(x)
+	cancel := c.server.streamer.Stream(x)
 	c.mu.Lock()
-	x.leave = leave
-	gone := c.state == stateClosed
-	if gone { // before it was known what the exchange holds
-		c.settle(x)
+	x.cancel = cancel
+	closed := c.state == stateClosed
+	if closed { // while Stream ran, so end may have missed what Stream reserved
+		c.release(x)
 	}
 	c.mu.Unlock()
-	if gone && leave != nil {
-		leave()
+	if closed && cancel != nil {
+		cancel()
 	}
 	if x.Long && !c.upload(x) {
 		return false
 	}
-	return c.await(x)
+	return c.awaitResponse(x)
 }
 
-// keepMost is the most memory that a body is given before it has come.
-const keepMost = 16 << 10
+// bodyPreallocMax is the largest buffer, in bytes, that is allocated for a body before it is received.
+const bodyPreallocMax = 16 << 10
 
-// collect reads a short body.
+// collect reads a short body completely. ok is false if the request was refused or the connection ended.
 func (c *streamConnection) collect(length int) (body []byte, ok bool) {
 	for {
 		kind, piece, err := c.pieces.Next()
@@ -83,7 +84,7 @@
 			return nil, false
 		case kind == http1.Data:
 			if body == nil {
-				body = make([]byte, 0, max(min(length, keepMost), len(piece)))
+				body = make([]byte, 0, max(min(length, bodyPreallocMax), len(piece)))
 			}
 			body = append(body, piece...)
 		case kind == http1.End:
@@ -94,8 +95,8 @@
 	}
 }
 
-// store reads a body into the store, to its end or as far as there is room. It reports whether the connection
-// is still there.
+// store reads a body into the store, until its end or until the store is full; in the latter case the rest
+// is streamed. It reports false if the request was refused or the connection ended.
 func (c *streamConnection) store(x *Exchange, length int64) bool {
 	up := transfer.Stored(c.server.streams.Store)
 	for {
@@ -113,7 +114,7 @@
 			x.up.Add(int64(len(piece)))
 		case kind == http1.End:
 			up.End(nil)
-			x.Upload, x.whole = up, true
+			x.Upload, x.complete = up, true
 			return true
 		case kind == http1.More && !c.fill():
 			up.Over()
@@ -122,55 +123,57 @@
 	}
 }
 
-// answered reports whether an exchange is over.
+// answered reports whether the exchange has ended.
 func (c *streamConnection) answered(x *Exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.exchange != x
 }
 
-// spoil ends a request in whose body something is wrong. What has left of it ends at the server as broken
-// off.
-func (c *streamConnection) spoil(x *Exchange, err error) {
+// failRequest ends a request whose body can't be read, with an error response. If part of the body was sent
+// to a server, the server sees it as truncated.
+func (c *streamConnection) failRequest(x *Exchange, err error) {
 	c.mu.Lock()
-	x.answer, c.last = http1.Problem(err), true
+	x.answer, c.closeAfter = http1.Problem(err), true
 	c.mu.Unlock()
 	x.Upload.Break()
 }
 
-// errDraining is told to a client that is still sending when the process is about to end.
+// errDraining is sent to a client that is still sending its request shortly before the process exits.
 var errDraining = &http1.Error{Status: http.StatusServiceUnavailable, Reason: "draining"}
 
-// turnBack refuses a request that is not whole yet.
-func (c *streamConnection) turnBack() {
+// refuseIncomplete refuses a request that is not completely received, unless its response has begun.
+func (c *streamConnection) refuseIncomplete() {
 	c.mu.Lock()
 	x := c.exchange
-	c.turned = true
+	c.refusing = true
 	switch {
 	case x == nil:
 		setReadDeadline(c.netConn, time.Now())
-	case x.whole || x.told:
+	case x.complete || x.responding:
 		x = nil
 	}
 	c.mu.Unlock()
 	if x != nil {
-		c.spoil(x, errDraining)
+		c.failRequest(x, errDraining)
 	}
 }
 
-func (c *streamConnection) turnedBack() bool {
+// mustRefuse reports whether refuseIncomplete was called while part of a request head or of a buffered body
+// was received. The reader then sends the error.
+func (c *streamConnection) mustRefuse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.turned && c.exchange == nil && c.state == stateReceiving
+	return c.refusing && c.exchange == nil && c.state == stateReceiving
 }
 
-// proceed tells a client that asked whether to send its body.
-func (c *streamConnection) proceed(x *Exchange) {
+// allowContinue sends 100 Continue, unless the response has begun or the connection is closed.
+func (c *streamConnection) allowContinue(x *Exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == stateClosed || c.exchange != nil && c.exchange != x || x.told {
+	if c.state == stateClosed || c.exchange != nil && c.exchange != x || x.responding {
 		return
 	}
-	setWriteDeadline(c.netConn, time.Now().Add(answerWait))
+	setWriteDeadline(c.netConn, time.Now().Add(writeTimeout))
 	sendContinue(c.netConn)
 }
--- a/internal/net/accept/response_writer.go
+++ b/internal/net/accept/response_writer.go
@@ -11,18 +11,19 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// bodyForm is how a body is framed for the client.
-type bodyForm int
+// bodyFraming is how a response body is framed for the client.
+type bodyFraming int
 
 const (
-	formPlain bodyForm = iota // by its length, by the connection's end, or none
-	formChunks
+	framingPlain bodyFraming = iota // delimited by its length or by the connection's end, or no body
+	framingChunked
 )
 
-// Pieces up to this size are gathered and go out together: a copy costs less than a system call.
-const gather = 8 << 10
+// coalesceMax is the size in bytes up to which pieces of a body are copied into one buffer and written
+// together. A copy costs less than a system call.
+const coalesceMax = 8 << 10
 
-// Head writes the head of an answer.
+// Head prepares the head of a response. It is written with the first piece of the body, or by Flush or End.
 func (x *Exchange) Head(r *transfer.Reply) error {
 	c := x.conn
 	c.mu.Lock()
@@ -32,28 +33,28 @@
 	}
 	x.down = transfer.NewSide(c.netConn, x.terms.ClientDown)
 	out := c.out[:0]
-	modern := x.ProtoAtLeast(1, 1)
-	if modern {
+	http11 := x.ProtoAtLeast(1, 1)
+	if http11 {
 		for _, head := range r.Interim {
 			out = append(out, head...)
 		}
 	}
-	last := c.closes(x)
-	lengthless := !r.NoBody && r.Length < 0
-	if lengthless && !modern {
-		c.last, last = true, true
+	last := c.isFinal(x)
+	unknownLength := !r.NoBody && r.Length < 0
+	if unknownLength && !http11 {
+		c.closeAfter, last = true, true
 	}
 	out = append(out, "HTTP/1.1 "...)
 	out = append(out, r.Status...)
 	out = append(out, "\r\n"...)
 	out = http1.AppendHeaders(out, r.Header)
 	switch {
-	case lengthless && modern:
-		x.form = formChunks
+	case unknownLength && http11:
+		x.framing = framingChunked
 		out = http1.AppendHeader(out, "Transfer-Encoding", "chunked")
 	case r.NoBody && r.StatusCode != http.StatusNoContent && r.ContentLength >= 0:
 		out = http1.AppendHeader(out, "Content-Length", strconv.FormatInt(r.ContentLength, 10))
-	case !r.NoBody && !lengthless:
+	case !r.NoBody && !unknownLength:
 		out = http1.AppendHeader(out, "Content-Length", strconv.FormatInt(r.Length, 10))
 	}
 	if last {
@@ -65,12 +66,12 @@
 	return nil
 }
 
-// Write writes some of the body.
+// Write writes a piece of the body. Small pieces are buffered until Flush or End.
 func (x *Exchange) Write(p []byte) error {
-	if x.form == formChunks {
+	if x.framing == framingChunked {
 		x.out = append(strconv.AppendInt(x.out, int64(len(p)), 16), "\r\n"...)
 	}
-	if len(x.out)+len(p) <= 2*gather && len(p) <= gather {
+	if len(x.out)+len(p) <= 2*coalesceMax && len(p) <= coalesceMax {
 		x.out = append(x.out, p...)
 	} else {
 		if err := x.Flush(); err != nil {
@@ -80,13 +81,13 @@
 			return x.failed(err)
 		}
 	}
-	if x.form == formChunks {
+	if x.framing == framingChunked {
 		x.out = append(x.out, "\r\n"...)
 	}
 	return nil
 }
 
-// Flush writes what was gathered.
+// Flush writes the buffered output.
 func (x *Exchange) Flush() error {
 	if len(x.out) == 0 {
 		return nil
@@ -96,7 +97,7 @@
 	return x.failed(err)
 }
 
-// failed ends the connection if a write has failed.
+// failed closes the connection if err is not nil, and returns err.
 func (x *Exchange) failed(err error) error {
 	if err == nil {
 		return nil
@@ -110,9 +111,9 @@
 	return err
 }
 
-// End ends the answer, which is whole.
+// End completes the response.
 func (x *Exchange) End(trailer []byte) {
-	if x.form == formChunks {
+	if x.framing == framingChunked {
 		x.out = append(append(append(x.out, "0\r\n"...), trailer...), "\r\n"...)
 	}
 	if x.Flush() != nil {
@@ -125,10 +126,11 @@
 	c.finish(x)
 }
 
-// Fail says that there is no answer.
+// Fail responds with 502, as no response head will be received from the server.
 func (x *Exchange) Fail() { x.conn.respond(x, http1.Plain(http.StatusBadGateway, "no answer")) }
 
-// Cut breaks the answer off, so that the client can tell: there is no last chunk, or less than the length.
+// Cut closes the connection before the response is complete. The client can detect that by the missing last
+// chunk, or by a body shorter than its length.
 func (x *Exchange) Cut() {
 	x.Flush()
 	x.conn.cut("answer-cut")
--- a/internal/net/accept/server.go
+++ b/internal/net/accept/server.go
@@ -1,5 +1,5 @@
-// Package accept is the first stage of a request: it takes clients' connections, reads whole requests from
-// them, and writes the answers back.
+// Package accept is the first stage of a request. It accepts connections from clients, reads requests and
+// writes responses. Messages are either buffered completely (Handler) or streamed (Streamer).
 package accept
 
 import (
@@ -15,73 +15,73 @@
 	"dunespoke/internal/http1"
 )
 
-// Handler answers requests.
+// Handler answers requests that were completely received.
 type Handler interface {
-	// Serve takes a request. It must not block, and it must see to it that respond is called once, from
-	// any goroutine, with the answer; unless the client leaves before, which it learns by the function it
-	// returns (nil, if that makes no difference).
-	Serve(r *http1.Request, respond func(*http1.Answer)) (leave func())
+	// Serve handles a request. It must not block. respond must be called once with the response, from any
+	// goroutine, unless the client disconnects first. The returned function is called when the client
+	// disconnects; it may be nil.
+	Serve(r *http1.Request, respond func(*http1.Answer)) (cancel func())
 }
 
-// connection is a client's, as a Server has taken.
+// connection is a client connection of a Server.
 type connection interface {
 	read()
 	usage() usage
-	makeRoom() bool
+	evict() bool
 	closeIdle(code string)
 	cut(code string)
-	turnBack()
+	refuseIncomplete()
 }
 
-// Server takes connections for a Handler, or for a Streamer.
+// Server accepts connections and passes their requests to a Handler or a Streamer.
 type Server struct {
-	listener net.Listener
-	handler  Handler
-	streams  *Streams // nil: messages are held whole
-	streamer Streamer // beside streams
-	log      zerolog.Logger
-	slots    chan struct{} // one for each connection that may be open
-	limits   http1.Limits  // of messages held whole
-	leaving  func() bool   // told to leave by an operator, and not back yet; nil: never
-	closed   atomic.Bool
-	stopped  atomic.Bool  // Serve has ended: what it took is in conns
-	drained  atomic.Int64 // Unix time in ns since when it drains for good; 0: it does not
+	listener    net.Listener
+	handler     Handler
+	streams     *Streams // nil: messages are buffered and go to handler
+	streamer    Streamer // set if streams is
+	log         zerolog.Logger
+	slots       chan struct{} // holds one element per open connection
+	limits      http1.Limits  // of buffered messages
+	leaving     func() bool   // reports whether an operator drains the server; nil: never
+	closed      atomic.Bool   // Drain closes the listener
+	acceptEnded atomic.Bool   // Serve has ended: no connection will be added to conns
+	drained     atomic.Int64  // Unix time in ns when Drain was called; 0: it was not
 
 	mu    sync.Mutex
 	conns map[connection]struct{}
-	empty chan struct{} // closed when the last connection has gone, after the listener
+	empty chan struct{} // closed when Serve has ended and the last connection is closed
 	once  sync.Once
 }
 
-// New returns a server that takes connections from a listener, and holds at most the given number of them.
+// New returns a server that accepts connections from l. At most the given number are open at a time.
 func New(l net.Listener, h Handler, connections int, log zerolog.Logger) *Server {
 	return &Server{listener: l, handler: h, log: log, limits: http1.DefaultLimits,
 		slots: make(chan struct{}, max(1, connections)),
 		conns: map[connection]struct{}{}, empty: make(chan struct{})}
 }
 
-// SetLimits sets how long messages may be that are held whole. It is to be called before Serve.
+// SetLimits sets the size limits of buffered messages. It must be called before Serve.
 func (s *Server) SetLimits(l http1.Limits) { s.limits = l }
 
-// Serve takes connections until Drain has closed the listener.
+// Serve accepts connections until Drain closes the listener.
 func (s *Server) Serve() error {
 	for {
 		nc, err := s.listener.Accept()
 		if err != nil {
 			switch {
 			case s.closed.Load():
-				s.stopped.Store(true)
-				s.over()
+				s.acceptEnded.Store(true)
+				s.signalIfEmpty()
 				return nil
 			case errors.Is(err, net.ErrClosed):
 				return fmt.Errorf("accepting clients: %w", err)
 			}
-			// Guards against giving up for good when descriptors run short for a moment.
+			// Retry: a temporary shortage of file descriptors must not end the server.
 			s.log.Warn().Err(err).Str("code", "accept-failed").Msg("accept")
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.claim()
+		s.acquireSlot()
 		c := s.newConnection(nc)
 		s.mu.Lock()
 		s.conns[c] = struct{}{}
@@ -95,10 +95,10 @@
 	if s.streams != nil {
 		return newStreamConnection(s, nc, now)
 	}
-	return &wholeConnection{server: s, netConn: nc, frames: http1.NewRequests(s.limits), since: now, used: now}
+	return &bufferedConnection{server: s, netConn: nc, frames: http1.NewRequests(s.limits), since: now, lastUsed: now}
 }
 
-// all returns the connections there are.
+// all returns the open connections.
 func (s *Server) all() []connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,18 +109,19 @@
 	return all
 }
 
-func (s *Server) gone(c connection) {
+// remove removes a closed connection and frees its slot.
+func (s *Server) remove(c connection) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	<-s.slots
-	s.over()
+	s.signalIfEmpty()
 }
 
-// crowded reports whether more than half of the connections are taken. Answers then close theirs: clients
-// that ask once and stay would soon hold all that they, or this program, may have open, and keep out
-// requests.
-func (s *Server) crowded() bool { return 2*len(s.slots) > cap(s.slots) }
+// overHalfFull reports whether more than half of the slots are in use. Responses then close their
+// connections. Otherwise clients that send one request and keep the connection would soon use up all the
+// connections that they or this process may have open, and block new requests.
+func (s *Server) overHalfFull() bool { return 2*len(s.slots) > cap(s.slots) }
 
-// Free is the part of the connections that is free, in percent.
+// Free returns the free share of the connection slots, in percent.
 func (s *Server) Free() int { return 100 - 100*len(s.slots)/cap(s.slots) }
--- a/internal/net/accept/slots.go
+++ b/internal/net/accept/slots.go
@@ -4,63 +4,65 @@
 	"time"
 )
 
-// usage is what a connection is used for, as far as that says whether it should make room for others.
+// usage describes the use of a connection, to choose the one to evict when all slots are in use.
 type usage struct {
-	rank  int // those of the lowest go first
+	rank  int // the lowest is evicted first
 	since time.Time
 }
 
-// The ranks of connections. A client whose idle connection is closed asks again on another, at worst; one
-// whose first request was not read has failed, and that request may be on its way, or here and unread while
-// this program waits for its turn on the core.
+// The ranks of connections. At worst, a client whose idle connection is closed repeats its request on another.
+// A client whose first request is not read sees a failure, and that request may be on the network, or received
+// and unread while this process waits for the CPU.
 const (
-	rankOver   = iota // its last answer is out
-	rankSilent        // no whole request has come for silentWait
-	rankIdle          // it was answered, and asks nothing
-	rankNew           // no whole request has come yet
-	rankBusy          // it is being answered: never closed
+	rankDone   = iota // closed, or its last response was sent
+	rankSilent        // no complete request was received for silentTimeout
+	rankIdle          // answered, and no further request has begun
+	rankNew           // no complete request was received yet, for less than silentTimeout
+	rankBusy          // a request is being answered: never evicted
 )
 
-// justCame reports whether a connection is new and its first request may be on its way. Guards, at a drain,
-// clients that connected just before the listener closed: their requests would be turned back unheard.
-func justCame(requests int, since time.Time) bool {
-	return requests == 0 && time.Since(since) < newWait
+// recentlyConnected reports whether a connection is so new that its first request may still be on the network.
+// During a drain, such connections are kept open for a moment; otherwise clients that connected just before the
+// listener closed would be disconnected before their requests are read.
+func recentlyConnected(requests int, since time.Time) bool {
+	return requests == 0 && time.Since(since) < newConnectionGrace
 }
 
-// claim takes a slot for one more connection. At the limit another makes room for it; if all are being
-// answered, clients wait. Guards against connections that nobody uses keeping out requests, which count as
-// taken from the moment that the machine, not this program, has accepted them.
-func (s *Server) claim() {
+// acquireSlot acquires a slot for one more connection. If none is free it evicts another connection; while
+// all are being answered, it waits. Without eviction, unused connections would block new requests, which
+// count as accepted from the moment that the operating system, not this process, accepts their connections.
+func (s *Server) acquireSlot() {
 	for {
 		select {
 		case s.slots <- struct{}{}:
 			return
 		default:
 		}
-		c, use := s.leastUsed()
+		c, use := s.evictionCandidate()
 		switch {
 		case c == nil || use.rank == rankBusy:
 			select {
 			case s.slots <- struct{}{}:
 				return
-			case <-time.After(busyWait): // by then one of them may be answered, and ask nothing
+			case <-time.After(slotPollInterval): // one of them may be idle by then
 			}
-		case use.rank == rankNew && time.Since(use.since) < newWait:
-			time.Sleep(busyWait)
-		case c.makeRoom():
+		case use.rank == rankNew && time.Since(use.since) < newConnectionGrace:
+			time.Sleep(slotPollInterval)
+		case c.evict():
 			s.slots <- struct{}{}
 			return
 		}
 	}
 }
 
-// leastUsed returns the connection that should make room first.
-func (s *Server) leastUsed() (least connection, use usage) {
+// evictionCandidate returns the connection to evict first: of the lowest rank, the one longest in it; nil if
+// there is none.
+func (s *Server) evictionCandidate() (candidate connection, use usage) {
 	for _, c := range s.all() {
 		u := c.usage()
-		if least == nil || u.rank < use.rank || u.rank == use.rank && u.since.Before(use.since) {
-			least, use = c, u
+		if candidate == nil || u.rank < use.rank || u.rank == use.rank && u.since.Before(use.since) {
+			candidate, use = c, u
 		}
 	}
-	return least, use
+	return candidate, use
 }
--- a/internal/net/accept/stream_connection.go
+++ b/internal/net/accept/stream_connection.go
@@ -8,44 +8,44 @@
 	"dunespoke/internal/http1"
 )
 
-// streamConnection is one client's connection, whose requests and answers are passed on as they come. One
-// goroutine reads, and writes what it reads of a body to the server; each answer's own writes to the
-// client.
+// streamConnection is a client connection whose requests and responses are streamed. One goroutine reads and
+// writes request bodies to the server; each response is written to the client by a goroutine of its own.
 type streamConnection struct {
 	server  *Server
 	netConn net.Conn
 	since   time.Time
-	pieces  *http1.Pieces // the reader's
+	pieces  *http1.Pieces // used only by the reading goroutine
 	parser  http1.Parser
 	buf     []byte
 
-	mu       sync.Mutex
-	changed  sync.Cond
-	state    connectionState
-	exchange *Exchange // being answered
-	last     bool      // nothing more is read after the answer at hand
-	turned   bool      // a request that is not whole is refused
-	count    int
-	used     time.Time // when the last answer was out, or the connection taken
-	// receivingSince is when the request that is coming in began, and received its bytes so far.
+	mu         sync.Mutex
+	changed    sync.Cond
+	state      connectionState
+	exchange   *Exchange // the request being answered; nil: none
+	closeAfter bool      // the connection closes after the current response
+	refusing   bool      // incomplete requests are refused, as the process is about to exit
+	count      int       // of requests
+	lastUsed   time.Time // when the last response was sent, or the connection accepted
+	// receivingSince is when the request that is being received began; received counts its bytes so far.
 	receivingSince time.Time
 	received       int
-	up, down       int64 // bytes of bodies
+	up, down       int64 // body bytes of ended exchanges
 	out            []byte
 }
 
-// readBufferSize is that of a connection, in bytes: most requests fit.
+// readBufferSize is the size of a connection's read buffer, in bytes. Most requests fit.
 const readBufferSize = 4 << 10
 
 func newStreamConnection(s *Server, nc net.Conn, now time.Time) *streamConnection {
-	c := &streamConnection{server: s, netConn: nc, since: now, used: now,
+	c := &streamConnection{server: s, netConn: nc, since: now, lastUsed: now,
 		pieces: http1.RequestPieces(s.streams.Head), buf: make([]byte, readBufferSize)}
 	c.changed.L = &c.mu
 	return c
 }
 
+// read reads and handles requests until the connection ends.
 func (c *streamConnection) read() {
-	defer c.server.gone(c)
+	defer c.server.remove(c)
 	for {
 		kind, piece, err := c.pieces.Next()
 		switch {
@@ -69,16 +69,17 @@
 	}
 }
 
-// fill reads some of a request that is to come whole, or of a head. It reports whether to go on.
+// fill reads more of a request head or of a buffered body. It reports false if the connection has ended or
+// the request was refused.
 func (c *streamConnection) fill() bool {
 	setReadDeadline(c.netConn, c.deadline())
 	n, err := c.netConn.Read(c.buf)
-	if isTimeout(err) && c.turnedBack() {
+	if isTimeout(err) && c.mustRefuse() {
 		c.refuse(errDraining)
 		return false
 	}
-	if n == 0 && isTimeout(err) { // what has come meanwhile is read all the same
-		setReadDeadline(c.netConn, time.Now().Add(lateWait))
+	if n == 0 && isTimeout(err) { // read input that arrived before the deadline but was not read in time
+		setReadDeadline(c.netConn, time.Now().Add(lateReadTimeout))
 		n, err = c.netConn.Read(c.buf)
 	}
 	if n > 0 {
@@ -101,13 +102,13 @@
 	case isTimeout(err):
 		c.end("idle")
 	default:
-		c.end(left(c.netConn, err))
+		c.end(closeReason(c.netConn, err))
 	}
 	return false
 }
 
-// beginReceiving notes that some of a request has come: not anew with each byte, or a slow client would
-// never end. The lock is held.
+// beginReceiving records that part of a request was received. Further bytes don't restart the time limit, or
+// a slow client could keep its connection forever. It must be called with mu held.
 func (c *streamConnection) beginReceiving() {
 	if c.state != stateReceiving {
 		c.transition(stateReceiving)
@@ -115,12 +116,12 @@
 	}
 }
 
-// deadline is when a read of a request is given up.
+// deadline returns the read deadline for the next bytes of a request.
 func (c *streamConnection) deadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.turned:
+	case c.refusing:
 		return time.Now()
 	case c.count == 0:
 		return c.since.Add(c.server.streams.Wait + allowance(c.received))
@@ -130,27 +131,30 @@
 	return c.receivingSince.Add(c.server.streams.Wait + allowance(c.received))
 }
 
+// usage returns the rank of the connection for eviction.
 func (c *streamConnection) usage() usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	since := c.used
+	since := c.lastUsed
 	if c.state == stateReceiving && c.count > 0 {
 		since = c.receivingSince
 	}
 	switch {
 	case c.state == stateClosed || c.state == stateLingering:
-		return usage{rankOver, c.since}
+		return usage{rankDone, c.since}
 	case c.exchange != nil:
 		return usage{rankBusy, c.since}
 	case c.count > 0 && c.state != stateReceiving:
 		return usage{rankIdle, since}
-	case time.Since(since) < silentWait:
+	case time.Since(since) < silentTimeout:
 		return usage{rankNew, since}
 	}
 	return usage{rankSilent, since}
 }
 
-func (c *streamConnection) makeRoom() bool {
+// evict closes the connection, unless a request is being answered. It reports whether the connection is
+// closed.
+func (c *streamConnection) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.exchange != nil && c.state != stateClosed {
@@ -160,44 +164,45 @@
 	return true
 }
 
+// closeIdle closes the connection if no request is being received or answered and it is not new.
 func (c *streamConnection) closeIdle(code string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.exchange == nil && c.state != stateReceiving && !justCame(c.count, c.since) {
+	if c.exchange == nil && c.state != stateReceiving && !recentlyConnected(c.count, c.since) {
 		c.end(code)
 	}
 }
 
-// cut ends the connection, whatever it is used for.
+// cut closes the connection even if a request is being answered.
 func (c *streamConnection) cut(code string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.end(code)
 }
 
-// end closes the connection and leaves its log line. The lock is held.
+// end closes the connection, ends its exchange and logs the code. It must be called with mu held.
 func (c *streamConnection) end(code string) {
 	if c.state == stateClosed {
 		return
 	}
 	c.transition(stateClosed)
-	_ = c.netConn.Close() // it is given up: nothing follows from an error
+	_ = c.netConn.Close() // an error makes no difference here
 	x := c.exchange
 	if x != nil {
-		c.add(x)
+		c.countBytes(x)
 		if x.onEnd != nil {
 			x.onEnd(false)
 		}
-		if x.leave != nil {
-			x.leave()
+		if x.cancel != nil {
+			x.cancel()
 		}
 		if x.reply != nil {
 			x.reply.Cut()
 		}
-		if !x.whole {
-			go x.Upload.Break() // it may wait for a write that the end of the server's connection ends
+		if !x.complete {
+			go x.Upload.Break() // may block until the server's connection is closed
 		}
-		c.settle(x)
+		c.release(x)
 	}
 	c.changed.Broadcast()
 	c.server.log.Info().Str("side", "client").Str("code", code).Bool("waiting", x != nil).
@@ -205,16 +210,16 @@
 		Msg("connection ended")
 }
 
-// settle gives back what an exchange holds. The lock is held.
-func (c *streamConnection) settle(x *Exchange) {
+// release releases the memory that an exchange uses. It must be called with mu held.
+func (c *streamConnection) release(x *Exchange) {
 	x.Upload.Over()
 	if x.room != nil {
 		x.room.Close(x.clock())
 	}
 }
 
-// add counts the bytes of an exchange that is over. The lock is held.
-func (c *streamConnection) add(x *Exchange) {
+// countBytes adds the body bytes of an ended exchange. It must be called with mu held.
+func (c *streamConnection) countBytes(x *Exchange) {
 	c.up += x.up.Load()
 	if x.down != nil {
 		c.down += x.down.Bytes()
--- a/internal/net/accept/streams.go
+++ b/internal/net/accept/streams.go
@@ -10,43 +10,46 @@
 	"dunespoke/internal/http1"
 )
 
-// Streamer answers requests whose bodies may be long.
+// Streamer answers requests whose bodies may be streamed.
 type Streamer interface {
-	// Stream takes a request, whose body may be yet to come. It must not block, and it must see to it that
-	// one of Exchange's Answer and Pass is called once; unless the client leaves before, which it learns by
-	// the function it returns (nil, if that makes no difference).
-	Stream(*Exchange) (leave func())
+	// Stream handles a request whose body may not be received yet. It must not block. Either Answer or Pass
+	// of the Exchange must be called once, unless the client disconnects first. The returned function is
+	// called when the client disconnects; it may be nil.
+	Stream(*Exchange) (cancel func())
 }
 
-// Streams sets up a Server for bodies that are passed on as they come.
+// Streams configures a Server that streams bodies.
 type Streams struct {
-	Head  int           // bytes of a request's head, at most
-	Short int           // bytes of a body that is read whole first, if it tells its length
-	Wait  time.Duration // for a request's head and a short body
-	Idle  time.Duration // between requests
-	// Accept is how long new connections are taken once the server drains; 0: drainAccept.
+	Head  int           // maximum size of a request head, in bytes
+	Short int           // bodies of a known length up to this many bytes are buffered before Stream is called
+	Wait  time.Duration // time limit for a request head and a short body
+	Idle  time.Duration // idle timeout between requests
+	// Accept is how long new connections are accepted once the server drains; 0 means drainAcceptTime.
 	Accept time.Duration
-	Drain  time.Duration // for which exchanges may go on once the server drains; 0: any time
-	// Life is how long the process lives once the server drains; 0: as long as it takes. Requests that are
-	// still being sent shortly before its end are refused: their clients can be told, and ask another.
+	// Drain is how long exchanges may continue after the listener is closed in a drain; 0 means no limit.
+	Drain time.Duration
+	// Life is the time from the start of a drain until the process exits; 0 means no limit. Requests that are
+	// still being sent shortly before the exit are refused, so that their clients can use another server.
 	Life time.Duration
-	// Store, if set, takes bodies over Short, and those that don't tell their length, before the Streamer gets
-	// the request, as long as it has room. Those that wait to be asked for are asked for then.
+	// Store, if set, buffers bodies that are longer than Short or of unknown length before Stream is called,
+	// as long as it has capacity. Clients that wait for 100 Continue get it before that.
 	Store *flow.Store
-	// Promises says that to these clients 408, 421, 429 and 503 tell that a request has not run and never will:
-	// one whose body breaks off is answered so only if the Streamer's answer is of these, too.
+	// Promises says that for these clients 408, 421, 429 and 503 mean that a request has not run and never
+	// will. A request whose body is cut off is then answered with one of these only if the Streamer's response
+	// has one of them, too.
 	Promises bool
-	// Rest is how fast the rest of a body has to come whose request was answered before its end. It is read
-	// and dropped, since a client that sends all before it reads would not see the answer. The zero Pace:
-	// what comes within lingerWait.
+	// Rest is the minimum pace of the rest of a body whose request was answered before the body's end. The
+	// rest is read and discarded, since a client that sends the whole body before it reads would not see the
+	// response. The zero Pace means that only what arrives within lingerTimeout is read.
 	Rest flow.Pace
 }
 
-// Platform is how the platform's clients are taken: heads within 2.5 s, and bodies at 32 kB a second or more.
-var Platform = Streams{Head: http1.DefaultLimits.Head, Short: http1.DefaultLimits.Body, Wait: requestWait,
-	Idle: idleWait, Rest: flow.Pace{MinRate: slowest, Grace: requestWait}}
+// Platform is the configuration for the platform's clients: 2.5 s for a request head, and at least 32 KiB/s
+// for the rest of a body.
+var Platform = Streams{Head: http1.DefaultLimits.Head, Short: http1.DefaultLimits.Body, Wait: requestTimeout,
+	Idle: idleTimeout, Rest: flow.Pace{MinRate: minBytesPerSecond, Grace: requestTimeout}}
 
-// NewStreams returns a server for a Streamer, as New does for a Handler.
+// NewStreams returns a server that passes requests to a Streamer. See New.
 func NewStreams(l net.Listener, h Streamer, connections int, o Streams,
 	log zerolog.Logger) *Server {
 	s := New(l, nil, connections, log)
--- a/internal/net/accept/timeouts.go
+++ b/internal/net/accept/timeouts.go
@@ -6,34 +6,38 @@
 	"time"
 )
 
-// Limits on a client's time, so that slow, silent and forgotten ones don't hold what others need. The
-// platform owes a client that sends nothing of use an error or a close within 3 s of its connecting.
+// Time limits for clients, so that slow, silent and abandoned connections don't use up the resources that
+// others need. The platform requires that a client that sends no valid request gets an error or is
+// disconnected within 3 s of connecting.
 const (
-	requestWait = 2500 * time.Millisecond // to send one request, the first from the time of connecting on
-	answerWait  = 5 * time.Second         // to take an answer
-	idleWait    = 2 * time.Second         // between requests: clients too have only so many connections
-	busyWait    = 10 * time.Millisecond   // between looks for a connection that could make room
-	lateWait    = 2 * time.Millisecond    // for what came while this program stood still
-	silentWait  = time.Second             // for a request, while connections are short; then it goes
-	turnWait    = 150 * time.Millisecond  // before the process ends, for clients that still send to be told
-	newWait     = 100 * time.Millisecond  // for a request, while there is nobody else to make room
+	requestTimeout     = 2500 * time.Millisecond // to send a request; for the first one, from connecting on
+	writeTimeout       = 5 * time.Second         // to write a buffered response
+	idleTimeout        = 2 * time.Second         // between requests; clients have few connections, too
+	slotPollInterval   = 10 * time.Millisecond   // between searches for a connection to evict
+	lateReadTimeout    = 2 * time.Millisecond    // to read input that arrived while this process was not scheduled
+	silentTimeout      = time.Second             // without a complete request, then the first to be evicted
+	refusalLeadTime    = 150 * time.Millisecond  // before the exit, when incomplete requests are refused
+	newConnectionGrace = 100 * time.Millisecond  // for the first request, before eviction or a close by a drain
 )
 
-// slowest is the pace of a body that is still waited for: a client may send at 64 kB a second, and the head
-// alone may take it 2 s. What a request has sent so far adds to its time at half that pace, so that a loris
-// gains little and a request of the largest size at most 2.5 s.
-const slowest = 32 << 10
+// minBytesPerSecond is the minimum rate of a request. A client may send at 64 KiB/s, and its head alone may
+// take 2 s. Each received byte extends the time limit at half the client's rate, so that a slowloris client
+// gains little, and a request of the largest size gains at most 2.5 s.
+const minBytesPerSecond = 32 << 10
 
-func allowance(fed int) time.Duration { return time.Duration(fed) * time.Second / slowest }
+// allowance returns the time by which received bytes extend the time limit of a request.
+func allowance(received int) time.Duration {
+	return time.Duration(received) * time.Second / minBytesPerSecond
+}
 
-// setReadDeadline has reads of a connection end by a time; zero: never. An error tells that the
-// connection has ended, which the next read tells, too.
+// setReadDeadline sets the read deadline of a connection; the zero time means none. An error is ignored: it
+// means that the connection has ended, and the next read returns it too.
 func setReadDeadline(conn net.Conn, at time.Time) { _ = conn.SetReadDeadline(at) }
 
-// setWriteDeadline does the same for writes.
+// setWriteDeadline does the same for the write deadline.
 func setWriteDeadline(conn net.Conn, at time.Time) { _ = conn.SetWriteDeadline(at) }
 
-// isTimeout reports whether a read or write has ended by its deadline.
+// isTimeout reports whether a read or write failed because its deadline expired.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/net/accept/upload.go
+++ b/internal/net/accept/upload.go
@@ -10,13 +10,13 @@
 	"dunespoke/internal/net/transfer"
 )
 
-// upload passes a body on, as it comes and as it is taken. It reports whether the connection is still there.
+// upload streams a request body to the attempt that reads it. It reports false if the connection has ended.
 func (c *streamConnection) upload(x *Exchange) bool {
 	if x.Upload.Wait() != nil {
-		return true // nobody takes it
+		return true // no attempt will read the body
 	}
 	if x.expect && x.prefix == nil {
-		c.proceed(x)
+		c.allowContinue(x)
 	}
 	if !x.sendPrefix() {
 		return true
@@ -35,8 +35,8 @@
 	}
 }
 
-// sendPrefix passes on what was read of a body before there was no room for more. It reports whether it
-// was taken.
+// sendPrefix passes on the piece of the body that was read but did not fit into the store. It reports false
+// if no attempt accepts it.
 func (x *Exchange) sendPrefix() bool {
 	prefix := x.prefix
 	x.prefix = nil
@@ -47,17 +47,17 @@
 	return x.Upload.Write(prefix) == nil
 }
 
-// uploadStep says how a body goes on.
+// uploadStep is the result of one step of an upload.
 type uploadStep int
 
-// The steps.
+// The results.
 const (
-	uploadContinues uploadStep = iota // with what comes next
-	uploadOver                        // it is over, whole or not, and the connection is there
+	uploadContinues uploadStep = iota // more of the body is expected
+	uploadOver                        // the upload has ended, completely or not; the connection is usable
 	uploadCut                         // the connection has ended
 )
 
-// bodyUpload is a long body that is being passed on.
+// bodyUpload is a long request body that is being streamed.
 type bodyUpload struct {
 	connection *streamConnection
 	exchange   *Exchange
@@ -66,13 +66,13 @@
 	trailer    []byte
 }
 
-// passOn passes on what has come of the body and waits in the buffer.
+// passOn passes on the part of the body that is buffered.
 func (u *bodyUpload) passOn() uploadStep {
 	c, x := u.connection, u.exchange
 	for {
 		kind, piece, err := c.pieces.Next()
 		if err != nil {
-			c.spoil(x, err)
+			c.failRequest(x, err)
 			return uploadOver
 		}
 		switch kind {
@@ -85,7 +85,7 @@
 			u.trailer = bytes.Clone(piece)
 		case http1.End:
 			c.mu.Lock()
-			x.whole = true
+			x.complete = true
 			c.mu.Unlock()
 			x.Upload.End(u.trailer)
 			return uploadOver
@@ -95,14 +95,14 @@
 	}
 }
 
-// receive reads more of the body. Of one that tells its length nothing is copied: it goes on from where
-// it was read to.
+// receive reads more of the body. If the length is known, the bytes are passed on from the read buffer
+// without a copy.
 func (u *bodyUpload) receive() uploadStep {
 	c, x := u.connection, u.exchange
-	taken := u.window.Take()
-	into, plain := taken, c.pieces.Plain(len(taken))
-	if plain > 0 { // and not the request that may come behind
-		into = taken[:plain]
+	buf := u.window.Take()
+	into, plain := buf, c.pieces.Plain(len(buf))
+	if plain > 0 { // read only the body, not a request that may follow it
+		into = buf[:plain]
 	}
 	n, err := u.side.Read(into)
 	received := time.Now()
@@ -115,7 +115,7 @@
 	case n > 0:
 		c.pieces.Feed(into[:n])
 	}
-	u.window.Done(taken, n, time.Since(received))
+	u.window.Done(buf, n, time.Since(received))
 	switch {
 	case refused != nil:
 		return uploadOver
@@ -125,7 +125,7 @@
 	return u.readFailed(err)
 }
 
-// readFailed ends a body of which no more comes.
+// readFailed ends the upload after a read error.
 func (u *bodyUpload) readFailed(err error) uploadStep {
 	c, x := u.connection, u.exchange
 	var slow *transfer.SlowError
@@ -133,10 +133,10 @@
 	case isTimeout(err) && c.answered(x):
 		return uploadOver
 	case errors.As(err, &slow):
-		c.spoil(x, &http1.Error{Status: 408, Reason: "upload-" + slow.Error()})
+		c.failRequest(x, &http1.Error{Status: 408, Reason: "upload-" + slow.Error()})
 		return uploadOver
 	}
 	x.Upload.Break()
-	c.cut(left(c.netConn, err))
+	c.cut(closeReason(c.netConn, err))
 	return uploadCut
 }
--- a/internal/net/accept/whole_connection.go
+++ b/internal/net/accept/whole_connection.go
@@ -9,66 +9,68 @@
 	"dunespoke/internal/http1"
 )
 
-// wholeConnection is one client's connection. Its reader reads on while a request is being answered, for
-// that is how it learns that the client has gone.
-type wholeConnection struct {
+// bufferedConnection is a client connection whose messages are buffered completely. Its reader continues to
+// read while a request is being answered, to detect that the client disconnects.
+type bufferedConnection struct {
 	server  *Server
 	netConn net.Conn
 	since   time.Time
 
-	mu     sync.Mutex
-	frames *http1.Framer
-	parser http1.Parser
-	busy   bool      // a request is being answered
-	last   bool      // nothing more is read after the answer at hand
-	unread bool      // what was refused may still be coming
-	spilt  int       // bytes read and dropped since nothing more is read
-	linger time.Time // when to stop dropping; zero before the last answer is out
-	leave  func()    // for the request being answered
-	begun  time.Time // when the request that is coming in began; zero if none is
-	fed    int       // bytes of it so far
-	out    []byte
-	ended  bool
-	count  int
-	used   time.Time // when the last answer was written, or the connection taken
+	mu             sync.Mutex
+	frames         *http1.Framer
+	parser         http1.Parser
+	busy           bool      // a request is being answered
+	closeAfter     bool      // the connection closes after the current response; further input is discarded
+	unreadInput    bool      // the rest of a refused request may still arrive
+	discarded      int       // bytes of input discarded
+	lingerUntil    time.Time // when to stop discarding input; zero until the last response was sent
+	cancel         func()    // tells the Handler that the client disconnected; may be nil
+	receivingSince time.Time // when the request that is being received began; zero: none is
+	received       int       // bytes of it so far
+	out            []byte
+	ended          bool
+	count          int       // of requests
+	lastUsed       time.Time // when the last response was written, or the connection accepted
 }
 
-// Buffered input beyond which a client that sends on while it waits is cut off: one whole request.
-const mostAhead = 96 << 10
+// maxPipelinedBytes limits the input that is buffered while a request is being answered: one complete request.
+// Beyond it, and beyond the size limits of a request, the connection closes after the current response.
+const maxPipelinedBytes = 96 << 10
 
-func (c *wholeConnection) read() {
-	defer c.server.gone(c)
+// read reads requests until the connection ends.
+func (c *bufferedConnection) read() {
+	defer c.server.remove(c)
 	buf := make([]byte, readBufferSize)
 	for {
 		setReadDeadline(c.netConn, c.deadline())
 		n, err := c.netConn.Read(buf)
-		if n == 0 && isTimeout(err) { // what has come meanwhile is read all the same
-			setReadDeadline(c.netConn, time.Now().Add(lateWait))
+		if n == 0 && isTimeout(err) { // read input that arrived before the deadline but was not read in time
+			setReadDeadline(c.netConn, time.Now().Add(lateReadTimeout))
 			n, err = c.netConn.Read(buf)
 		}
 		c.mu.Lock()
 		switch {
-		case n > 0 && c.last:
-			if c.spilt += n; c.spilt > lingerMost {
-				err = errAhead
+		case n > 0 && c.closeAfter:
+			if c.discarded += n; c.discarded > lingerMaxBytes {
+				err = errTooMuchPipelined
 			}
 		case n > 0:
 			c.frames.Feed(buf[:n])
 			c.advance()
-			switch coming := !c.busy && c.frames.Started(); {
-			case !coming:
-				c.begun, c.fed = time.Time{}, 0
-			case c.begun.IsZero(): // not anew with each byte, or a slow client would never end
-				c.begun, c.fed = time.Now(), n
+			switch receiving := !c.busy && c.frames.Started(); {
+			case !receiving:
+				c.receivingSince, c.received = time.Time{}, 0
+			case c.receivingSince.IsZero(): // only at the first byte, or a slow client could go on forever
+				c.receivingSince, c.received = time.Now(), n
 			default:
-				c.fed += n
+				c.received += n
 			}
-			c.last = c.last || c.frames.Buffered() > max(mostAhead, c.server.limits.Head+c.server.limits.Body)
+			c.closeAfter = c.closeAfter || c.frames.Buffered() > max(maxPipelinedBytes, c.server.limits.Head+c.server.limits.Body)
 		}
 		switch {
 		case err == nil || c.ended:
-		case isTimeout(err) && c.busy: // one that waits for its answer may be silent
-		case isTimeout(err) && c.linger.IsZero() && c.frames.Started():
+		case isTimeout(err) && c.busy: // a client that waits for its response may be silent
+		case isTimeout(err) && c.lingerUntil.IsZero() && c.frames.Started():
 			c.refuse(&http1.Error{Status: 408, Reason: "request-too-slow"})
 		default:
 			c.end(c.reason(err))
@@ -81,36 +83,38 @@
 	}
 }
 
-// deadline is when a read is given up.
-func (c *wholeConnection) deadline() time.Time {
+// deadline returns the deadline of the next read.
+func (c *bufferedConnection) deadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !c.linger.IsZero():
-		return c.linger
+	case !c.lingerUntil.IsZero():
+		return c.lingerUntil
 	case c.count == 0:
-		return c.since.Add(requestWait + allowance(c.fed))
-	case c.begun.IsZero():
-		return time.Now().Add(idleWait)
+		return c.since.Add(requestTimeout + allowance(c.received))
+	case c.receivingSince.IsZero():
+		return time.Now().Add(idleTimeout)
 	}
-	return c.begun.Add(requestWait + allowance(c.fed))
+	return c.receivingSince.Add(requestTimeout + allowance(c.received))
 }
 
-func (c *wholeConnection) reason(err error) string {
+// reason returns the log code for a connection whose read failed with err.
+func (c *bufferedConnection) reason(err error) string {
 	switch {
-	case !c.linger.IsZero():
+	case !c.lingerUntil.IsZero():
 		return "answered-last"
 	case isTimeout(err) && c.count == 0:
 		return "silent"
 	case isTimeout(err):
 		return "idle"
 	}
-	return left(c.netConn, err)
+	return closeReason(c.netConn, err)
 }
 
-// advance starts on the next request if one is whole and none is being answered. The lock is held.
-func (c *wholeConnection) advance() {
-	if c.busy || c.ended || c.last {
+// advance passes the next request to the Handler if it is complete and none is being answered. It must be
+// called with mu held.
+func (c *bufferedConnection) advance() {
+	if c.busy || c.ended || c.closeAfter {
 		return
 	}
 	msg, err := c.frames.Next()
@@ -133,37 +137,38 @@
 		state := t.ConnectionState()
 		r.TLS = &state
 	}
-	c.busy, c.leave = true, nil
+	c.busy, c.cancel = true, nil
 	c.count++
-	c.last = r.Close || !r.ProtoAtLeast(1, 1)
-	c.leave = c.server.handler.Serve(r, func(a *http1.Answer) { go c.respond(a) })
+	c.closeAfter = r.Close || !r.ProtoAtLeast(1, 1)
+	c.cancel = c.server.handler.Serve(r, func(a *http1.Answer) { go c.respond(a) })
 }
 
-// refuse answers what can't be read, or came too slowly. Nothing more is read after it. The lock is held.
-func (c *wholeConnection) refuse(err error) {
-	c.busy, c.leave, c.last, c.unread, c.begun = true, nil, true, true, time.Time{}
+// refuse sends an error response to a request that is malformed or too slow. Further input is discarded. It
+// must be called with mu held.
+func (c *bufferedConnection) refuse(err error) {
+	c.busy, c.cancel, c.closeAfter, c.unreadInput, c.receivingSince = true, nil, true, true, time.Time{}
 	c.count++
 	go c.respond(http1.Problem(err))
 }
 
-// respond writes an answer, and goes on to what the client sent meanwhile.
-func (c *wholeConnection) respond(a *http1.Answer) {
+// respond writes a response, then starts the next request if the client has sent one meanwhile.
+func (c *bufferedConnection) respond(a *http1.Answer) {
 	c.mu.Lock()
 	if c.ended {
 		c.mu.Unlock()
 		return
 	}
-	c.last = c.last || c.server.Draining() || c.server.crowded()
-	c.out = a.Append(c.out[:0], c.last)
-	last := c.last
+	c.closeAfter = c.closeAfter || c.server.Draining() || c.server.overHalfFull()
+	c.out = a.Append(c.out[:0], c.closeAfter)
+	last := c.closeAfter
 	c.mu.Unlock()
-	// Not under the lock, so that a client that doesn't read its answer can still be seen to go.
-	setWriteDeadline(c.netConn, time.Now().Add(answerWait))
+	// Write without the lock, so that the reader still detects when a client that doesn't read disconnects.
+	setWriteDeadline(c.netConn, time.Now().Add(writeTimeout))
 	_, err := c.netConn.Write(c.out)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy, c.leave, c.used = false, nil, time.Now()
-	if cap(c.out) > 16<<10 { // memory is short, and most answers are
+	c.busy, c.cancel, c.lastUsed = false, nil, time.Now()
+	if cap(c.out) > 16<<10 { // most responses are short: don't keep a large buffer
 		c.out = nil
 	}
 	switch {
@@ -177,41 +182,43 @@
 	}
 }
 
-// lingers ends the sending side of a connection whose client may still be sending, and reports whether what
-// it sends is to be read on for a while. The lock is held.
-func (c *wholeConnection) lingers() bool {
-	if !c.unread && c.spilt == 0 || !closeWrite(c.netConn) {
+// lingers closes the sending side of a connection whose client may still be sending. It reports whether the
+// connection stays open for a while to discard input. It must be called with mu held.
+func (c *bufferedConnection) lingers() bool {
+	if !c.unreadInput && c.discarded == 0 || !closeWrite(c.netConn) {
 		return false
 	}
-	c.linger = time.Now().Add(lingerWait)
-	setReadDeadline(c.netConn, c.linger)
+	c.lingerUntil = time.Now().Add(lingerTimeout)
+	setReadDeadline(c.netConn, c.lingerUntil)
 	return true
 }
 
-func (c *wholeConnection) usage() usage {
+// usage returns the rank of the connection for eviction.
+func (c *bufferedConnection) usage() usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.ended || !c.linger.IsZero():
-		return usage{rankOver, c.since}
+	case c.ended || !c.lingerUntil.IsZero():
+		return usage{rankDone, c.since}
 	case c.busy:
 		return usage{rankBusy, c.since}
 	}
-	since := c.used
-	if !c.begun.IsZero() && c.count > 0 {
-		since = c.begun
+	since := c.lastUsed
+	if !c.receivingSince.IsZero() && c.count > 0 {
+		since = c.receivingSince
 	}
 	switch {
 	case c.count > 0 && !c.frames.Started():
 		return usage{rankIdle, since}
-	case time.Since(since) < silentWait:
+	case time.Since(since) < silentTimeout:
 		return usage{rankNew, since}
 	}
 	return usage{rankSilent, since}
 }
 
-// makeRoom closes a connection that is not being answered. One that has ended already makes room by that.
-func (c *wholeConnection) makeRoom() bool {
+// evict closes the connection, unless a request is being answered. It reports whether the connection is
+// closed; one that has already ended counts as closed.
+func (c *bufferedConnection) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.busy && !c.ended {
@@ -221,32 +228,33 @@
 	return true
 }
 
-func (c *wholeConnection) closeIdle(code string) {
+// closeIdle closes the connection if no request is being received or answered and it is not new.
+func (c *bufferedConnection) closeIdle(code string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.busy && !c.frames.Started() && !justCame(c.count, c.since) {
+	if !c.busy && !c.frames.Started() && !recentlyConnected(c.count, c.since) {
 		c.end(code)
 	}
 }
 
-// turnBack does nothing: messages held whole are short.
-func (c *wholeConnection) turnBack() {}
+// refuseIncomplete does nothing, as buffered messages are short.
+func (c *bufferedConnection) refuseIncomplete() {}
 
-// cut ends the connection, whatever it is used for.
-func (c *wholeConnection) cut(code string) {
+// cut closes the connection even if a request is being answered.
+func (c *bufferedConnection) cut(code string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.end(code)
 }
 
-// end closes the connection and leaves its log line. The lock is held.
-func (c *wholeConnection) end(code string) {
+// end closes the connection and logs the code. It must be called with mu held.
+func (c *bufferedConnection) end(code string) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	if c.leave != nil {
-		c.leave()
+	if c.cancel != nil {
+		c.cancel()
 	}
 	c.netConn.Close()
 	c.server.log.Info().Str("side", "client").Str("code", code).Bool("waiting", c.busy).Int("requests", c.count).
--- a/internal/net/transfer/reply.go
+++ b/internal/net/transfer/reply.go
@@ -13,7 +13,7 @@
 	*http.Response          // nil before the head has come
 	Interim        [][]byte // heads of 1xx answers that went before it
 	Length         int64    // of the body; -1: not known before its end
-	NoBody           bool     // it has no body, whatever its head says
+	NoBody         bool     // it has no body, whatever its head says
 
 	to   chan Dest
 	once sync.Once
--- a/internal/net/transfer/store_test.go
+++ b/internal/net/transfer/store_test.go
@@ -20,7 +20,7 @@
 	}
 	return nil
 }
-func (k *taker) Commit()              {}
+func (k *taker) Commit()            {}
 func (k *taker) Close([]byte) error { return nil }
 func (k *taker) Cut()               {}
 
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -14,7 +14,7 @@
 // time, Cut by any.
 type Sink interface {
 	Write(piece []byte) error
-	Commit()                      // no other attempt can have the body from here on
+	Commit()                    // no other attempt can have the body from here on
 	Close(trailer []byte) error // the body is whole
 	Cut()                       // it never will be
 }
