--- a/internal/net/accept/exchange.go
+++ b/internal/net/accept/exchange.go
@@ -20,7 +20,7 @@
 
 	conn       *streamConnection
 	terms      *transfer.Terms
-	room       *flow.Transfer
+	memory     *flow.Transfer
 	clock      func() time.Duration
 	expect     bool          // the client waits for 100 Continue
 	prefix     []byte        // part of a long body that was read but did not fit into the store
@@ -36,29 +36,29 @@
 	onEnd      func(whole bool) // see OnEnd; may be nil
 }
 
-// SetTerms sets the limits of the exchange and, if room is not nil, the transfer that its bodies' memory is
+// SetTerms sets the limits of the exchange and, if memory is not nil, the transfer that its bodies' memory is
 // reserved from. Up to replay bytes of a streamed body are kept for retries. The Streamer may call it until
 // Stream returns.
-func (x *Exchange) SetTerms(t *transfer.Terms, room *flow.Transfer, replay int, clock func() time.Duration) {
+func (x *Exchange) SetTerms(t *transfer.Terms, memory *flow.Transfer, replay int, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
-	x.terms, x.room, x.clock = t, room, clock
+	x.terms, x.memory, x.clock = t, memory, clock
 	if x.Long && x.prefix == nil {
-		x.Upload = transfer.Streaming(x.Upload.Length(), room, replay)
+		x.Upload = transfer.Streaming(x.Upload.Length(), memory, replay)
 	}
 }
 
 // SetTransfer sets the transfer that the memory of a streamed response is reserved from, unless the exchange
 // has one. It must be called before Pass. The transfer is closed when the exchange ends, or at once if it has
 // ended.
-func (x *Exchange) SetTransfer(room *flow.Transfer, clock func() time.Duration) {
+func (x *Exchange) SetTransfer(memory *flow.Transfer, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
 	switch {
 	case x.conn.state == stateClosed || x.conn.exchange != x:
-		room.Close(clock())
-	case x.room == nil:
-		x.room, x.clock = room, clock
+		memory.Close(clock())
+	case x.memory == nil:
+		x.memory, x.clock = memory, clock
 	}
 }
 
@@ -101,4 +101,4 @@
 }
 
 // Room returns the transfer that the response's memory is reserved from, or nil.
-func (x *Exchange) Room() *flow.Transfer { return x.room }
+func (x *Exchange) Room() *flow.Transfer { return x.memory }
--- a/internal/net/accept/request_body.go
+++ b/internal/net/accept/request_body.go
@@ -46,7 +46,7 @@
 	c.mu.Lock()
 	if c.state == stateClosed {
 		c.mu.Unlock()
-		x.Upload.Over()
+		x.Upload.Close()
 		return false
 	}
 	c.transition(stateServing)
@@ -103,11 +103,11 @@
 		kind, piece, err := c.pieces.Next()
 		switch {
 		case err != nil:
-			up.Over()
+			up.Close()
 			c.refuse(err)
 			return false
 		case kind == http1.Data && !up.Store(piece):
-			up.Flow(length)
+			up.StreamRest(length)
 			x.Upload, x.Long, x.prefix = up, true, bytes.Clone(piece)
 			return true
 		case kind == http1.Data:
@@ -117,7 +117,7 @@
 			x.Upload, x.complete = up, true
 			return true
 		case kind == http1.More && !c.fill():
-			up.Over()
+			up.Close()
 			return false
 		}
 	}
@@ -136,7 +136,7 @@
 	c.mu.Lock()
 	x.answer, c.closeAfter = http1.Problem(err), true
 	c.mu.Unlock()
-	x.Upload.Break()
+	x.Upload.Abort()
 }
 
 // errDraining is sent to a client that is still sending its request shortly before the process exits.
--- a/internal/net/accept/stream_connection.go
+++ b/internal/net/accept/stream_connection.go
@@ -200,7 +200,7 @@
 			x.reply.Cut()
 		}
 		if !x.complete {
-			go x.Upload.Break() // may block until the server's connection is closed
+			go x.Upload.Abort() // may block until the server's connection is closed
 		}
 		c.release(x)
 	}
@@ -212,9 +212,9 @@
 
 // release releases the memory that an exchange uses. It must be called with mu held.
 func (c *streamConnection) release(x *Exchange) {
-	x.Upload.Over()
-	if x.room != nil {
-		x.room.Close(x.clock())
+	x.Upload.Close()
+	if x.memory != nil {
+		x.memory.Close(x.clock())
 	}
 }
 
--- a/internal/net/accept/upload.go
+++ b/internal/net/accept/upload.go
@@ -22,7 +22,7 @@
 		return true
 	}
 	u := &bodyUpload{connection: c, exchange: x, side: transfer.NewSide(c.netConn, x.terms.ClientUp),
-		window: transfer.NewWindow(x.room, flow.Up, c.buf)}
+		window: transfer.NewWindow(x.memory, flow.Up, c.buf)}
 	setReadDeadline(c.netConn, time.Time{})
 	for {
 		step := u.passOn()
@@ -99,7 +99,7 @@
 // without a copy.
 func (u *bodyUpload) receive() uploadStep {
 	c, x := u.connection, u.exchange
-	buf := u.window.Take()
+	buf := u.window.Acquire()
 	into, plain := buf, c.pieces.Plain(len(buf))
 	if plain > 0 { // read only the body, not a request that may follow it
 		into = buf[:plain]
@@ -115,7 +115,7 @@
 	case n > 0:
 		c.pieces.Feed(into[:n])
 	}
-	u.window.Done(buf, n, time.Since(received))
+	u.window.Release(buf, n, time.Since(received))
 	switch {
 	case refused != nil:
 		return uploadOver
@@ -136,7 +136,7 @@
 		c.failRequest(x, &http1.Error{Status: 408, Reason: "upload-" + slow.Error()})
 		return uploadOver
 	}
-	x.Upload.Break()
+	x.Upload.Abort()
 	c.cut(closeReason(c.netConn, err))
 	return uploadCut
 }
--- a/internal/net/forward/request_stream.go
+++ b/internal/net/forward/request_stream.go
@@ -95,7 +95,7 @@
 	m := x.Payload.(Streamed)
 	x.stream = &bodyStream{exchange: x, up: m.Upload(), terms: m.Terms(), method: m.Method()}
 	x.stream.isHead = x.stream.method == http.MethodHead
-	if x.stream.up.Lost() {
+	if x.stream.up.Unreplayable() {
 		x.finish(core.Result{Code: choice.Skipped})
 		return false
 	}
@@ -112,7 +112,7 @@
 		res.Code = choice.Refused
 	}
 	s.up.Detach(s)
-	res.Final = s.up.Lost()
+	res.Final = s.up.Unreplayable()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reply != nil && !s.answered {
@@ -130,7 +130,7 @@
 func (s *bodyStream) notStarted() bool { return s.terms.Whole && s.incomplete.Load() }
 
 // lost reports whether the body can no longer be sent from its beginning.
-func (s *bodyStream) lost() bool { return s.up.Lost() }
+func (s *bodyStream) lost() bool { return s.up.Unreplayable() }
 
 // detach stops sending the body to this attempt.
 func (s *bodyStream) detach() { s.up.Detach(s) }
@@ -143,7 +143,7 @@
 
 // appendBody appends the body to the head in msg if all of it is in memory.
 func (s *bodyStream) appendBody(msg []byte) []byte {
-	body, ok := s.up.Held()
+	body, ok := s.up.Bytes()
 	s.long, s.chunked = !ok, s.up.Length() < 0
 	s.incomplete.Store(s.long)
 	if !ok {
@@ -172,8 +172,8 @@
 	}
 	x.stream.side = transfer.NewSide(c.netConn, x.stream.terms.ServerUp)
 	// A write error is not handled here: the reader sees it too, and may still find a response.
-	if err := x.stream.up.Attach(x.stream); errors.Is(err, transfer.ErrLost) ||
-		errors.Is(err, transfer.ErrTaken) || errors.Is(err, transfer.ErrOver) {
+	if err := x.stream.up.Attach(x.stream); errors.Is(err, transfer.ErrUnreplayable) ||
+		errors.Is(err, transfer.ErrAttached) || errors.Is(err, transfer.ErrClosed) {
 		c.finish(core.Result{Code: choice.Reset}, "body-gone")
 	}
 }
--- a/internal/net/forward/response_pump.go
+++ b/internal/net/forward/response_pump.go
@@ -107,7 +107,7 @@
 // without a copy.
 func (p *responsePump) receive() pumpStep {
 	pieces := p.connection.pieces
-	buf := p.window.Take()
+	buf := p.window.Acquire()
 	into, plain := buf, pieces.Plain(len(buf))
 	from := p.paced
 	if !p.exchange.stream.sent.Load() {
@@ -127,7 +127,7 @@
 	case n > 0:
 		pieces.Feed(into[:n])
 	}
-	p.window.Done(buf, n, time.Since(received))
+	p.window.Release(buf, n, time.Since(received))
 	if err == nil {
 		return pumpContinues
 	}
--- a/internal/net/transfer/side.go
+++ b/internal/net/transfer/side.go
@@ -11,84 +11,86 @@
 	"dunespoke/internal/flow"
 )
 
-// Terms are what one exchange is held to.
+// Terms are the limits of one exchange.
 type Terms struct {
 	ClientUp, ClientDown flow.Pace
 	ServerUp, ServerDown flow.Pace
-	Head                 time.Duration // for the answer's head, after a long request has gone; 0: any
-	// Whole says that servers begin on a request once it is whole: one that was not sent whole has not run.
+	Head                 time.Duration // for the response head after a long request was sent; 0: no limit
+	// Whole says that servers process a request only once it is complete: if it was not sent completely, it has
+	// not run.
 	Whole bool
-	// Awaited says that the core's part lasts until an answer's head has come.
+	// Awaited says that the core's attempt lasts until the response head is received.
 	Awaited bool
 }
 
-// Side is one side's connection in one direction, held to a pace. It is not safe for concurrent use.
+// Side is one direction of a connection, with a minimum pace. It is not safe for concurrent use, except for
+// Bytes.
 type Side struct {
-	Conn  net.Conn
-	watch *flow.Monitor
-	pace  flow.Pace
-	start time.Time
-	due   time.Duration // of the deadline that is set
-	moved atomic.Int64
+	Conn     net.Conn
+	monitor  *flow.Monitor
+	pace     flow.Pace
+	start    time.Time
+	deadline time.Duration // that is set on Conn, since start
+	moved    atomic.Int64
 }
 
-// NewSide returns a side that nobody waits for yet.
+// NewSide returns a side of a connection. The zero Pace means no limit.
 func NewSide(nc net.Conn, p flow.Pace) *Side {
-	return &Side{Conn: nc, watch: flow.NewMonitor(p), pace: p, start: time.Now()}
+	return &Side{Conn: nc, monitor: flow.NewMonitor(p), pace: p, start: time.Now()}
 }
 
-// SlowError is the error of a side that was too slow.
+// SlowError is returned when a side is slower than its pace allows.
 type SlowError struct{ flow.Violation }
 
-// Error says in what way.
+// Error returns which limit of the pace was violated.
 func (e *SlowError) Error() string { return e.String() }
 
 func (s *Side) now() time.Duration { return time.Since(s.start) }
 
-// wait begins to wait for this side, and tells the deadline that is to be set; ok is false if the one that is
-// set will do. To set one for each piece shows in the CPU of long bodies (0.97 of ReverseProxy's with, 0.91
-// without), so that where only standing still counts, it is set for half as long again, and anew when it
-// comes nearer than it may.
-func (s *Side) wait() (due time.Time, ok bool) {
+// startWait begins a wait for this side and returns the deadline to set; ok is false if the deadline that is set
+// is sufficient. Setting a deadline for each piece costs CPU time with long bodies (0.97 of ReverseProxy's with
+// it, 0.91 without). Therefore, if the pace limits only stalls, the deadline is set half of the stall limit
+// later than needed, and renewed once it is too early.
+func (s *Side) startWait() (due time.Time, ok bool) {
 	now := s.now()
-	s.watch.StartWait(now)
-	at, _ := s.watch.Deadline()
+	s.monitor.StartWait(now)
+	at, _ := s.monitor.Deadline()
 	if s.pace.MinRate == 0 {
-		if s.due >= at {
+		if s.deadline >= at {
 			return time.Time{}, false
 		}
 		at += s.pace.Stall / 2
 	}
-	s.due = at
+	s.deadline = at
 	return s.start.Add(at), true
 }
 
-// Bytes tells how many have moved. It may be called by any goroutine.
+// Bytes returns how many bytes were read or written. It is safe for concurrent use.
 func (s *Side) Bytes() int64 { return s.moved.Load() }
 
-// Read reads what comes. A side that is too slow gives a *SlowError.
+// Read reads available input. If the side is too slow, the error is a *SlowError.
 func (s *Side) Read(p []byte) (int, error) {
 	if s.pace == (flow.Pace{}) {
 		n, err := s.Conn.Read(p)
 		s.moved.Add(int64(n))
 		return n, err
 	}
-	if due, ok := s.wait(); ok {
+	if due, ok := s.startWait(); ok {
 		s.Conn.SetReadDeadline(due)
 	}
 	n, err := s.Conn.Read(p)
 	now := s.now()
-	if n == 0 && timeout(err) {
-		if blame := s.watch.Check(now); blame != flow.None {
-			return 0, &SlowError{blame}
+	if n == 0 && isTimeout(err) {
+		if violation := s.monitor.Check(now); violation != flow.None {
+			return 0, &SlowError{violation}
 		}
 	}
-	s.watch.Moved(now, n)
+	s.monitor.Moved(now, n)
 	s.moved.Add(int64(n))
 	return n, err
 }
 
-// Write writes all, or tells why not.
+// Write writes all of p. If the side is too slow, the error is a *SlowError.
 func (s *Side) Write(p []byte) error {
 	if s.pace == (flow.Pace{}) {
 		n, err := s.Conn.Write(p)
@@ -96,20 +98,20 @@
 		return err
 	}
 	for len(p) > 0 {
-		if due, ok := s.wait(); ok {
+		if due, ok := s.startWait(); ok {
 			s.Conn.SetWriteDeadline(due)
 		}
 		n, err := s.Conn.Write(p)
 		now := s.now()
-		if n == 0 && timeout(err) {
-			if blame := s.watch.Check(now); blame != flow.None {
-				return &SlowError{blame}
+		if n == 0 && isTimeout(err) {
+			if violation := s.monitor.Check(now); violation != flow.None {
+				return &SlowError{violation}
 			}
 		}
-		s.watch.Moved(now, n)
+		s.monitor.Moved(now, n)
 		s.moved.Add(int64(n))
-		// Part of it may have gone, slowly; whether that was too slow is judged with what comes next.
-		if err != nil && (n == 0 || !timeout(err)) {
+		// After a timeout part of p may have been written. Whether that was too slow is checked with the next write.
+		if err != nil && (n == 0 || !isTimeout(err)) {
 			return err
 		}
 		p = p[n:]
@@ -117,68 +119,72 @@
 	return nil
 }
 
-func timeout(err error) bool {
+// isTimeout reports whether a read or write failed because its deadline expired.
+func isTimeout(err error) bool {
 	var t net.Error
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// Window is the memory that one direction of a transfer reads into. It grows while reads fill it and what
-// was read is soon passed on, as far as the transfer's room lets it, and shrinks otherwise: a large one in
-// front of a slow reader only holds memory for long.
+// Window is the read buffer of one direction of a transfer. It grows, within the memory that the transfer can
+// reserve, while reads fill it and the data is passed on fast. It shrinks otherwise, since a large buffer in
+// front of a slow reader only occupies memory for long.
 type Window struct {
-	room *flow.Transfer
-	dir  flow.Direction
-	base []byte // what there is without any room
-	size int
-	buf  *[]byte // nil: the base is in use
+	memory *flow.Transfer
+	dir    flow.Direction
+	base   []byte // the buffer used when no memory is reserved
+	size   int
+	buf    *[]byte // nil: base is in use
 }
 
-// NewWindow returns a window over a small buffer that is there anyway. The room may be nil.
-func NewWindow(room *flow.Transfer, d flow.Direction, base []byte) *Window {
-	return &Window{room: room, dir: d, base: base, size: len(base)}
+// NewWindow returns a window that begins with base, a small existing buffer. memory may be nil: then the window
+// does not grow.
+func NewWindow(memory *flow.Transfer, d flow.Direction, base []byte) *Window {
+	return &Window{memory: memory, dir: d, base: base, size: len(base)}
 }
 
-// mostWindow is the size of the largest buffers: beyond it, larger ones save few system calls.
-const mostWindow = 128 << 10
+// maxWindowSize is the maximum size of a buffer, in bytes. Larger buffers would save few system calls.
+const maxWindowSize = 128 << 10
 
-// Take returns where to read to.
-func (w *Window) Take() []byte {
-	if w.room == nil || w.size <= len(w.base) {
+// Acquire returns a buffer to read into. It must be passed to Release before the next call.
+func (w *Window) Acquire() []byte {
+	if w.memory == nil || w.size <= len(w.base) {
 		return w.base
 	}
-	n := w.room.Reserve(w.dir, w.size)
+	n := w.memory.Reserve(w.dir, w.size)
 	if n <= len(w.base) {
-		w.room.Release(w.dir, n)
+		w.memory.Release(w.dir, n)
 		return w.base
 	}
-	w.buf = buffer(n)
+	w.buf = getBuffer(n)
 	return (*w.buf)[:n]
 }
 
-// soon is how long it may take to pass on what was read, if more is to be read at a time.
-const soon = 100 * time.Millisecond
+// fastConsumption is the time within which the data read must be passed on for the window to grow.
+const fastConsumption = 100 * time.Millisecond
 
-// Done tells that of what Take returned so much was used, and is not needed any more after it took so long to
-// pass it on.
-func (w *Window) Done(taken []byte, used int, took time.Duration) {
+// Release releases the buffer that Acquire returned and adjusts the size of the next one. used is the number of
+// bytes read into it, and elapsed how long it took to pass them on.
+func (w *Window) Release(buf []byte, used int, elapsed time.Duration) {
 	if w.buf != nil {
-		w.room.Release(w.dir, len(taken))
-		release(w.buf)
+		w.memory.Release(w.dir, len(buf))
+		putBuffer(w.buf)
 		w.buf = nil
 	}
 	switch {
-	case used == len(taken) && took < soon:
-		w.size = min(2*len(taken), mostWindow)
-	case used < len(taken)/4 || took > 2*soon:
-		w.size = max(len(taken)/2, len(w.base))
+	case used == len(buf) && elapsed < fastConsumption:
+		w.size = min(2*len(buf), maxWindowSize)
+	case used < len(buf)/4 || elapsed > 2*fastConsumption:
+		w.size = max(len(buf)/2, len(w.base))
 	}
 }
 
-// buffers are kept by the power of two that is their size, by pointers that go to and fro with them: to make
-// one for each piece took 192 allocations a MB instead of 180.
+// buffers are pools of buffers, by the logarithm of their size, which is a power of two. They contain pointers
+// that are kept along with the buffers: allocating a pointer for each piece took 192 allocations per MB instead
+// of 180.
 var buffers [bits.UintSize]sync.Pool
 
-func buffer(n int) *[]byte {
+// getBuffer returns a buffer of at least n bytes.
+func getBuffer(n int) *[]byte {
 	class := bits.Len(uint(n - 1))
 	if b, ok := buffers[class].Get().(*[]byte); ok {
 		return b
@@ -187,4 +193,5 @@
 	return &b
 }
 
-func release(b *[]byte) { buffers[bits.Len(uint(len(*b)-1))].Put(b) }
+// putBuffer returns a buffer to its pool.
+func putBuffer(b *[]byte) { buffers[bits.Len(uint(len(*b)-1))].Put(b) }
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -1,6 +1,6 @@
-// Package transfer moves the bodies of one exchange: a request's from the client to whichever attempt takes
-// it, and an answer's from the server to the client. Both sides' drivers read and write by it; how much may
-// be held, and who is too slow, package flow decides.
+// Package transfer streams the bodies of one exchange: the request body from the client to the current attempt,
+// and the response body from the server to the client. Packages accept and forward read and write through it.
+// Package flow decides how much memory may be used and which side is too slow.
 package transfer
 
 import (
@@ -10,76 +10,78 @@
 	"dunespoke/internal/flow"
 )
 
-// Sink is an attempt that takes a request's body. Its methods block, and are called by one goroutine at a
-// time, Cut by any.
+// Sink is an attempt that receives a request body. Its methods may block. They are called by one goroutine at a
+// time, except for Cut, which may be called concurrently.
 type Sink interface {
 	Write(piece []byte) error
-	Commit()                    // no other attempt can have the body from here on
-	Close(trailer []byte) error // the body is whole
-	Cut()                       // it never will be
+	Commit()                    // from now on no other attempt can get the body
+	Close(trailer []byte) error // the body is complete
+	Cut()                       // the body is truncated
 }
 
-// Upload is a request's body on its way. The client's side writes it, as it comes; attempts take it, one
-// after the other, each from its beginning, as long as all that has left is still held.
+// Upload is a request body that is being streamed. The client's side writes it while it is received. Attempts
+// attach to it one after the other, and each gets it from its beginning, as long as everything that was sent is
+// still buffered. It is safe for concurrent use, but only one goroutine may write.
 type Upload struct {
-	length int64
-	replay int            // bytes that may be held
-	room   *flow.Transfer // that they are taken from; nil: they are not counted
+	length      int64
+	replayLimit int            // maximum number of bytes that are buffered for retries
+	memory      *flow.Transfer // that these bytes are reserved from; nil: they are not counted
 
-	mu      sync.Mutex
-	changed sync.Cond
-	sink    Sink
-	busy    bool  // the sink is getting what is held
-	pos     int64 // how much of the body the sink has got
-	come    int64 // and how much the client has sent, but for the piece at hand
-	held    []byte
-	blocks  [][]byte // what is held of a stored body, in the place of held
-	stored  int
-	store   *flow.Store
-	whole   bool // nothing has left that is not held
-	ended   bool // the client has sent all of it
-	over    bool // nobody takes it any more
-	trailer []byte
+	mu         sync.Mutex
+	changed    sync.Cond
+	sink       Sink
+	replaying  bool  // Attach is writing the buffered bytes to the sink
+	pos        int64 // bytes of the body passed to the sink
+	received   int64 // bytes received from the client, except for the current piece
+	buffered   []byte
+	blocks     [][]byte // buffered part of a stored body, in place of buffered
+	stored     int      // bytes in blocks
+	store      *flow.Store
+	replayable bool // everything that was sent is still buffered
+	ended      bool // the client has sent the whole body
+	closed     bool // no attempt will read the body any more
+	trailer    []byte
 }
 
-// What may keep an attempt from a body, or a client from sending one.
+// Errors of Attach, Wait and Write.
 var (
-	ErrLost  = errors.New("part of the body has left and is not held")
-	ErrTaken = errors.New("another attempt takes the body")
-	ErrOver  = errors.New("nobody takes the body")
+	ErrUnreplayable = errors.New("part of the body was sent and is not buffered")
+	ErrAttached     = errors.New("another attempt is attached to the body")
+	ErrClosed       = errors.New("the body is not needed any more")
 )
 
-// Buffered returns the upload of a body that has come already.
+// Buffered returns the upload of a body that was completely received.
 func Buffered(body []byte) *Upload {
-	u := &Upload{length: int64(len(body)), held: body, whole: true, ended: true}
+	u := &Upload{length: int64(len(body)), buffered: body, replayable: true, ended: true}
 	u.changed.L = &u.mu
 	return u
 }
 
-// Streaming returns the upload of a body that is yet to come, of a length or of -1. Up to replay bytes of it are
-// held to be sent again, out of the room.
-func Streaming(length int64, room *flow.Transfer, replay int) *Upload {
-	u := &Upload{length: length, room: room, replay: replay, whole: true}
+// Streaming returns the upload of a body that is not received yet. A length of -1 means unknown. Up to replay
+// bytes are buffered for retries and reserved from memory, which may be nil.
+func Streaming(length int64, memory *flow.Transfer, replay int) *Upload {
+	u := &Upload{length: length, memory: memory, replayLimit: replay, replayable: true}
 	u.changed.L = &u.mu
 	return u
 }
 
-// Stored returns the upload of a body that is held in a store, as long as that has room, before any attempt
-// takes it.
+// Stored returns the upload of a body that is buffered in a store before any attempt gets it, as long as the
+// store has capacity.
 func Stored(store *flow.Store) *Upload {
 	u := Streaming(0, nil, 0)
 	u.store = store
 	return u
 }
 
-// storeBlock is the size of the pieces of memory that stored bodies are held in.
+// storeBlock is the size in bytes of the memory blocks of stored bodies.
 const storeBlock = 32 << 10
 
-// Store holds more of a stored body. It reports false if there is no room: then nothing is kept of the piece.
+// Store adds a piece to a stored body. If the store has no capacity for it or the upload is closed, it adds
+// nothing and reports false.
 func (u *Upload) Store(piece []byte) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
+	if u.closed {
 		return false
 	}
 	have := len(u.blocks) * storeBlock
@@ -89,7 +91,7 @@
 			return false
 		}
 		for range blocks {
-			u.blocks = append(u.blocks, (*buffer(storeBlock))[:0])
+			u.blocks = append(u.blocks, (*getBuffer(storeBlock))[:0])
 		}
 	}
 	for i := u.stored / storeBlock; len(piece) > 0; i++ {
@@ -98,70 +100,70 @@
 		piece = piece[n:]
 		u.stored += n
 	}
-	u.length, u.come = int64(u.stored), int64(u.stored)
+	u.length, u.received = int64(u.stored), int64(u.stored)
 	return true
 }
 
-// Flow makes a stored body, for the rest of which there was no room, one that flows: what is held goes first.
-// The length is that of all of it; -1: not told.
-func (u *Upload) Flow(length int64) {
+// StreamRest says that the store has no capacity for the rest of a stored body: the rest is streamed after the
+// stored part. length is that of the whole body, or -1 if it is unknown.
+func (u *Upload) StreamRest(length int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.length = length
 }
 
-// Length tells how long the body is; -1: not known before its end.
+// Length returns the length of the body, or -1 if it is unknown.
 func (u *Upload) Length() int64 { return u.length }
 
-// Held returns all of the body if it has come and is held.
-func (u *Upload) Held() (body []byte, ok bool) {
+// Bytes returns the whole body. ok is false if it is not completely received and in one buffer, or has a trailer.
+func (u *Upload) Bytes() (body []byte, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.held, u.ended && u.whole && len(u.trailer) == 0 && u.blocks == nil
+	return u.buffered, u.ended && u.replayable && len(u.trailer) == 0 && u.blocks == nil
 }
 
-// Ended reports whether the client has sent all of it.
+// Ended reports whether the client has sent the whole body.
 func (u *Upload) Ended() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.ended
 }
 
-// Lost reports whether no further attempt can have all of it.
-func (u *Upload) Lost() bool {
+// Unreplayable reports whether no further attempt can get the whole body.
+func (u *Upload) Unreplayable() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.whole
+	return !u.replayable
 }
 
-// Attach gives the body to an attempt, which has written its head. What has come is written before it
-// returns; the rest as it comes.
+// Attach starts to send the body to an attempt whose head was written. The part that was received is written
+// before Attach returns, the rest when it is received.
 func (u *Upload) Attach(s Sink) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.busy { // with one that has been given up
+	for u.replaying { // with an attempt that was aborted
 		u.changed.Wait()
 	}
 	switch {
-	case !u.whole:
-		return ErrLost
-	case u.over:
-		return ErrOver
+	case !u.replayable:
+		return ErrUnreplayable
+	case u.closed:
+		return ErrClosed
 	case u.sink != nil:
-		return ErrTaken
+		return ErrAttached
 	}
-	u.sink, u.busy, u.pos = s, true, int64(len(u.held)+u.stored)
+	u.sink, u.replaying, u.pos = s, true, int64(len(u.buffered)+u.stored)
 	ended, blocks := u.ended, u.blocks
-	err := u.write(s, u.held)
+	err := u.write(s, u.buffered)
 	for i := 0; i < len(blocks) && err == nil; i++ {
 		err = u.write(s, blocks[i])
 	}
 	if err == nil && ended {
 		err = u.finish(s)
 	}
-	u.busy = false
-	if u.over {
-		u.letGo()
+	u.replaying = false
+	if u.closed {
+		u.releaseMemory()
 	}
 	if err != nil && u.sink == s {
 		u.sink = nil
@@ -170,7 +172,7 @@
 	return err
 }
 
-// Detach tells that an attempt takes nothing any more.
+// Detach stops sending the body to an attempt, if it is attached.
 func (u *Upload) Detach(s Sink) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -179,64 +181,66 @@
 	}
 }
 
-// Over tells that the request has its final answer.
-func (u *Upload) Over() {
+// Close records that the request has its final response, so that no attempt needs the body any more, and releases
+// the buffered bytes if no attempt uses them.
+func (u *Upload) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.over = true
-	if u.sink == nil || !u.ended || u.store != nil && !u.busy {
-		u.letGo()
+	u.closed = true
+	if u.sink == nil || !u.ended || u.store != nil && !u.replaying {
+		u.releaseMemory()
 	}
 	u.changed.Broadcast()
 }
 
-// Wait returns once an attempt takes the body, or nobody will.
+// Wait waits until an attempt is attached and has got the buffered part of the body. It returns an error if no
+// attempt will attach.
 func (u *Upload) Wait() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.wait()
+	return u.waitForSink()
 }
 
-// wait waits for a sink that has got what is held. The lock is held.
-func (u *Upload) wait() error {
-	for (u.sink == nil || u.busy) && !u.over && u.whole {
+// waitForSink waits for a sink that has got the buffered bytes. It must be called with mu held.
+func (u *Upload) waitForSink() error {
+	for (u.sink == nil || u.replaying) && !u.closed && u.replayable {
 		u.changed.Wait()
 	}
 	switch {
-	case u.over:
-		return ErrOver
+	case u.closed:
+		return ErrClosed
 	case u.sink == nil:
-		return ErrLost
+		return ErrUnreplayable
 	}
 	return nil
 }
 
-// Write passes on a piece. If the attempt breaks, it waits for another, which gets all from the beginning.
-// An error says that nobody will take more.
+// Write passes on a piece of the body. If the attempt fails, it waits for another one, which gets the body from
+// its beginning. An error means that no attempt will accept more.
 func (u *Upload) Write(piece []byte) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	kept := u.hold(piece)
+	kept := u.keepForReplay(piece)
 	for {
-		if err := u.wait(); err != nil {
+		if err := u.waitForSink(); err != nil {
 			return err
 		}
 		s := u.sink
-		if !kept && u.whole {
-			u.whole = false
+		if !kept && u.replayable {
+			u.replayable = false
 			u.mu.Unlock()
 			s.Commit()
 			u.mu.Lock()
 		}
 		err := error(nil)
-		if u.pos == u.come { // else it was held already when the sink came
+		if u.pos == u.received { // else the piece was buffered when the sink attached, and written then
 			u.pos += int64(len(piece))
 			err = u.write(s, piece)
 		}
 		if err == nil {
-			u.come += int64(len(piece))
-			if !u.whole {
-				u.letGo()
+			u.received += int64(len(piece))
+			if !u.replayable {
+				u.releaseMemory()
 			}
 			return nil
 		}
@@ -246,29 +250,29 @@
 	}
 }
 
-// End tells that the client has sent all, with the lines of a trailer.
+// End records that the client has sent the whole body, and its trailer lines.
 func (u *Upload) End(trailer []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.busy {
+	for u.replaying {
 		u.changed.Wait()
 	}
-	u.trailer, u.ended = trailer, true // from here on a sink that comes gets all by itself
-	if s := u.sink; s != nil && !u.over && u.finish(s) != nil && u.sink == s {
+	u.trailer, u.ended = trailer, true // from now on Attach also finishes the sink
+	if s := u.sink; s != nil && !u.closed && u.finish(s) != nil && u.sink == s {
 		u.sink = nil
 	}
 }
 
-// Break tells that the client will never send all of it.
-func (u *Upload) Break() {
+// Abort records that the client will never send the whole body, unless it has. The attached attempt is cut.
+func (u *Upload) Abort() {
 	u.mu.Lock()
 	if u.ended {
 		u.mu.Unlock()
 		return
 	}
 	s := u.sink
-	u.whole, u.sink = false, nil
-	u.letGo()
+	u.replayable, u.sink = false, nil
+	u.releaseMemory()
 	u.changed.Broadcast()
 	u.mu.Unlock()
 	if s != nil {
@@ -276,7 +280,7 @@
 	}
 }
 
-// write hands a piece to a sink, without the lock, which is held before and after.
+// write writes a piece to a sink. It must be called with mu held, and releases mu while it writes.
 func (u *Upload) write(s Sink, piece []byte) error {
 	if len(piece) == 0 {
 		return nil
@@ -287,7 +291,7 @@
 	return err
 }
 
-// finish tells a sink of the end. The lock is held, but for the writing.
+// finish closes a sink at the end of the body. It must be called with mu held, and releases mu meanwhile.
 func (u *Upload) finish(s Sink) error {
 	trailer := u.trailer
 	u.mu.Unlock()
@@ -296,33 +300,34 @@
 	return err
 }
 
-// hold keeps a piece to be sent again, if that is allowed and there is room. The lock is held.
-func (u *Upload) hold(piece []byte) bool {
-	if !u.whole || len(u.held)+len(piece) > u.replay {
+// keepForReplay buffers a piece for retries. It reports false if the limit or the memory does not allow that, or
+// an earlier piece is no longer buffered. It must be called with mu held.
+func (u *Upload) keepForReplay(piece []byte) bool {
+	if !u.replayable || len(u.buffered)+len(piece) > u.replayLimit {
 		return false
 	}
-	if u.room != nil {
-		if n := u.room.Reserve(flow.Up, len(piece)); n < len(piece) {
-			u.room.Release(flow.Up, n)
+	if u.memory != nil {
+		if n := u.memory.Reserve(flow.Up, len(piece)); n < len(piece) {
+			u.memory.Release(flow.Up, n)
 			return false
 		}
 	}
-	u.held = append(u.held, piece...)
+	u.buffered = append(u.buffered, piece...)
 	return true
 }
 
-// letGo gives back what is held. The lock is held.
-func (u *Upload) letGo() {
-	if u.store != nil && !u.busy { // else the writer of what is held does it
+// releaseMemory releases the buffered bytes. It must be called with mu held.
+func (u *Upload) releaseMemory() {
+	if u.store != nil && !u.replaying { // else Attach does it when it has written the blocks
 		for _, b := range u.blocks {
 			b = b[:storeBlock]
-			release(&b)
+			putBuffer(&b)
 		}
 		u.store.Release(len(u.blocks) * storeBlock)
 		u.blocks = nil
 	}
-	if u.room != nil && len(u.held) > 0 {
-		u.room.Release(flow.Up, len(u.held))
+	if u.memory != nil && len(u.buffered) > 0 {
+		u.memory.Release(flow.Up, len(u.buffered))
 	}
-	u.held = nil
+	u.buffered = nil
 }
