--- a/internal/net/accept/exchange.go
+++ b/internal/net/accept/exchange.go
@@ -18,47 +18,47 @@
 	Upload        *transfer.Upload
 	Long          bool // the body is not completely received
 
-	conn       *streamConnection
-	terms      *transfer.Terms
-	memory     *flow.Transfer
-	clock      func() time.Duration
-	expect     bool          // the client waits for 100 Continue
-	prefix     []byte        // part of a long body that was read but did not fit into the store
-	cancel     func()        // tells the Streamer that the client disconnected; may be nil
-	complete   bool          // the whole request was received
-	answer     *http1.Answer // error response that replaces the Streamer's; nil: none
-	reply      *transfer.Reply
-	down       *transfer.Side
-	framing    bodyFraming
-	out        []byte
-	responding bool             // writing the response has begun
-	up         atomic.Int64     // bytes received of the request body
-	onEnd      func(whole bool) // see OnEnd; may be nil
+	conn        *streamConnection
+	terms       *transfer.Terms
+	reservation *flow.Transfer
+	clock       func() time.Duration
+	expect      bool          // the client waits for 100 Continue
+	prefix      []byte        // part of a long body that was read but did not fit into the store
+	cancel      func()        // tells the Streamer that the client disconnected; may be nil
+	complete    bool          // the whole request was received
+	answer      *http1.Answer // error response that replaces the Streamer's; nil: none
+	reply       *transfer.Reply
+	down        *transfer.Side
+	framing     bodyFraming
+	out         []byte
+	responding  bool             // writing the response has begun
+	up          atomic.Int64     // bytes received of the request body
+	onEnd       func(whole bool) // see OnEnd; may be nil
 }
 
-// SetTerms sets the limits of the exchange and, if memory is not nil, the transfer that its bodies' memory is
+// SetTerms sets the limits of the exchange and, if reservation is not nil, the transfer that its bodies' memory is
 // reserved from. Up to replay bytes of a streamed body are kept for retries. The Streamer may call it until
 // Stream returns.
-func (x *Exchange) SetTerms(t *transfer.Terms, memory *flow.Transfer, replay int, clock func() time.Duration) {
+func (x *Exchange) SetTerms(t *transfer.Terms, reservation *flow.Transfer, replay int, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
-	x.terms, x.memory, x.clock = t, memory, clock
+	x.terms, x.reservation, x.clock = t, reservation, clock
 	if x.Long && x.prefix == nil {
-		x.Upload = transfer.Streaming(x.Upload.Length(), memory, replay)
+		x.Upload = transfer.Streaming(x.Upload.Length(), reservation, replay)
 	}
 }
 
 // SetTransfer sets the transfer that the memory of a streamed response is reserved from, unless the exchange
 // has one. It must be called before Pass. The transfer is closed when the exchange ends, or at once if it has
 // ended.
-func (x *Exchange) SetTransfer(memory *flow.Transfer, clock func() time.Duration) {
+func (x *Exchange) SetTransfer(reservation *flow.Transfer, clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
 	switch {
 	case x.conn.state == stateClosed || x.conn.exchange != x:
-		memory.Close(clock())
-	case x.memory == nil:
-		x.memory, x.clock = memory, clock
+		reservation.Close(clock())
+	case x.reservation == nil:
+		x.reservation, x.clock = reservation, clock
 	}
 }
 
@@ -101,4 +101,4 @@
 }
 
 // Room returns the transfer that the response's memory is reserved from, or nil.
-func (x *Exchange) Room() *flow.Transfer { return x.memory }
+func (x *Exchange) Room() *flow.Transfer { return x.reservation }
--- a/internal/net/accept/response.go
+++ b/internal/net/accept/response.go
@@ -58,12 +58,12 @@
 // lingerTimeout and lingerMaxBytes or, if Streams.Rest is set, when the client is slower than that pace and
 // at discardMaxBytes.
 func (c *streamConnection) discardInput() {
-	read, most := c.netConn.Read, int64(lingerMaxBytes)
+	read, maxBytes := c.netConn.Read, int64(lingerMaxBytes)
 	if c.server.streams.Rest != (flow.Pace{}) {
 		setReadDeadline(c.netConn, time.Time{})
-		read, most = transfer.NewSide(c.netConn, c.server.streams.Rest).Read, discardMaxBytes
+		read, maxBytes = transfer.NewSide(c.netConn, c.server.streams.Rest).Read, discardMaxBytes
 	}
-	for discarded := int64(0); discarded <= most; {
+	for discarded := int64(0); discarded <= maxBytes; {
 		n, err := read(c.buf)
 		if discarded += int64(n); err != nil {
 			break
@@ -93,9 +93,9 @@
 	c.cut("answered-last")
 }
 
-// isFinal marks the response as begun and reports whether the connection closes after it. It must be called
+// beginResponse marks the response as begun and reports whether the connection closes after it. It must be called
 // with mu held.
-func (c *streamConnection) isFinal(x *Exchange) bool {
+func (c *streamConnection) beginResponse(x *Exchange) bool {
 	x.responding = true
 	c.closeAfter = c.closeAfter || !x.complete || c.server.Draining() || c.server.overHalfFull()
 	return c.closeAfter
@@ -114,7 +114,7 @@
 		(!p || http1.Promises(a.Status) || !http1.Promises(x.answer.Status)) {
 		a = x.answer
 	}
-	out := a.Append(c.out[:0], c.isFinal(x))
+	out := a.Append(c.out[:0], c.beginResponse(x))
 	if x.Method == http.MethodHead {
 		out = out[:len(out)-len(a.Body)]
 	}
--- a/internal/net/accept/response_writer.go
+++ b/internal/net/accept/response_writer.go
@@ -39,7 +39,7 @@
 			out = append(out, head...)
 		}
 	}
-	last := c.isFinal(x)
+	last := c.beginResponse(x)
 	unknownLength := !r.NoBody && r.Length < 0
 	if unknownLength && !http11 {
 		c.closeAfter, last = true, true
--- a/internal/net/accept/stream_connection.go
+++ b/internal/net/accept/stream_connection.go
@@ -213,8 +213,8 @@
 // release releases the memory that an exchange uses. It must be called with mu held.
 func (c *streamConnection) release(x *Exchange) {
 	x.Upload.Close()
-	if x.memory != nil {
-		x.memory.Close(x.clock())
+	if x.reservation != nil {
+		x.reservation.Close(x.clock())
 	}
 }
 
--- a/internal/net/accept/upload.go
+++ b/internal/net/accept/upload.go
@@ -22,7 +22,7 @@
 		return true
 	}
 	u := &bodyUpload{connection: c, exchange: x, side: transfer.NewSide(c.netConn, x.terms.ClientUp),
-		window: transfer.NewWindow(x.memory, flow.Up, c.buf)}
+		window: transfer.NewWindow(x.reservation, flow.Up, c.buf)}
 	setReadDeadline(c.netConn, time.Time{})
 	for {
 		step := u.passOn()
--- a/internal/net/forward/connection.go
+++ b/internal/net/forward/connection.go
@@ -86,17 +86,17 @@
 	if n > 0 {
 		c.feed(buf[:n])
 	}
-	x, ended, begun := c.exchange, c.ended, c.started()
-	left := err != nil && n == 0 && c.writing
-	if left {
+	x, ended, responseStarted := c.exchange, c.ended, c.started()
+	writerEnds := err != nil && n == 0 && c.writing
+	if writerEnds {
 		c.readErr = err
 	}
 	c.mu.Unlock()
 	switch {
-	case ended || left: // after left, write ends the attempt: it knows what was sent
+	case ended || writerEnds: // write knows whether the last byte was sent, and ends the attempt
 		return false
 	case isTimeout(err):
-		return c.handleTimeout(x, begun)
+		return c.handleTimeout(x, responseStarted)
 	case x == nil:
 		code := "unasked-bytes"
 		if err != nil {
@@ -125,7 +125,7 @@
 // handleTimeout handles an expired read deadline. It ends an idle connection, unless an attempt has just
 // acquired it, and an attempt whose response head is overdue or whose response has stalled. It reports whether
 // to continue to read.
-func (c *connection) handleTimeout(x *exchange, begun bool) bool {
+func (c *connection) handleTimeout(x *exchange, responseStarted bool) bool {
 	switch {
 	case x == nil && c.forwarder.remove(c):
 		c.end("idle")
@@ -133,7 +133,7 @@
 	case x != nil && x.stream != nil && x.stream.overdue():
 		c.finish(core.Result{Code: choice.TimedOut}, "answer-late")
 		return false
-	case x != nil && begun:
+	case x != nil && responseStarted:
 		c.finish(core.Result{Code: choice.Reset}, codeBadResponse)
 		return false
 	}
@@ -214,10 +214,10 @@
 // has returned, no byte is sent on a connection that has ended.
 func (c *connection) endWith(x *exchange, code string) {
 	c.mu.Lock()
-	ended, others := c.ended, x != nil && c.exchange != x
-	c.ended = ended || !others
+	ended, reused := c.ended, x != nil && c.exchange != x
+	c.ended = ended || !reused
 	c.mu.Unlock()
-	if !ended && others {
+	if !ended && reused {
 		return
 	}
 	c.closeOnce.Do(func() { c.netConn.Close() })
--- a/internal/net/transfer/side.go
+++ b/internal/net/transfer/side.go
@@ -129,17 +129,17 @@
 // reserve, while reads fill it and the data is passed on fast. It shrinks otherwise, since a large buffer in
 // front of a slow reader only occupies memory for long.
 type Window struct {
-	memory *flow.Transfer
-	dir    flow.Direction
-	base   []byte // the buffer used when no memory is reserved
-	size   int
-	buf    *[]byte // nil: base is in use
+	reservation *flow.Transfer
+	dir         flow.Direction
+	base        []byte // the buffer used when no memory is reserved
+	size        int
+	buf         *[]byte // nil: base is in use
 }
 
-// NewWindow returns a window that begins with base, a small existing buffer. memory may be nil: then the window
+// NewWindow returns a window that begins with base, a small existing buffer. If reservation is nil, the window
 // does not grow.
-func NewWindow(memory *flow.Transfer, d flow.Direction, base []byte) *Window {
-	return &Window{memory: memory, dir: d, base: base, size: len(base)}
+func NewWindow(reservation *flow.Transfer, d flow.Direction, base []byte) *Window {
+	return &Window{reservation: reservation, dir: d, base: base, size: len(base)}
 }
 
 // maxWindowSize is the maximum size of a buffer, in bytes. Larger buffers would save few system calls.
@@ -147,12 +147,12 @@
 
 // Acquire returns a buffer to read into. It must be passed to Release before the next call.
 func (w *Window) Acquire() []byte {
-	if w.memory == nil || w.size <= len(w.base) {
+	if w.reservation == nil || w.size <= len(w.base) {
 		return w.base
 	}
-	n := w.memory.Reserve(w.dir, w.size)
+	n := w.reservation.Reserve(w.dir, w.size)
 	if n <= len(w.base) {
-		w.memory.Release(w.dir, n)
+		w.reservation.Release(w.dir, n)
 		return w.base
 	}
 	w.buf = getBuffer(n)
@@ -166,7 +166,7 @@
 // bytes read into it, and elapsed how long it took to pass them on.
 func (w *Window) Release(buf []byte, used int, elapsed time.Duration) {
 	if w.buf != nil {
-		w.memory.Release(w.dir, len(buf))
+		w.reservation.Release(w.dir, len(buf))
 		putBuffer(w.buf)
 		w.buf = nil
 	}
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -21,11 +21,11 @@
 
 // Upload is a request body that is being streamed. The client's side writes it while it is received. Attempts
 // attach to it one after the other, and each gets it from its beginning, as long as everything that was sent is
-// still buffered. It is safe for concurrent use, but only one goroutine may write.
+// still buffered.
 type Upload struct {
 	length      int64
 	replayLimit int            // maximum number of bytes that are buffered for retries
-	memory      *flow.Transfer // that these bytes are reserved from; nil: they are not counted
+	reservation *flow.Transfer // that these bytes are reserved from; nil: they are not counted
 
 	mu         sync.Mutex
 	changed    sync.Cond
@@ -58,9 +58,9 @@
 }
 
 // Streaming returns the upload of a body that is not received yet. A length of -1 means unknown. Up to replay
-// bytes are buffered for retries and reserved from memory, which may be nil.
-func Streaming(length int64, memory *flow.Transfer, replay int) *Upload {
-	u := &Upload{length: length, memory: memory, replayLimit: replay, replayable: true}
+// bytes are buffered for retries and counted in reservation, which may be nil.
+func Streaming(length int64, reservation *flow.Transfer, replay int) *Upload {
+	u := &Upload{length: length, reservation: reservation, replayLimit: replay, replayable: true}
 	u.changed.L = &u.mu
 	return u
 }
@@ -182,7 +182,7 @@
 }
 
 // Close records that the request has its final response, so that no attempt needs the body any more, and releases
-// the buffered bytes if no attempt uses them.
+// the buffered bytes, unless an attempt may still be reading them.
 func (u *Upload) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -306,9 +306,9 @@
 	if !u.replayable || len(u.buffered)+len(piece) > u.replayLimit {
 		return false
 	}
-	if u.memory != nil {
-		if n := u.memory.Reserve(flow.Up, len(piece)); n < len(piece) {
-			u.memory.Release(flow.Up, n)
+	if u.reservation != nil {
+		if n := u.reservation.Reserve(flow.Up, len(piece)); n < len(piece) {
+			u.reservation.Release(flow.Up, n)
 			return false
 		}
 	}
@@ -326,8 +326,8 @@
 		u.store.Release(len(u.blocks) * storeBlock)
 		u.blocks = nil
 	}
-	if u.memory != nil && len(u.buffered) > 0 {
-		u.memory.Release(flow.Up, len(u.buffered))
+	if u.reservation != nil && len(u.buffered) > 0 {
+		u.reservation.Release(flow.Up, len(u.buffered))
 	}
 	u.buffered = nil
 }
