--- a/front/introspect/desk.go
+++ b/front/introspect/desk.go
@@ -119,7 +119,7 @@
 		after, _ := d.breaker.Wait(now)
 		return &outcome{after: after}
 	}
-	permit, after := d.breaker.Take(now)
+	permit, after := d.breaker.Acquire(now)
 	if permit == nil {
 		return &outcome{after: after}
 	}
@@ -146,7 +146,7 @@
 // patience is how long a question may go unanswered before it speaks of silence: a slow service is not a
 // silent one, and one that usually answers at once is recognised the sooner.
 func (d *Desk) patience() time.Duration {
-	usual := d.breaker.Usual()
+	usual := d.breaker.SmoothedLatency()
 	wait := d.Silence
 	if usual > 0 {
 		wait = min(wait, max(usualTimes*usual, time.Duration(silencePart*float64(d.Silence))))
@@ -159,13 +159,13 @@
 	d.mu.Lock()
 	f, now := s.Value, d.Questions.Now()
 	f.timer.Stop()
-	out, end := outcome{after: ans.RetryAfter}, breaker.Bad
+	out, end := outcome{after: ans.RetryAfter}, breaker.Failure
 	switch t, ok := ans.Body.(*Token); {
 	case ok && ans.Kind == core.Served:
 		ahead := freshness.Ahead(t.Date, f.asked, now)
 		t.Expires = freshness.Expiry(t.Expires, ahead)
 		d.compareClocks(now, ahead)
-		out, end = outcome{token: t}, breaker.Good
+		out, end = outcome{token: t}, breaker.Success
 		d.store.Put(key, &freshness.Answer{Active: t.Active, Expires: t.Expires, Asked: f.asked, Came: now,
 			Size: len(t.Text), Value: t})
 	case f.sent.Load() == 0 && !f.late: // refused by the gate's own reasons: nothing was learned of the issuer
@@ -212,7 +212,7 @@
 func (d *Desk) settle(now time.Duration) (given refusals) {
 	state := d.breaker.State()
 	if state != d.state {
-		line := d.Log.Warn().Str("issuer", d.Issuer).Int("out", d.breaker.Out())
+		line := d.Log.Warn().Str("issuer", d.Issuer).Int("out", d.breaker.InFlight())
 		switch state {
 		case breaker.Open:
 			if d.state == breaker.Closed {
@@ -232,7 +232,7 @@
 	for _, s := range d.flights.All() {
 		if f := s.Value; f.late {
 			given.askers = append(given.askers, d.flights.End(s)...)
-			d.breaker.Done(now, f.permit, breaker.Bad, now-f.asked)
+			d.breaker.Done(now, f.permit, breaker.Failure, now-f.asked)
 			f.ticket.Leave()
 		}
 	}
@@ -264,7 +264,7 @@
 	f.ticket.Leave()
 	end := breaker.Unknown
 	if now-f.asked >= d.patience()/2 {
-		end = breaker.Bad
+		end = breaker.Failure
 	}
 	d.breaker.Done(now, f.permit, end, now-f.asked)
 	return d.settle(now)
--- a/front/introspect/desk_test.go
+++ b/front/introspect/desk_test.go
@@ -132,7 +132,7 @@
 		o.Issuers = append(o.Issuers, &Issuer{Asks: start(asks, Desks{}, 64),
 			Desk: NewDesk(DeskOptions{Issuer: rule.Name, Questions: start(set, Attempts{Upstream: s}, 4),
 				Limit: 3 * time.Second, Silence: 500 * time.Millisecond, Freshness: fresh,
-				Breaker: breaker.Options{MostOut: 256}, Log: log})})
+				Breaker: breaker.Options{MaxInFlight: 256}, Log: log})})
 	}
 	o.Log = log
 	r.options, r.front = o, New(o)
--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -19,26 +19,26 @@
 
 // Options bound a breaker. Zero fields read as Default's.
 type Options struct {
-	MostOut   int           // bulkhead: questions out at once
-	Failures  int           // in a row that open it
-	Window    int           // latest questions over which Share is taken
-	Share     float64       // of bad ones among them that opens it
-	FirstRest time.Duration // from opening to the first trial
-	MostRest  time.Duration // between later trials, at most
-	Never     bool          // it never opens: the bulkhead alone counts
+	MaxInFlight    int           // bulkhead: questions out at once
+	Failures       int           // in a row that open it
+	Window         int           // latest questions over which Share is taken
+	FailureRatio   float64       // of bad ones among them that opens it
+	InitialBackoff time.Duration // from opening to the first trial
+	MaxBackoff     time.Duration // between later trials, at most
+	NeverOpen      bool          // it never opens: the bulkhead alone counts
 }
 
 // Default is what zero fields of Options stand for.
-var Default = Options{MostOut: 64, Failures: 5, Window: 20, Share: 0.6, FirstRest: 250 * time.Millisecond,
-	MostRest: 500 * time.Millisecond}
+var Default = Options{MaxInFlight: 64, Failures: 5, Window: 20, FailureRatio: 0.6,
+	InitialBackoff: 250 * time.Millisecond, MaxBackoff: 500 * time.Millisecond}
 
 func (o Options) filled() Options {
-	fill(&o.MostOut, Default.MostOut)
+	fill(&o.MaxInFlight, Default.MaxInFlight)
 	fill(&o.Failures, Default.Failures)
 	fill(&o.Window, Default.Window)
-	fill(&o.Share, Default.Share)
-	fill(&o.FirstRest, Default.FirstRest)
-	fill(&o.MostRest, Default.MostRest)
+	fill(&o.FailureRatio, Default.FailureRatio)
+	fill(&o.InitialBackoff, Default.InitialBackoff)
+	fill(&o.MaxBackoff, Default.MaxBackoff)
 	return o
 }
 
@@ -52,11 +52,11 @@
 func (o Options) Validate() error {
 	o = o.filled()
 	switch {
-	case o.MostOut < 1 || o.Failures < 1 || o.Window < 1:
+	case o.MaxInFlight < 1 || o.Failures < 1 || o.Window < 1:
 		return errors.New("breaker: counts must be above 0")
-	case !(o.Share > 0 && o.Share <= 1):
-		return fmt.Errorf("breaker: a share of %v, want above 0 and up to 1", o.Share)
-	case o.FirstRest < 0 || o.MostRest < o.FirstRest:
+	case !(o.FailureRatio > 0 && o.FailureRatio <= 1):
+		return fmt.Errorf("breaker: a share of %v, want above 0 and up to 1", o.FailureRatio)
+	case o.InitialBackoff < 0 || o.MaxBackoff < o.InitialBackoff:
 		return errors.New("breaker: the first rest must not be over the most")
 	}
 	return nil
@@ -78,14 +78,14 @@
 
 func (s State) String() string { return [...]string{"closed", "open", "returning"}[s] }
 
-// End is what became of a question.
-type End int
+// Outcome is what became of a question.
+type Outcome int
 
 // The ends of questions.
 const (
-	Good    End = iota // the service answered, whatever it said
-	Bad                // an error, a broken connection, or no answer in time
-	Unknown            // nothing is known: withdrawn, or never sent
+	Success Outcome = iota // the service answered, whatever it said
+	Failure                // an error, a broken connection, or no answer in time
+	Unknown                // nothing is known: withdrawn, or never sent
 )
 
 // Permit stands for one question that may be asked.
@@ -119,11 +119,11 @@
 // State tells the present state.
 func (b *Breaker) State() State { return b.state }
 
-// Usual tells the smoothed time of good answers; 0: there was none yet.
-func (b *Breaker) Usual() time.Duration { return b.usual }
+// SmoothedLatency tells the smoothed time of good answers; 0: there was none yet.
+func (b *Breaker) SmoothedLatency() time.Duration { return b.usual }
 
-// Out tells how many questions are out.
-func (b *Breaker) Out() int { return b.out }
+// InFlight tells how many questions are out.
+func (b *Breaker) InFlight() int { return b.out }
 
 // Wait reports whether a question asked now would be turned away, and the time after which it may be asked
 // again: to the next trial and its answer, or until one of those out has usually ended.
@@ -133,14 +133,14 @@
 		return max(b.usual, b.rest), true
 	case b.state == Open && now < b.next:
 		return b.next - now + b.usual, true
-	case b.out >= b.set.MostOut, b.state == Returning && float64(b.out) >= math.Floor(b.allowed):
+	case b.out >= b.set.MaxInFlight, b.state == Returning && float64(b.out) >= math.Floor(b.allowed):
 		return max(b.usual, time.Millisecond), true
 	}
 	return 0, false
 }
 
-// Take returns a permit for one question, or the time after which to ask again.
-func (b *Breaker) Take(now time.Duration) (p *Permit, after time.Duration) {
+// Acquire returns a permit for one question, or the time after which to ask again.
+func (b *Breaker) Acquire(now time.Duration) (p *Permit, after time.Duration) {
 	if after, turned := b.Wait(now); turned {
 		return nil, after
 	}
@@ -163,7 +163,7 @@
 }
 
 // Done tells the end of a permitted question, and how long that took. Only the first call counts.
-func (b *Breaker) Done(now time.Duration, p *Permit, end End, took time.Duration) {
+func (b *Breaker) Done(now time.Duration, p *Permit, end Outcome, took time.Duration) {
 	if p.ended {
 		return
 	}
@@ -173,12 +173,12 @@
 		b.trial = nil
 	}
 	switch end {
-	case Good:
+	case Success:
 		if b.usual += (took - b.usual) / 8; b.usual == 0 || b.usual == took/8 {
 			b.usual = took
 		}
 		b.learn(now, p, false)
-	case Bad:
+	case Failure:
 		if !p.late {
 			b.learn(now, p, true)
 		}
@@ -190,30 +190,30 @@
 // learn takes what one question says of the service.
 func (b *Breaker) learn(now time.Duration, p *Permit, bad bool) {
 	switch {
-	case b.set.Never:
+	case b.set.NeverOpen:
 	case b.state == Open && !bad:
 		// Of a trial, or of a question asked before that is answered after all: it is there again.
 		b.enter(Returning)
 		b.allowed, b.row = 2, 0
 		b.forget()
 	case b.state == Open && p.trial && p.turn == b.turn:
-		b.rest = min(2*b.rest, b.set.MostRest)
+		b.rest = min(2*b.rest, b.set.MaxBackoff)
 		b.next = now + b.rest
 		b.trial = nil
 	case b.state == Open || p.turn != b.turn && bad:
 		// What was asked before it opened says nothing new.
 	case b.state == Returning && bad:
-		b.open(now, min(2*b.rest, b.set.MostRest))
+		b.open(now, min(2*b.rest, b.set.MaxBackoff))
 	case b.state == Returning:
-		if b.allowed++; b.allowed >= float64(min(b.set.MostOut, enough)) {
+		if b.allowed++; b.allowed >= float64(min(b.set.MaxInFlight, enough)) {
 			b.enter(Closed)
 		}
 	case bad:
 		b.row++
 		b.note(true)
 		if b.row >= b.set.Failures || len(b.latest) == b.set.Window &&
-			float64(b.bad) >= b.set.Share*float64(b.set.Window) {
-			b.open(now, b.set.FirstRest)
+			float64(b.bad) >= b.set.FailureRatio*float64(b.set.Window) {
+			b.open(now, b.set.InitialBackoff)
 		}
 	default:
 		b.row = 0
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -10,7 +10,7 @@
 // ask takes a permit that must be given.
 func ask(t *testing.T, b *Breaker, now time.Duration) *Permit {
 	t.Helper()
-	p, after := b.Take(now)
+	p, after := b.Acquire(now)
 	if p == nil {
 		t.Fatalf("at %v: turned away for %v (%v)", now, after, b.State())
 	}
@@ -20,7 +20,7 @@
 func opened(t *testing.T, b *Breaker, now time.Duration) {
 	t.Helper()
 	for range Default.Failures {
-		b.Done(now, ask(t, b, now), Bad, 0)
+		b.Done(now, ask(t, b, now), Failure, 0)
 	}
 	if b.State() != Open {
 		t.Fatalf("after %d failures it is %v", Default.Failures, b.State())
@@ -40,15 +40,15 @@
 		b.Late(500*ms, p)
 		b.Late(500*ms, p) // counts once
 	}
-	if after, turned := b.Wait(500 * ms); b.State() != Open || !turned || after != Default.FirstRest {
+	if after, turned := b.Wait(500 * ms); b.State() != Open || !turned || after != Default.InitialBackoff {
 		t.Errorf("%v, wait %v %v", b.State(), after, turned)
 	}
 	// That the others fail too tells nothing new, and must not put off the next trial.
 	for _, p := range out {
-		b.Done(600*ms, p, Bad, 600*ms)
+		b.Done(600*ms, p, Failure, 600*ms)
 	}
-	if ask(t, b, 750*ms); b.Out() != 1 {
-		t.Errorf("%d out", b.Out())
+	if ask(t, b, 750*ms); b.InFlight() != 1 {
+		t.Errorf("%d out", b.InFlight())
 	}
 }
 
@@ -57,7 +57,7 @@
 	for i := range 100 {
 		p := ask(t, b, time.Duration(i)*time.Second)
 		b.Late(time.Duration(i)*time.Second+500*ms, p)
-		b.Done(time.Duration(i)*time.Second+600*ms, p, Good, 600*ms)
+		b.Done(time.Duration(i)*time.Second+600*ms, p, Success, 600*ms)
 	}
 	if b.State() != Closed {
 		t.Errorf("a service that answers all is %v", b.State())
@@ -65,7 +65,7 @@
 }
 
 func TestTrialsAreSingleAndRestsDouble(t *testing.T) {
-	b := New(Options{MostRest: time.Second})
+	b := New(Options{MaxBackoff: time.Second})
 	opened(t, b, 0)
 	now, rests := time.Duration(0), []time.Duration{250 * ms, 500 * ms, time.Second, time.Second}
 	for _, rest := range rests {
@@ -74,10 +74,10 @@
 		}
 		now += rest
 		p := ask(t, b, now)
-		if other, after := b.Take(now); other != nil || after <= 0 {
+		if other, after := b.Acquire(now); other != nil || after <= 0 {
 			t.Errorf("a second trial beside the first; wait %v", after)
 		}
-		b.Done(now, p, Bad, 0)
+		b.Done(now, p, Failure, 0)
 	}
 	// A trial that was withdrawn leaves the next one free.
 	now += time.Second
@@ -86,17 +86,17 @@
 }
 
 func TestReturnsGradually(t *testing.T) {
-	b := New(Options{MostOut: 32})
+	b := New(Options{MaxInFlight: 32})
 	opened(t, b, 0)
 	now := 250 * ms
-	b.Done(now, ask(t, b, now), Good, 20*ms)
+	b.Done(now, ask(t, b, now), Success, 20*ms)
 	for rounds := 1; b.State() != Closed; rounds++ {
 		if rounds > 5 {
 			t.Fatal("not taken back in five rounds")
 		}
 		var out []*Permit
 		for {
-			p, _ := b.Take(now)
+			p, _ := b.Acquire(now)
 			if p == nil {
 				break
 			}
@@ -107,7 +107,7 @@
 		}
 		now += 20 * ms
 		for _, p := range out {
-			b.Done(now, p, Good, 20*ms)
+			b.Done(now, p, Success, 20*ms)
 		}
 	}
 }
@@ -115,13 +115,13 @@
 func TestOneFailureOnReturnOpensAgain(t *testing.T) {
 	b := New(Options{})
 	opened(t, b, 0)
-	b.Done(250*ms, ask(t, b, 250*ms), Good, ms)
+	b.Done(250*ms, ask(t, b, 250*ms), Success, ms)
 	first, second := ask(t, b, 260*ms), ask(t, b, 260*ms)
-	b.Done(270*ms, first, Bad, ms)
+	b.Done(270*ms, first, Failure, ms)
 	if after, _ := b.Wait(270 * ms); b.State() != Open || after < 500*ms {
 		t.Errorf("%v, wait %v", b.State(), after)
 	}
-	b.Done(280*ms, second, Good, ms) // asked before, answered now: it is there
+	b.Done(280*ms, second, Success, ms) // asked before, answered now: it is there
 	if b.State() != Returning {
 		t.Errorf("after a good answer it is %v", b.State())
 	}
@@ -130,9 +130,9 @@
 func TestShareOfFailuresOpens(t *testing.T) {
 	b := New(Options{})
 	for i := range 40 {
-		end := Bad
+		end := Failure
 		if i%5 > 2 {
-			end = Good
+			end = Success
 		}
 		b.Done(0, ask(t, b, 0), end, ms)
 		if (b.State() == Open) != (i >= Default.Window) {
@@ -146,9 +146,9 @@
 
 // One that never opens keeps nothing of what it is told, however long that goes on.
 func TestNever(t *testing.T) {
-	b := New(Options{Never: true, MostOut: 2})
+	b := New(Options{NeverOpen: true, MaxInFlight: 2})
 	for range 1000 {
-		b.Done(0, ask(t, b, 0), Bad, 0)
+		b.Done(0, ask(t, b, 0), Failure, 0)
 	}
 	if b.State() != Closed || len(b.latest) > 0 {
 		t.Errorf("%v, %d kept", b.State(), len(b.latest))
@@ -156,23 +156,23 @@
 }
 
 func TestBulkhead(t *testing.T) {
-	b := New(Options{MostOut: 3})
+	b := New(Options{MaxInFlight: 3})
 	first := ask(t, b, 0)
 	ask(t, b, 0)
 	ask(t, b, 0)
-	if p, after := b.Take(0); p != nil || after <= 0 {
+	if p, after := b.Acquire(0); p != nil || after <= 0 {
 		t.Errorf("a fourth of three; wait %v", after)
 	}
 	b.Done(0, first, Unknown, 0)
 	b.Done(0, first, Unknown, 0)
-	if ask(t, b, 0); b.Out() != 3 {
-		t.Errorf("%d out", b.Out())
+	if ask(t, b, 0); b.InFlight() != 3 {
+		t.Errorf("%d out", b.InFlight())
 	}
 }
 
 func TestOptionsThatMakeNoSense(t *testing.T) {
-	for _, o := range []Options{{MostOut: -1}, {Failures: -1}, {Window: -2}, {Share: 1.5}, {Share: -1},
-		{FirstRest: time.Second}, {FirstRest: -1}} {
+	for _, o := range []Options{{MaxInFlight: -1}, {Failures: -1}, {Window: -2}, {FailureRatio: 1.5},
+		{FailureRatio: -1}, {InitialBackoff: time.Second}, {InitialBackoff: -1}} {
 		if o.Validate() == nil {
 			t.Errorf("%+v is taken", o)
 		}
@@ -187,7 +187,7 @@
 func FuzzBreaker(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 0, 9, 9, 9, 1, 2, 3})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		b := New(Options{MostOut: 8})
+		b := New(Options{MaxInFlight: 8})
 		var out []*Permit
 		now := time.Duration(0)
 		for _, s := range steps {
@@ -195,7 +195,7 @@
 			i := int(s / 8)
 			switch {
 			case s%4 == 0 || len(out) == 0:
-				if p, after := b.Take(now); p != nil {
+				if p, after := b.Acquire(now); p != nil {
 					out = append(out, p)
 				} else if after <= 0 {
 					t.Fatalf("turned away for %v", after)
@@ -203,7 +203,7 @@
 			case s%4 == 1:
 				b.Late(now, out[i%len(out)])
 			default:
-				b.Done(now, out[i%len(out)], End(s%3), ms)
+				b.Done(now, out[i%len(out)], Outcome(s%3), ms)
 			}
 			trials := 0
 			live := out[:0]
@@ -216,16 +216,16 @@
 				}
 			}
 			out = live
-			if b.Out() != len(out) || len(out) > 8 || trials > 1 {
-				t.Fatalf("%d out of %d, %d trials", b.Out(), len(out), trials)
+			if b.InFlight() != len(out) || len(out) > 8 || trials > 1 {
+				t.Fatalf("%d out of %d, %d trials", b.InFlight(), len(out), trials)
 			}
 		}
 		for _, p := range out {
 			b.Done(now, p, Unknown, 0)
 		}
 		for range 30 {
-			now += 2 * Default.MostRest
-			b.Done(now, ask(t, b, now), Good, ms)
+			now += 2 * Default.MaxBackoff
+			b.Done(now, ask(t, b, now), Success, ms)
 		}
 		if b.State() != Closed {
 			t.Fatalf("%v after 30 good answers", b.State())
--- a/internal/config/introspection.go
+++ b/internal/config/introspection.go
@@ -363,9 +363,9 @@
 
 // Options are those of the issuer's breaker.
 func (s *Issuer) Options() breaker.Options {
-	o := breaker.Options{MostOut: s.MostOut, Failures: s.Failures, FirstRest: time.Duration(s.FirstRest),
-		MostRest: time.Duration(s.MostRest)}
-	o.Never = s.Breaker != nil && !*s.Breaker
+	o := breaker.Options{MaxInFlight: s.MostOut, Failures: s.Failures, InitialBackoff: time.Duration(s.FirstRest),
+		MaxBackoff: time.Duration(s.MostRest)}
+	o.NeverOpen = s.Breaker != nil && !*s.Breaker
 	return o
 }
 
