--- a/cmd/benchlink/link.go
+++ b/cmd/benchlink/link.go
@@ -12,146 +12,150 @@
 	"dunespoke/internal/config"
 )
 
-// link holds the gates of all instances and the lists that events refer to.
-type link struct {
-	out     *bufio.Writer
-	open    bool // inside a batch
-	now     time.Duration
-	gates   map[int]*choice.Gate
-	rosters map[int][]choice.Backend
-	filling int // roster that BACKEND lines go to
-	missing int // BACKEND lines still to come
+// adapter translates the simulator's events into calls of one gate per instance, and the gates' actions into
+// output lines. It is not safe for concurrent use.
+type adapter struct {
+	out         *bufio.Writer
+	inBatch     bool                     // a FRAME line was read, and its COMMIT line was not
+	now         time.Duration            // clock of the current batch
+	gates       map[int]*choice.Gate     // by instance
+	rosters     map[int][]choice.Backend // registered backend lists, by roster_id
+	registering int                      // roster_id of the list to which BACKEND lines are appended
+	backendsDue int                      // BACKEND lines of that list that are still expected
 }
 
-func newLink(out *bufio.Writer) *link {
-	return &link{out: out, gates: map[int]*choice.Gate{}, rosters: map[int][]choice.Backend{}}
+func newAdapter(out *bufio.Writer) *adapter {
+	return &adapter{out: out, gates: map[int]*choice.Gate{}, rosters: map[int][]choice.Backend{}}
 }
 
-// line takes one line of input and reports whether a reply is complete.
-func (l *link) line(text string) (flush bool, err error) {
+// handleLine processes one input line. It reports whether the line completes a batch, so that the output must
+// be flushed.
+func (a *adapter) handleLine(text string) (batchComplete bool, err error) {
 	name, rest, _ := strings.Cut(text, "\t")
-	f := &fields{message: name, rest: rest, left: name != text}
+	f := &fieldReader{message: name, rest: rest, more: name != text}
 	switch {
 	case name == "FRAME":
-		if l.open {
+		if a.inBatch {
 			return false, fmt.Errorf("FRAME inside a batch: COMMIT is missing")
 		}
-		l.open = true
-		now := f.ms("clock")
-		if f.err == nil && now < l.now {
+		a.inBatch = true
+		now := f.duration("clock")
+		if f.err == nil && now < a.now {
 			return false, fmt.Errorf("FRAME: field clock goes backwards")
 		}
-		l.now = now
-		return false, f.end()
-	case !l.open:
+		a.now = now
+		return false, f.finish()
+	case !a.inBatch:
 		return false, fmt.Errorf("%.40q outside a batch: FRAME is missing", name)
-	case l.missing > 0 && name != "BACKEND":
-		return false, fmt.Errorf("%.40q where a BACKEND line is due", name)
+	case a.backendsDue > 0 && name != "BACKEND":
+		return false, fmt.Errorf("%.40q where a BACKEND line is expected", name)
 	case name == "COMMIT":
-		l.open = false
-		l.out.WriteString("ACK\n")
-		return true, f.end()
+		a.inBatch = false
+		a.out.WriteString("ACK\n")
+		return true, f.finish()
 	}
-	return false, l.event(name, f)
+	return false, a.handleEvent(name, f)
 }
 
-// messages are the events of a single instance.
-var messages = map[string]bool{"BEGIN": true, "KILL": true, "BACKENDS_CHANGED": true, "REQUEST": true,
+// instanceMessages are the messages that address one instance, by their field who.
+var instanceMessages = map[string]bool{"BEGIN": true, "KILL": true, "BACKENDS_CHANGED": true, "REQUEST": true,
 	"HEAD_RECEIVED": true, "VERDICT": true, "LEFT": true, "REMINDER": true, "HEALTH": true, "MAIL": true,
 	"TOTAL": true}
 
-// event decodes one event and hands it to its gate.
-func (l *link) event(name string, f *fields) error {
+// handleEvent decodes one message and passes it to its instance's gate. Fields that the gate does not use are
+// read and checked too, because values are identified by their order.
+func (a *adapter) handleEvent(name string, f *fieldReader) error {
 	switch name {
 	case "REGISTER":
-		l.filling, l.missing = f.integer("roster_id"), f.integer("nodes_list")
-		if f.err == nil && (l.missing < 0 || l.missing > 1<<20) {
-			return fmt.Errorf("REGISTER: field nodes_list: %d is out of range", l.missing)
+		a.registering, a.backendsDue = f.integer("roster_id"), f.integer("nodes_list")
+		if f.err == nil && (a.backendsDue < 0 || a.backendsDue > 1<<20) {
+			return fmt.Errorf("REGISTER: field nodes_list: %d is out of range", a.backendsDue)
 		}
-		l.rosters[l.filling] = nil
-		return f.end()
+		a.rosters[a.registering] = nil
+		return f.finish()
 	case "BACKEND":
-		return l.backend(f)
+		return a.addBackend(f)
 	}
-	if !messages[name] {
+	if !instanceMessages[name] {
 		return fmt.Errorf("unknown message %.40q", name)
 	}
-	who := f.integer("who")
+	instance := f.integer("who")
 	if name == "BEGIN" {
-		return l.begin(who, f)
+		return a.beginInstance(instance, f)
 	}
-	gate := l.gates[who]
+	gate := a.gates[instance]
 	if f.err == nil && gate == nil {
-		return fmt.Errorf("%.40s: field who: instance %d has not begun", name, who)
+		return fmt.Errorf("%.40s: field who: instance %d has not begun", name, instance)
 	}
 	switch name {
 	case "KILL":
-		delete(l.gates, who)
+		delete(a.gates, instance)
 	case "BACKENDS_CHANGED":
-		scope, roster := f.text("scope"), f.integer("roster_id")
+		scope, rosterID := f.text("scope"), f.integer("roster_id")
 		f.integer("index")
-		list, known := l.rosters[roster]
+		backends, registered := a.rosters[rosterID]
 		switch {
 		case f.err != nil || scope == "failed":
 		case scope != "delta" && scope != "full" && scope != "cached":
 			return fmt.Errorf("BACKENDS_CHANGED: field scope: unknown value %.40q", scope)
-		case !known:
-			return fmt.Errorf("BACKENDS_CHANGED: field roster_id: list %d was not registered", roster)
+		case !registered:
+			return fmt.Errorf("BACKENDS_CHANGED: field roster_id: list %d was not registered", rosterID)
 		default:
-			gate.Backends(l.now, scope != "delta", list)
+			gate.Backends(a.now, scope != "delta", backends)
 		}
 	case "REQUEST":
 		r := choice.Request{ID: f.id("op_id"), Spread: int(f.number("spread"))}
 		r.Again = f.flag("retry")
 		r.Class = f.text("service")
 		f.flag("mutates")
-		r.Customer, r.Plan, r.Deadline = f.id("member"), f.text("plan"), f.ms("give_up_at")
+		r.Customer, r.Plan, r.Deadline = f.id("member"), f.text("plan"), f.duration("give_up_at")
 		r.Units = f.number("price_units")
 		f.number("from_no")
 		if f.err == nil {
-			gate.Request(l.now, r)
+			gate.Request(a.now, r)
 		}
-	case "HEAD_RECEIVED": // only the end of a streamed answer counts
+	case "HEAD_RECEIVED": // the gate uses only the end of a streamed response
 		f.id("op_id")
-		f.ms("wait_time")
+		f.duration("wait_time")
 		f.integer("send_no")
 		f.id("backend")
 	case "VERDICT":
 		o := choice.Outcome{Request: f.id("op_id"), Attempt: f.integer("send_no"), Backend: f.id("backend")}
-		o.Code, o.Took, o.Ended = f.code("rc"), f.ms("wait_time"), f.flag("ended")
+		o.Code, o.Took, o.Ended = f.code("rc"), f.duration("wait_time"), f.flag("ended")
 		f.number("quota_use")
 		o.Units, o.Load = f.number("actual"), f.numbers("metrics")
 		if f.err == nil {
-			gate.Outcome(l.now, o)
+			gate.Outcome(a.now, o)
 		}
 	case "LEFT":
 		if id := f.id("op_id"); f.err == nil {
-			gate.Left(l.now, id)
+			gate.Left(a.now, id)
 		}
 	case "REMINDER":
 		f.text("cookie")
 		if f.err == nil {
-			gate.Wake(l.now)
+			gate.Wake(a.now)
 		}
-	case "HEALTH": // the gate asks for no probes
-		f.ms("wait_time")
+	case "HEALTH": // the gate requests no health probes
+		f.duration("wait_time")
 		f.id("backend")
 		f.code("rc")
 		f.numbers("metrics")
-	case "MAIL": // the gate has no peers
+	case "MAIL": // the gate exchanges no messages with other instances
 		f.integer("sender")
 		f.text("msg")
 	case "TOTAL":
 		key, code, total := f.text("counter_key"), f.code("rc"), f.number("now_at")
-		f.ms("wait_time")
+		f.duration("wait_time")
 		if f.err == nil {
-			gate.Counted(l.now, key, code, total)
+			gate.Counted(a.now, key, code, total)
 		}
 	}
-	return f.end()
+	return f.finish()
 }
 
-func (l *link) begin(who int, f *fields) error {
+// beginInstance creates the gate of an instance, and replaces one that it had.
+func (a *adapter) beginInstance(instance int, f *fieldReader) error {
 	seed, conf := f.id("entropy"), f.remainder("conf")
 	if f.err != nil {
 		return f.err
@@ -160,19 +164,20 @@
 	if err != nil {
 		return fmt.Errorf("BEGIN: field conf: %w", err)
 	}
-	gate, err := choice.New(s, seed, actions{l, who})
+	gate, err := choice.New(s, seed, actions{a, instance})
 	if err != nil {
 		return fmt.Errorf("BEGIN: field conf: %w", err)
 	}
-	l.gates[who] = gate
+	a.gates[instance] = gate
 	return nil
 }
 
-func (l *link) backend(f *fields) error {
-	if l.missing == 0 {
-		return fmt.Errorf("BACKEND without a REGISTER that announces it")
+// addBackend appends one backend to the list that the last REGISTER announced.
+func (a *adapter) addBackend(f *fieldReader) error {
+	if a.backendsDue == 0 {
+		return fmt.Errorf("BACKEND line that no REGISTER announced")
 	}
-	l.missing--
+	a.backendsDue--
 	b := choice.Backend{ID: f.id("backend"), Zone: f.text("failure_domain")}
 	b.Key = b.ID
 	f.text("sku")
@@ -188,90 +193,100 @@
 	default:
 		return fmt.Errorf("BACKEND: field state: unknown value %.40q", state)
 	}
-	b.Weight, b.Started = f.number("scale"), f.ms("start_time")
-	l.rosters[l.filling] = append(l.rosters[l.filling], b)
-	return f.end()
+	b.Weight, b.Started = f.number("scale"), f.duration("start_time")
+	a.rosters[a.registering] = append(a.rosters[a.registering], b)
+	return f.finish()
 }
 
-// actions writes the actions of one instance.
+// actions implements choice.Actions for one instance: each action is an output line.
 type actions struct {
-	l   *link
-	who int
+	adapter  *adapter
+	instance int
 }
 
-func (a actions) put(format string, args ...any) { fmt.Fprintf(a.l.out, format, args...) }
+func (a actions) write(format string, args ...any) { fmt.Fprintf(a.adapter.out, format, args...) }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func (a actions) Send(request, backend uint64, timeout time.Duration) {
-	a.put("SUBMIT_TO\t%d\t%d\t%d\t%.3f\n", a.who, request, backend, ms(timeout))
+	a.write("SUBMIT_TO\t%d\t%d\t%d\t%.3f\n", a.instance, request, backend, milliseconds(timeout))
 }
 
 func (a actions) Cancel(request uint64, attempt int) {
-	a.put("STOP_ATTEMPT\t%d\t%d\t%d\n", a.who, request, attempt)
+	a.write("STOP_ATTEMPT\t%d\t%d\t%d\n", a.instance, request, attempt)
 }
 
 func (a actions) Refuse(request uint64, retryAfter time.Duration) {
-	a.put("OVERLOAD_REPLY\t%d\t%d\t%.3f\n", a.who, request, ms(retryAfter))
+	a.write("OVERLOAD_REPLY\t%d\t%d\t%.3f\n", a.instance, request, milliseconds(retryAfter))
 }
 
-func (a actions) Fail(request uint64)      { a.put("ERROR\t%d\t%d\n", a.who, request) }
-func (a actions) Wake(delay time.Duration) { a.put("SLEEP\t%d\t%.3f\twake\n", a.who, ms(delay)) }
-func (a actions) Log(line string)          { a.put("REMARK\t%d\t%s\n", a.who, line) }
+func (a actions) Fail(request uint64) { a.write("ERROR\t%d\t%d\n", a.instance, request) }
+
+func (a actions) Wake(delay time.Duration) {
+	a.write("SLEEP\t%d\t%.3f\twake\n", a.instance, milliseconds(delay))
+}
+
+func (a actions) Log(line string) { a.write("REMARK\t%d\t%s\n", a.instance, line) }
 
 func (a actions) Add(name string, amount float64, keep time.Duration) {
-	a.put("ADD_TO\t%d\t%s\t%s\t%.3f\n", a.who, name, strconv.FormatFloat(amount, 'f', -1, 64), ms(keep))
+	a.write("ADD_TO\t%d\t%s\t%s\t%.3f\n", a.instance, name, strconv.FormatFloat(amount, 'f', -1, 64),
+		milliseconds(keep))
 }
 
-// fields reads the values of one line in order and keeps the first error.
-type fields struct {
-	message, rest string
-	left          bool
+// fieldReader reads the tab-separated values of one line in order. It keeps the first error and returns zero
+// values after it.
+type fieldReader struct {
+	message, rest string // name of the message, for errors, and the unread part of the line
+	more          bool   // rest has at least one value, which may be empty
 	err           error
 }
 
-func (f *fields) text(field string) string {
+// text reads the next value.
+func (f *fieldReader) text(field string) string {
 	if f.err != nil {
 		return ""
 	}
-	if !f.left {
+	if !f.more {
 		f.err = fmt.Errorf("%s: field %s is missing", f.message, field)
 		return ""
 	}
 	var v string
-	v, f.rest, f.left = strings.Cut(f.rest, "\t")
+	v, f.rest, f.more = strings.Cut(f.rest, "\t")
 	return v
 }
 
-func (f *fields) remainder(field string) string {
+// remainder reads the rest of the line as one value, tabs included.
+func (f *fieldReader) remainder(field string) string {
 	v := f.rest
-	if !f.left {
+	if !f.more {
 		return f.text(field)
 	}
-	f.left = false
+	f.more = false
 	return v
 }
 
-func (f *fields) bad(field, value, want string) {
+// invalid records that a value is not of the wanted kind, unless there was an earlier error.
+func (f *fieldReader) invalid(field, value, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: field %s: %.40q is not %s", f.message, field, value, want)
 	}
 }
 
-// number reads a finite number; an absent one reads as 0.
-func (f *fields) number(field string) float64 {
+// number reads a number of magnitude up to 1e15. The value "-" means absent and reads as 0.
+func (f *fieldReader) number(field string) float64 {
 	v := f.text(field)
 	if f.err != nil || v == "-" {
 		return 0
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(n) || math.Abs(n) > 1e15 {
-		f.bad(field, v, "a number")
+		f.invalid(field, v, "a number")
 	}
 	return n
 }
 
-func (f *fields) numbers(field string) []float64 {
+// numbers reads a comma-separated list of finite numbers. An empty value or "-" means none.
+func (f *fieldReader) numbers(field string) []float64 {
 	v := f.text(field)
 	if f.err != nil || v == "-" || v == "" {
 		return nil
@@ -280,7 +295,7 @@
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseFloat(part, 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			f.bad(field, v, "a list of numbers")
+			f.invalid(field, v, "a list of numbers")
 			return nil
 		}
 		all = append(all, n)
@@ -288,58 +303,64 @@
 	return all
 }
 
-func (f *fields) ms(field string) time.Duration {
+// duration reads a number of milliseconds, rounded to microseconds.
+func (f *fieldReader) duration(field string) time.Duration {
 	n := f.number(field)
 	if math.Abs(n) > 1e12 {
-		f.bad(field, strconv.FormatFloat(n, 'g', -1, 64), "a time in range")
+		f.invalid(field, strconv.FormatFloat(n, 'g', -1, 64), "a time in range")
 		return 0
 	}
 	return time.Duration(math.Round(n*1000)) * time.Microsecond
 }
 
-func (f *fields) integer(field string) int {
+func (f *fieldReader) integer(field string) int {
 	v := f.text(field)
 	n, err := strconv.Atoi(v)
 	if f.err == nil && err != nil {
-		f.bad(field, v, "an integer")
+		f.invalid(field, v, "an integer")
 	}
 	return n
 }
 
-func (f *fields) id(field string) uint64 {
+// id reads an unsigned 64-bit integer.
+func (f *fieldReader) id(field string) uint64 {
 	v := f.text(field)
 	n, err := strconv.ParseUint(v, 10, 64)
 	if f.err == nil && err != nil {
-		f.bad(field, v, "an id")
+		f.invalid(field, v, "an id")
 	}
 	return n
 }
 
-func (f *fields) flag(field string) bool {
+// flag reads a boolean: 1 is true, 0 and "-" (absent) are false.
+func (f *fieldReader) flag(field string) bool {
 	v := f.text(field)
 	if f.err == nil && v != "0" && v != "1" && v != "-" {
-		f.bad(field, v, "a bool")
+		f.invalid(field, v, "a boolean")
 	}
 	return v == "1"
 }
 
-var codes = map[string]choice.Code{
+// codesByName maps the protocol's result codes to those of package choice.
+var codesByName = map[string]choice.Code{
 	"done": choice.OK, "err": choice.Error, "busy": choice.Busy, "etimedout": choice.TimedOut,
 	"econnrefused": choice.Refused, "econnreset": choice.Reset, "ecanceled": choice.Cancelled,
 	"skipped": choice.Skipped,
 }
 
-func (f *fields) code(field string) choice.Code {
+// code reads a result code.
+func (f *fieldReader) code(field string) choice.Code {
 	v := f.text(field)
-	c, ok := codes[v]
+	c, ok := codesByName[v]
 	if f.err == nil && !ok {
-		f.bad(field, v, "an ending")
+		f.invalid(field, v, "a result code")
 	}
 	return c
 }
 
-func (f *fields) end() error {
-	if f.err == nil && f.left {
+// finish returns the first error of the line; a value that no field consumed is one.
+func (f *fieldReader) finish() error {
+	if f.err == nil && f.more {
 		f.err = fmt.Errorf("%s: more values than fields, from %.40q on", f.message, f.rest)
 	}
 	return f.err
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink connects the decisions of package choice to a simulator's
-// line protocol: batches of events on standard input, actions on standard output.
+// Command benchlink lets a simulator drive the gates of package choice over a line protocol: it reads batches
+// of events from standard input and writes the gates' actions to standard output.
 package main
 
 import (
@@ -16,30 +16,30 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run processes batches until the input ends. Output is flushed after each complete batch.
 func run(in io.Reader, out io.Writer) error {
 	w := bufio.NewWriterSize(out, 1<<16)
-	l := newLink(w)
+	a := newAdapter(w)
 	sc := bufio.NewScanner(in)
 	sc.Buffer(make([]byte, 1<<16), 1<<26)
-	line := 0
+	lineNumber := 0
 	for sc.Scan() {
-		line++
-		flush, err := l.line(sc.Text())
+		lineNumber++
+		batchComplete, err := a.handleLine(sc.Text())
 		if err != nil {
-			return fmt.Errorf("line %d: %w", line, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		if flush {
+		if batchComplete {
 			if err := w.Flush(); err != nil {
 				return err
 			}
 		}
 	}
 	if err := sc.Err(); err != nil {
-		return fmt.Errorf("line %d: %w", line+1, err)
+		return fmt.Errorf("line %d: %w", lineNumber+1, err)
 	}
-	if l.open {
-		return fmt.Errorf("line %d: input ended inside a batch: COMMIT is missing", line)
+	if a.inBatch {
+		return fmt.Errorf("line %d: input ended inside a batch: COMMIT is missing", lineNumber)
 	}
 	return nil
 }
