--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-func TestWindowsFollowEachOther(t *testing.T) {
+func TestWindowsAreConsecutive(t *testing.T) {
 	const length = 1.5
 	for id := range uint64(50) {
-		w := At(id, length, 1700000000*time.Second)
-		if w.Left <= 0 || w.Left > 1500*time.Millisecond {
-			t.Fatalf("customer %d: %v left of a window", id, w.Left)
+		current := At(id, length, 1700000000*time.Second)
+		if current.Left <= 0 || current.Left > 1500*time.Millisecond {
+			t.Fatalf("customer %d: %v until the next window, want up to 1.5s", id, current.Left)
 		}
-		at := 1700000000*time.Second + w.Left
-		if next := At(id, length, at+time.Microsecond); next.Index != w.Index+1 {
-			t.Errorf("customer %d: window %d ends, and %d begins", id, w.Index, next.Index)
+		end := 1700000000*time.Second + current.Left
+		if next := At(id, length, end+time.Microsecond); next.Index != current.Index+1 {
+			t.Errorf("customer %d: window %d is followed by window %d", id, current.Index, next.Index)
 		}
-		if same := At(id, length, at-time.Microsecond); same.Index != w.Index {
-			t.Errorf("customer %d: window %d is %d before its end", id, w.Index, same.Index)
+		if same := At(id, length, end-time.Microsecond); same.Index != current.Index {
+			t.Errorf("customer %d: window %d has index %d just before its end", id, current.Index, same.Index)
 		}
 	}
 }
 
-func TestWindowsBeginSpread(t *testing.T) {
-	parts := [10]int{}
+func TestWindowStartsAreSpreadEvenly(t *testing.T) {
+	startsPerTenth := [10]int{}
 	for id := range uint64(1000) {
-		parts[int(At(id, 1, 0).Left.Seconds()*9.999)]++
+		startsPerTenth[int(At(id, 1, 0).Left.Seconds()*9.999)]++
 	}
-	for i, n := range parts {
+	for i, n := range startsPerTenth {
 		if n < 60 || n > 140 {
-			t.Errorf("%d of 1,000 windows begin in tenth %d", n, i)
+			t.Errorf("%d of 1,000 windows begin in tenth %d of a second, want 60 to 140", n, i)
 		}
 	}
 }
 
-func TestCountsAreKeptForTheNextWindow(t *testing.T) {
+func TestCountsAreKeptPastTheNextWindow(t *testing.T) {
 	if keep := At(1, 2, 0).Keep(); keep != 5*time.Second {
-		t.Errorf("kept for %v", keep)
+		t.Errorf("the count of a 2 s window is kept for %v, want 5s", keep)
 	}
 	if keep := At(1, 300, 0).Keep(); keep != time.Minute {
-		t.Errorf("a long one kept for %v", keep)
+		t.Errorf("the count of a 300 s window is kept for %v, want 1m", keep)
 	}
 }
