--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -24,8 +24,8 @@
 	return Window{int64(index), length, time.Duration((1 - (position - index)) * length * float64(time.Second))}
 }
 
-// Keep returns how long a counter keeps the count of a window after its first addition: at most one minute, and
-// otherwise past the end of the next window, for additions that arrive late.
+// Keep returns how long a counter keeps the count of a window after its first addition: past the end of the
+// next window, for additions that arrive late, but at most one minute.
 func (w Window) Keep() time.Duration {
 	return min(time.Duration((2*w.Length+1)*float64(time.Second)), time.Minute)
 }
