--- a/fleet/common/explore_test.go
+++ b/fleet/common/explore_test.go
@@ -22,51 +22,53 @@
 	hold  = 10 * time.Second
 )
 
-// fleet is machines in virtual time, and an oracle of membership that is seconds late.
+// fleet runs machines in virtual time. Their view of the membership lags by seconds. It checks the
+// invariants after each step.
 type fleet struct {
-	net    *virtual.Net
-	voters []string
-	nodes  map[string]*node
-	order  []string
-	cuts   map[[2]string]bool
-	lives  uint64
-	// defects, to show that the checks find them
-	sameLife bool
-	noLease  bool
+	net      *virtual.Net
+	voters   []string
+	nodes    map[string]*node
+	names    []string
+	cuts     map[[2]string]bool
+	lastLife uint64
+	// Injected defects, to show that the checks find them.
+	reuseLife bool
+	noLease   bool
 
-	contents map[[2]uint64]string        // of each generation and epoch
-	passed   map[[2]uint64]time.Duration // when a newer record than this was first known
-	wrong    string
-	most     Record // that anyone agreed on
-	foundeds map[uint64]bool
+	contents          map[[2]uint64]string        // encoded record of each generation and epoch
+	supersededAt      map[[2]uint64]time.Duration // when a newer record first appeared
+	violation         string
+	newestAgreed      Record // newest record that any member had as agreed
+	agreedGenerations map[uint64]bool
 }
 
 type node struct {
-	name    string
-	m       *Machine
-	up      bool
-	stalled bool
-	waiting []func() // messages of a stalled process
-	changed time.Duration
-	last    Record
+	name        string
+	m           *Machine
+	up          bool
+	stalled     bool
+	queued      []func() // messages that arrived while the process was stalled
+	upChangedAt time.Duration
+	lastRecord  Record
 }
 
 func newFleet(seed uint64, voters, followers int) *fleet {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
-	crypto.Reader = rand.NewChaCha8(key) // from which the log draws the times of its elections
+	crypto.Reader = rand.NewChaCha8(key) // Raft draws its random election timeouts from it
 	f := &fleet{net: virtual.New(seed, 1000*time.Hour), nodes: map[string]*node{}, cuts: map[[2]string]bool{},
-		contents: map[[2]uint64]string{}, passed: map[[2]uint64]time.Duration{}, foundeds: map[uint64]bool{}}
+		contents: map[[2]uint64]string{}, supersededAt: map[[2]uint64]time.Duration{},
+		agreedGenerations: map[uint64]bool{}}
 	f.net.Cut = func(a, b string) bool { return f.cuts[[2]string{a, b}] }
 	for i := range voters + followers {
 		name := string(rune('a'+i)) + "1"
-		f.order = append(f.order, name)
+		f.names = append(f.names, name)
 		if i < voters {
 			f.voters = append(f.voters, name)
 		}
-		f.nodes[name] = &node{name: name, changed: -time.Hour}
+		f.nodes[name] = &node{name: name, upChangedAt: -time.Hour}
 	}
-	for _, name := range f.order {
+	for _, name := range f.names {
 		f.start(name)
 		f.net.After(time.Duration(f.net.Rand.IntN(100))*time.Millisecond, func() { f.tick(name) })
 	}
@@ -78,9 +80,9 @@
 	if n.up {
 		return
 	}
-	f.lives++
-	life := f.lives
-	if f.sameLife {
+	f.lastLife++
+	life := f.lastLife
+	if f.reuseLife {
 		life = 1
 	}
 	set := Config{Name: name, Life: life, Voters: f.voters, Lease: lease, Hold: hold,
@@ -88,31 +90,32 @@
 	if f.noLease {
 		set.Lease = time.Hour
 	}
-	n.m, n.up, n.changed, n.last = New(set, f.net.Now()), true, f.net.Now(), Record{}
+	n.m, n.up, n.upChangedAt, n.lastRecord = New(set, f.net.Now()), true, f.net.Now(), Record{}
 }
 
 func (f *fleet) crash(name string) {
 	n := f.nodes[name]
-	n.up, n.stalled, n.waiting, n.changed = false, false, nil, f.net.Now()
+	n.up, n.stalled, n.queued, n.upChangedAt = false, false, nil, f.net.Now()
 }
 
-// tick is a process's own timer: it goes on at its own pace while the process runs.
+// tick runs a process's timer, which goes on through crashes and stalls.
 func (f *fleet) tick(name string) {
 	n := f.nodes[name]
 	f.net.After(Tick, func() { f.tick(name) })
 	if n.up && !n.stalled {
-		n.m.Peers(f.sees(n))
+		n.m.Peers(f.membersSeenBy(n))
 		n.m.Tick(f.net.Now())
-		f.after(n)
+		f.sendAndCheck(n)
 	}
 }
 
-// sees is the membership as it looks from a member: three seconds late, like a real one.
-func (f *fleet) sees(n *node) []Peer {
+// membersSeenBy returns the membership as a member sees it: a crash is noticed three seconds late, as with
+// a real failure detector.
+func (f *fleet) membersSeenBy(n *node) []Peer {
 	var all []Peer
-	for _, name := range f.order {
+	for _, name := range f.names {
 		o := f.nodes[name]
-		old := f.net.Now()-o.changed > 3*time.Second
+		old := f.net.Now()-o.upChangedAt > 3*time.Second
 		alive := o.up || !old
 		if f.cuts[[2]string{name, n.name}] || f.cuts[[2]string{n.name, name}] {
 			alive = false
@@ -122,76 +125,80 @@
 	return all
 }
 
-// after sends what a machine has to say and looks at what it knows.
-func (f *fleet) after(n *node) {
+// sendAndCheck sends the queued messages of a machine and checks the invariants.
+func (f *fleet) sendAndCheck(n *node) {
 	for _, msg := range n.m.Take() {
 		to, from := f.nodes[msg.To], n.name
-		f.net.Send(from, msg.To, func() { f.arrive(to, from, msg.Data) })
+		f.net.Send(from, msg.To, func() { f.deliver(to, from, msg.Data) })
 	}
 	if err := n.m.Err(); err != nil {
-		f.wrong = n.name + ": " + err.Error()
+		f.violation = n.name + ": " + err.Error()
 	}
-	f.look(n)
+	f.checkInvariants(n)
 }
 
-func (f *fleet) arrive(to *node, from string, data []byte) {
+func (f *fleet) deliver(to *node, from string, data []byte) {
 	if !to.up {
 		return
 	}
 	if to.stalled {
-		to.waiting = append(to.waiting, func() { f.arrive(to, from, data) })
+		to.queued = append(to.queued, func() { f.deliver(to, from, data) })
 		return
 	}
 	if err := to.m.Step(f.net.Now(), from, data); err != nil {
-		f.wrong = err.Error()
+		f.violation = err.Error()
 	}
-	f.after(to)
+	f.sendAndCheck(to)
 }
 
-func (f *fleet) goOn(name string) {
+func (f *fleet) resume(name string) {
 	n := f.nodes[name]
 	n.stalled = false
-	waiting := n.waiting
-	n.waiting = nil
+	waiting := n.queued
+	n.queued = nil
 	for _, w := range waiting {
 		w()
 	}
 }
 
-// look checks what must hold at any time.
-func (f *fleet) look(n *node) {
+// checkInvariants checks what must be true at any time: one record per generation and epoch, no member goes
+// back to an older record, and no superseded record counts as agreed for longer than the lease.
+func (f *fleet) checkInvariants(n *node) {
 	r := n.m.Record()
-	if key := [2]uint64{r.Generation, r.Epoch}; n.last.Epoch != r.Epoch || n.last.Generation != r.Generation {
+	if key := [2]uint64{r.Generation, r.Epoch}; n.lastRecord.Epoch != r.Epoch ||
+		n.lastRecord.Generation != r.Generation {
 		text, _ := json.Marshal(r)
 		if old, ok := f.contents[key]; ok && old != string(text) {
-			f.wrong = fmt.Sprintf("two records of generation %d, epoch %d:\n%s\n%s", key[0], key[1], old, text)
+			f.violation = fmt.Sprintf("two records of generation %d, epoch %d:\n%s\n%s", key[0], key[1], old,
+				text)
 		}
 		f.contents[key] = string(text)
 		for old := range f.contents {
-			if _, known := f.passed[old]; !known && r.Newer(&Record{Generation: old[0], Epoch: old[1]}) {
-				f.passed[old] = f.net.Now()
+			if _, known := f.supersededAt[old]; !known &&
+				r.Newer(&Record{Generation: old[0], Epoch: old[1]}) {
+				f.supersededAt[old] = f.net.Now()
 			}
 		}
 	}
-	if n.last.Newer(r) {
-		f.wrong = fmt.Sprintf("%s went back from epoch %d to %d", n.name, n.last.Epoch, r.Epoch)
+	if n.lastRecord.Newer(r) {
+		f.violation = fmt.Sprintf("%s went back from epoch %d to %d", n.name, n.lastRecord.Epoch, r.Epoch)
 	}
-	n.last = *r
+	n.lastRecord = *r
 	if n.m.Standing(f.net.Now()) == Agreed {
-		f.foundeds[r.Generation] = true
-		if r.Newer(&f.most) {
-			f.most = *r
+		f.agreedGenerations[r.Generation] = true
+		if r.Newer(&f.newestAgreed) {
+			f.newestAgreed = *r
 		}
 	}
-	// What has been replaced must not count as agreed for longer than the lease.
-	for _, name := range f.order {
+	// A superseded record must not count as agreed for longer than the lease.
+	for _, name := range f.names {
 		o := f.nodes[name]
 		if !o.up || o.stalled || o.m.Standing(f.net.Now()) != Agreed {
 			continue
 		}
 		r := o.m.Record()
-		if at, ok := f.passed[[2]uint64{r.Generation, r.Epoch}]; ok && f.net.Now()-at > lease {
-			f.wrong = fmt.Sprintf("%s counts epoch %d as agreed %v after it was replaced", name, r.Epoch,
+		if at, ok := f.supersededAt[[2]uint64{r.Generation, r.Epoch}]; ok && f.net.Now()-at > lease {
+			f.violation = fmt.Sprintf("%s counts epoch %d as agreed %v after it was replaced", name, r.Epoch,
 				f.net.Now()-at)
 		}
 	}
@@ -205,22 +212,25 @@
 		id := strconv.Itoa(number)
 		n.m.Propose(f.net.Now(), Change{ID: id, Key: "k", Base: n.m.Record().Entries["k"].Epoch,
 			Value: json.RawMessage(id), By: name})
-		f.after(n)
+		f.sendAndCheck(n)
 	}
 }
 
-// spare reports that the voters that remember still have a majority without one. Who has come back counts
-// once a leader has taken it in.
-func (f *fleet) spare(name string) bool {
+// majorityWithout reports whether the group keeps a majority of voters with their state if name crashes. A
+// restarted voter counts once the leader has added it.
+func (f *fleet) majorityWithout(name string) bool {
 	in := 0
-	for _, lead := range f.order {
+	for _, lead := range f.names {
 		if m := f.nodes[lead].m; f.nodes[lead].up && m.Leads(f.net.Now()) {
 			in = 0
 			for _, v := range f.voters {
-				// One that has not heard how the voters changed would still wait for those who are gone.
+				// A voter that has not received the latest configuration would still wait for removed
+				// voters.
 				g := f.nodes[v].m.group
-				if v != name && f.nodes[v].up && g != nil && g.conf.Equivalent(m.group.conf) == nil &&
-					slices.Contains(g.conf.GetVoters(), g.id) && len(g.conf.GetVotersOutgoing()) == 0 {
+				if v != name && f.nodes[v].up && g != nil &&
+					g.confState.Equivalent(m.group.confState) == nil &&
+					slices.Contains(g.confState.GetVoters(), g.id) &&
+					len(g.confState.GetVotersOutgoing()) == 0 {
 					in++
 				}
 			}
@@ -229,40 +239,42 @@
 	return in > len(f.voters)/2
 }
 
-// settle mends all, and wants one record agreed by all soon after.
-func (f *fleet) settle() string {
+// healAndCheck ends all faults and returns an error text unless all members have the same agreed record 20
+// s later.
+func (f *fleet) healAndCheck() string {
 	clear(f.cuts)
 	f.net.Loss, f.net.Delay = 0, time.Millisecond
-	for _, name := range f.order {
+	for _, name := range f.names {
 		f.start(name)
 		if f.nodes[name].stalled {
-			f.goOn(name)
+			f.resume(name)
 		}
 	}
 	f.run(20 * time.Second)
-	first := f.nodes[f.order[0]].m.Record()
-	for _, name := range f.order {
+	first := f.nodes[f.names[0]].m.Record()
+	for _, name := range f.names {
 		m := f.nodes[name].m
 		if s := m.Standing(f.net.Now()); s != Agreed {
-			return fmt.Sprintf("%s is %v 20 s after all is well", name, s)
+			return fmt.Sprintf("%s is %v 20 s after all faults ended", name, s)
 		}
 		if r := m.Record(); r.Epoch != first.Epoch || r.Generation != first.Generation {
-			return fmt.Sprintf("%s has epoch %d of %d, %s has %d of %d", name, r.Epoch, r.Generation, f.order[0],
-				first.Epoch, first.Generation)
+			return fmt.Sprintf("%s has epoch %d of %d, %s has %d of %d", name, r.Epoch, r.Generation,
+				f.names[0], first.Epoch, first.Generation)
 		}
 	}
 	return ""
 }
 
-// explore plays drawn troubles. Unless all may die together, only a minority of voters is down at any time.
-func explore(f *fleet, steps int, together bool, draw func(n int, what string) int) string {
+// injectFaults injects faults chosen by draw and returns the first violation, or "". Unless allAtOnce is
+// set, only a minority of voters is down at any time.
+func injectFaults(f *fleet, steps int, allAtOnce bool, draw func(n int, what string) int) string {
 	f.run(5 * time.Second)
 	for i := range steps {
-		name := f.order[draw(len(f.order), "who")]
+		name := f.names[draw(len(f.names), "who")]
 		n := f.nodes[name]
 		switch draw(9, "what") {
 		case 0:
-			if n.up && (together || !slices.Contains(f.voters, name) || f.spare(name)) {
+			if n.up && (allAtOnce || !slices.Contains(f.voters, name) || f.majorityWithout(name)) {
 				f.crash(name)
 			}
 		case 1:
@@ -273,10 +285,10 @@
 			n.stalled = n.up
 		case 3:
 			if n.stalled {
-				f.goOn(name)
+				f.resume(name)
 			}
 		case 4:
-			f.cuts[[2]string{name, f.order[draw(len(f.order), "from")]}] = true
+			f.cuts[[2]string{name, f.names[draw(len(f.names), "from")]}] = true
 		case 5:
 			clear(f.cuts)
 		case 6:
@@ -286,27 +298,28 @@
 			f.propose(name, i)
 		}
 		f.run(time.Duration(1+draw(40, "for")) * Tick)
-		if f.wrong != "" {
-			return f.wrong
+		if f.violation != "" {
+			return f.violation
 		}
 	}
-	if wrong := f.settle(); wrong != "" {
+	if wrong := f.healAndCheck(); wrong != "" {
 		return wrong
 	}
-	if f.wrong != "" {
-		return f.wrong
+	if f.violation != "" {
+		return f.violation
 	}
-	now := f.nodes[f.order[0]].m.Record()
-	if !together && (len(f.foundeds) != 1 || f.most.Newer(now)) {
-		return fmt.Sprintf("%d generations with a majority of voters always there; epoch %d was agreed, %d is",
-			len(f.foundeds), f.most.Epoch, now.Epoch)
+	now := f.nodes[f.names[0]].m.Record()
+	if !allAtOnce && (len(f.agreedGenerations) != 1 || f.newestAgreed.Newer(now)) {
+		return fmt.Sprintf("%d generations with a majority always up; epoch %d was agreed, now %d is",
+			len(f.agreedGenerations), f.newestAgreed.Epoch, now.Epoch)
 	}
 	return ""
 }
 
-// What is agreed stays agreed, whatever crashes, stalls and cuts there are.
-func TestDecisionsHoldThroughTroubles(t *testing.T) {
-	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" { // the same verdict each time
+// An agreed change must never be lost or contradicted, whatever processes crash or stall and whatever links
+// are cut.
+func TestAgreementSurvivesFaults(t *testing.T) {
+	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" { // reproducible by default
 		f.Value.Set("1")
 		flag.Set("rapid.checks", "25")
 	}
@@ -314,7 +327,7 @@
 		t.Run(fmt.Sprint("together=", together), func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
 				f := newFleet(rapid.Uint64().Draw(rt, "seed"), rapid.IntRange(1, 2).Draw(rt, "voters")*2+1, 2)
-				wrong := explore(f, 25, together, func(n int, what string) int {
+				wrong := injectFaults(f, 25, together, func(n int, what string) int {
 					return rapid.IntRange(0, n-1).Draw(rt, what)
 				})
 				if wrong != "" {
@@ -325,11 +338,12 @@
 	}
 }
 
-// A voter that comes back without its memory under its old number, or a word that never goes stale, is found.
+// The checks must find two injected defects: a voter that restarts without its state under its old ID, and
+// a lease that never expires.
 func TestSeededDefectsAreFound(t *testing.T) {
-	for name, spoil := range map[string]func(*fleet){
-		"votes again after a restart": func(f *fleet) { f.sameLife = true },
-		"words never go stale":        func(f *fleet) { f.noLease = true },
+	for name, injectDefect := range map[string]func(*fleet){
+		"voter ID reused after a restart": func(f *fleet) { f.reuseLife = true },
+		"lease never expires":             func(f *fleet) { f.noLease = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(300) {
@@ -337,22 +351,24 @@
 				f := &fleet{}
 				func() {
 					defer func() {
-						if p := recover(); p != nil { // the log itself finds a vote that was given twice
-							f.wrong = fmt.Sprint(p)
+						if p := recover(); p != nil { // Raft panics when a voter votes twice
+							f.violation = fmt.Sprint(p)
 						}
 					}()
 					f = newFleet(seed, 3, 1)
-					spoil(f)
-					for _, name := range f.order { // begun before the defect
+					injectDefect(f)
+					for _, name := range f.names { // discard the machines created before the defect
 						f.crash(name)
 						f.start(name)
 					}
-					if wrong := explore(f, 25, false, func(n int, _ string) int { return rng.IntN(n) }); wrong != "" {
-						f.wrong = wrong
+					if wrong := injectFaults(f, 25, false, func(n int, _ string) int {
+						return rng.IntN(n)
+					}); wrong != "" {
+						f.violation = wrong
 					}
 				}()
-				if f.wrong != "" {
-					t.Logf("seed %d: %.200s", seed, f.wrong)
+				if f.violation != "" {
+					t.Logf("seed %d: %.200s", seed, f.violation)
 					return
 				}
 			}
@@ -361,8 +377,8 @@
 	}
 }
 
-// Of three voters two are gone for good: nothing is decided until staff say so, and then what was agreed
-// holds.
+// Two of three voters are permanently lost: nothing may be decided until an operator calls Recover, and
+// then the agreed changes must still be there.
 func TestRecoverAfterTheMajorityIsLost(t *testing.T) {
 	f := newFleet(4, 3, 2)
 	f.run(5 * time.Second)
@@ -378,10 +394,10 @@
 	f.propose("c1", 2)
 	f.run(time.Minute)
 	if s := c.Standing(f.net.Now()); s != Lapsed || string(c.Record().Entries["k"].Value) != "1" {
-		t.Errorf("%v, %s: want it lapsed, and nothing decided", s, c.Record().Entries["k"].Value)
+		t.Errorf("%v, %s: want lapsed, and no change decided", s, c.Record().Entries["k"].Value)
 	}
 	if err := f.nodes["d1"].m.Recover(); err == nil {
-		t.Error("one who is no voter recovers")
+		t.Error("Recover succeeded on a member that is not a voter")
 	}
 	if err := c.Recover(); err != nil {
 		t.Fatal(err)
@@ -390,23 +406,23 @@
 	for _, name := range []string{"c1", "d1", "e1"} {
 		m := f.nodes[name].m
 		if s := m.Standing(f.net.Now()); s != Agreed || string(m.Record().Entries["k"].Value) != "2" {
-			t.Errorf("%s: %v, %s: want the change that waited", name, s, m.Record().Entries["k"].Value)
+			t.Errorf("%s: %v, %s: want the pending change applied", name, s, m.Record().Entries["k"].Value)
 		}
 	}
 	if err := c.Recover(); err == nil {
-		t.Error("recovered with a leader there")
+		t.Error("Recover succeeded although there is a leader")
 	}
 	f.start("a1")
 	f.run(10 * time.Second)
-	if n := len(c.group.conf.GetVoters()); n != 2 {
-		t.Errorf("%d voters after one came back, want 2", n)
+	if n := len(c.group.confState.GetVoters()); n != 2 {
+		t.Errorf("%d voters after one restarted, want 2", n)
 	}
-	if wrong := f.settle(); wrong != "" || f.wrong != "" {
-		t.Error(wrong, f.wrong)
+	if wrong := f.healAndCheck(); wrong != "" || f.violation != "" {
+		t.Error(wrong, f.violation)
 	}
 }
 
-// What can't be read, is too long or is of a later version changes nothing.
+// Messages that are unreadable, too long or of a later version must not make the machine panic.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte(`{"k":"raft","g":1,"r":"AAAA"}`))
 	f.Add([]byte(`{"k":"beat","g":99999999999999,"e":5,"t":1,"rec":{"generation":1},"led":true}`))
--- a/fleet/common/group.go
+++ b/fleet/common/group.go
@@ -10,126 +10,131 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Times of the log, in ticks.
+// Raft timing in ticks, and the number of applied entries between two compactions of the log.
 const (
-	heartbeatTicks = 3
-	electionTicks  = 10 // without a leader before a voter stands, at the least; twice that at the most
-	compactAfter   = 256
+	heartbeatTicks      = 3
+	electionTicks       = 10 // minimum without a leader before an election; at most twice that
+	compactAfterEntries = 256
 )
 
-// group is this member's part in one group of voters: its log, and the record that follows from it.
+// group is this member's replica in one group of voters: its Raft log and the record that results from it.
 type group struct {
-	generation uint64
-	id         uint64
-	node       *raft.RawNode
-	store      *raft.MemoryStorage
-	names      map[uint64]string // of all voters that the group has had
-	conf       *raftpb.ConfState
-	record     *Record
-	applied    uint64
-	compacted  uint64
-	snaps      map[uint64]int // ticks until a voter that was sent all is tried again
+	generation    uint64
+	id            uint64
+	node          *raft.RawNode
+	store         *raft.MemoryStorage
+	voterNames    map[uint64]string // by voter ID, for every voter that the group has ever had
+	confState     *raftpb.ConfState
+	record        *Record
+	applied       uint64
+	compacted     uint64
+	snapshotTicks map[uint64]int // per voter: ticks until a sent snapshot is reported as finished
 }
 
-// state is what a snapshot of the log holds.
-type state struct {
+// snapshotState is the content of a snapshot of the log.
+type snapshotState struct {
 	Record *Record           `json:"record"`
 	Names  map[uint64]string `json:"names"`
 }
 
-// newGroup begins with a state that all founders have, or with none, as a voter that is yet to be told all.
-func newGroup(generation, id uint64, begin *state, log raft.Logger) (*group, error) {
-	g := &group{generation: generation, id: id, store: raft.NewMemoryStorage(), names: map[uint64]string{},
-		snaps: map[uint64]int{}, conf: &raftpb.ConfState{}, record: &Record{Generation: generation}}
-	if begin != nil {
+// newGroup creates a group from an initial state that all founders share. A nil state creates an empty
+// replica, which receives its state from the leader.
+func newGroup(generation, id uint64, initial *snapshotState, log raft.Logger) (*group, error) {
+	g := &group{generation: generation, id: id, store: raft.NewMemoryStorage(),
+		voterNames: map[uint64]string{}, snapshotTicks: map[uint64]int{}, confState: &raftpb.ConfState{},
+		record: &Record{Generation: generation}}
+	if initial != nil {
 		var voters []uint64
-		for voter := range begin.Names {
+		for voter := range initial.Names {
 			voters = append(voters, voter)
 		}
-		data, err := json.Marshal(begin)
+		data, err := json.Marshal(initial)
 		if err != nil {
-			return nil, fmt.Errorf("the group's first state: %w", err)
+			return nil, fmt.Errorf("initial state of the group: %w", err)
 		}
 		first := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1),
 			Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: voters}}}
 		if err := g.store.ApplySnapshot(first); err != nil {
-			return nil, fmt.Errorf("the group's first state: %w", err)
+			return nil, fmt.Errorf("initial state of the group: %w", err)
 		}
 		if err := g.restore(first); err != nil {
 			return nil, err
 		}
 	}
-	node, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
-		Storage: g.store, Applied: g.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 16,
+	node, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks,
+		HeartbeatTick: heartbeatTicks, Storage: g.store, Applied: g.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 16,
 		MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true, Logger: log,
 		DisableProposalForwarding: true})
 	if err != nil {
-		return nil, fmt.Errorf("the group's log: %w", err)
+		return nil, fmt.Errorf("creating the Raft node of the group: %w", err)
 	}
 	g.node = node
 	return g, nil
 }
 
-// works reports that a majority of the group has agreed on something in it, if only on its first leader.
-func (g *group) works() bool { return g.applied > 1 }
+// hasCommitted reports whether the group has committed an entry, even if it is only the first, empty entry
+// of its first leader.
+func (g *group) hasCommitted() bool { return g.applied > 1 }
 
-// voters are the sets of voters of which each takes a majority.
-func (g *group) voters() [][]uint64 {
-	sets := [][]uint64{g.conf.GetVoters()}
-	if out := g.conf.GetVotersOutgoing(); len(out) > 0 {
+// voterSets returns the sets of voters, each of which needs a majority. There are two sets while a
+// configuration change is in progress.
+func (g *group) voterSets() [][]uint64 {
+	sets := [][]uint64{g.confState.GetVoters()}
+	if out := g.confState.GetVotersOutgoing(); len(out) > 0 {
 		sets = append(sets, out)
 	}
 	return sets
 }
 
-// restore goes by a snapshot.
+// restore replaces the state of the group by a snapshot.
 func (g *group) restore(s *raftpb.Snapshot) error {
-	var st state
+	var st snapshotState
 	if err := json.Unmarshal(s.GetData(), &st); err != nil {
-		return fmt.Errorf("snapshot of the log: %w", err)
+		return fmt.Errorf("snapshot of the Raft log: %w", err)
 	}
-	g.record, g.names, g.conf = st.Record, st.Names, s.GetMetadata().GetConfState()
+	g.record, g.voterNames, g.confState = st.Record, st.Names, s.GetMetadata().GetConfState()
 	g.applied = s.GetMetadata().GetIndex()
 	g.compacted = g.applied
 	return nil
 }
 
-// apply takes an entry that is agreed.
+// apply applies a committed entry.
 func (g *group) apply(e *raftpb.Entry) error {
 	g.applied = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryNormal:
-		if len(e.GetData()) == 0 { // a leader's first
+		if len(e.GetData()) == 0 { // the first entry of a leader is empty
 			return nil
 		}
 		var c Change
 		if err := json.Unmarshal(e.GetData(), &c); err != nil {
-			return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
+			return fmt.Errorf("entry %d of the Raft log: %w", e.GetIndex(), err)
 		}
-		g.record = g.record.with(c)
+		g.record = g.record.withChange(c)
 	case raftpb.EntryConfChangeV2:
 		cc := &raftpb.ConfChangeV2{}
 		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-			return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
+			return fmt.Errorf("entry %d of the Raft log: %w", e.GetIndex(), err)
 		}
 		if len(cc.GetContext()) > 0 {
 			added := map[uint64]string{}
 			if err := json.Unmarshal(cc.GetContext(), &added); err != nil {
-				return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
+				return fmt.Errorf("entry %d of the Raft log: %w", e.GetIndex(), err)
 			}
 			for id, name := range added {
-				g.names[id] = name
+				g.voterNames[id] = name
 			}
 		}
-		g.conf = g.node.ApplyConfChange(cc)
-		return g.snapshot() // a voter that is new takes only one that names it
+		g.confState = g.node.ApplyConfChange(cc)
+		return g.createSnapshot() // a new voter accepts only a snapshot whose configuration includes it
 	}
 	return nil
 }
 
-// farthest is the record as it would be with all that this voter's log holds, agreed or not. It has all that
-// was ever agreed by a majority that this voter was of.
-func (g *group) farthest() *Record {
+// recordWithUncommitted returns the record that results from applying the whole log of this voter,
+// including entries that are not known to be committed. It contains every change that was committed by a
+// majority that included this voter.
+func (g *group) recordWithUncommitted() *Record {
 	r := g.record
 	last, err := g.store.LastIndex()
 	if err != nil || last <= g.applied {
@@ -141,43 +146,47 @@
 	}
 	for _, e := range entries {
 		var c Change
-		if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 && json.Unmarshal(e.GetData(), &c) == nil {
-			r = r.with(c)
+		if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 &&
+			json.Unmarshal(e.GetData(), &c) == nil {
+			r = r.withChange(c)
 		}
 	}
 	return r
 }
 
-// snapshot has the log's state as it is now go to those who need all of it.
-func (g *group) snapshot() error {
-	data, err := json.Marshal(state{g.record, g.names})
+// createSnapshot stores the present state as the log's snapshot, which Raft sends to voters that lack
+// compacted entries.
+func (g *group) createSnapshot() error {
+	data, err := json.Marshal(snapshotState{g.record, g.voterNames})
 	if err != nil {
-		return fmt.Errorf("snapshot of the log: %w", err)
+		return fmt.Errorf("snapshot of the Raft log: %w", err)
 	}
-	_, err = g.store.CreateSnapshot(g.applied, g.conf, data)
+	_, err = g.store.CreateSnapshot(g.applied, g.confState, data)
 	if err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-		return fmt.Errorf("snapshot of the log: %w", err)
+		return fmt.Errorf("snapshot of the Raft log: %w", err)
 	}
 	return nil
 }
 
-// compact drops the part of the log that a snapshot stands for.
+// compact creates a snapshot and drops log entries that it covers, once compactAfterEntries entries were
+// applied since the last compaction.
 func (g *group) compact() error {
-	if g.applied-g.compacted < compactAfter {
+	if g.applied-g.compacted < compactAfterEntries {
 		return nil
 	}
-	if err := g.snapshot(); err != nil {
+	if err := g.createSnapshot(); err != nil {
 		return err
 	}
-	if err := g.store.Compact(g.applied - compactAfter/4); err != nil {
-		return fmt.Errorf("compacting the log: %w", err)
+	if err := g.store.Compact(g.applied - compactAfterEntries/4); err != nil {
+		return fmt.Errorf("compacting the Raft log: %w", err)
 	}
 	g.compacted = g.applied
 	return nil
 }
 
-// replace proposes that another life of a name votes in place of an earlier one; 0: of none.
-func (g *group) replace(old, id uint64, name string) error {
+// proposeReplacement proposes a configuration change that adds voter id, an incarnation of name, and
+// removes voter old. If old is 0, no voter is removed.
+func (g *group) proposeReplacement(old, id uint64, name string) error {
 	context, err := json.Marshal(map[uint64]string{id: name})
 	if err != nil {
 		return err
@@ -190,13 +199,14 @@
 	return g.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: context, Changes: changes})
 }
 
-// tick moves the log's timers on.
+// tick advances the Raft timers. It reports a snapshot as finished some ticks after it was sent, so that
+// Raft resumes replication to that voter.
 func (g *group) tick() {
 	g.node.Tick()
-	for id, left := range g.snaps {
-		if g.snaps[id] = left - 1; left <= 1 {
-			delete(g.snaps, id)
-			g.node.ReportSnapshot(id, raft.SnapshotFinish) // whether it arrived shows by what the voter says next
+	for id, left := range g.snapshotTicks {
+		if g.snapshotTicks[id] = left - 1; left <= 1 {
+			delete(g.snapshotTicks, id)
+			g.node.ReportSnapshot(id, raft.SnapshotFinish) // the voter's next response shows if it arrived
 		}
 	}
 }
--- a/fleet/common/machine.go
+++ b/fleet/common/machine.go
@@ -13,145 +13,148 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Peer is a member as this one sees it now.
+// Peer is the state of a member in this member's view of the membership.
 type Peer struct {
 	Name  string
-	Life  uint64 // unlike that of any other start of the same name
+	Life  uint64 // random incarnation number, different at each start of the same name
 	Alive bool
 }
 
-// Config is what a Machine goes by. All members have the same, but for Name and Life.
+// Config configures a Machine. All members must have the same values, except for Name and Life.
 type Config struct {
 	Name   string
 	Life   uint64
-	Voters []string      // names; with an even number no more failures are borne than with one less
-	Lease  time.Duration // for which a leader's word counts as agreed, by its own time of it
-	Hold   time.Duration // for which it holds after that, without a majority
-	Beat   time.Duration // between a leader's words
-	Log    raft.Logger   // may be nil
+	Voters []string      // names; an even number tolerates no more failures than one voter fewer
+	Lease  time.Duration // how long a record counts as agreed after its last confirmation was requested
+	Hold   time.Duration // how long the record stays in use after the lease expired without a majority
+	Beat   time.Duration // interval of the leader's heartbeats
+	Log    raft.Logger   // nil discards the log
 }
 
-// Tick is the time between two calls of Machine.Tick.
+// Tick is the interval at which Machine.Tick must be called.
 const Tick = 100 * time.Millisecond
 
-// Other times of the machine.
+// Timeouts and intervals of the machine.
 const (
-	stuckAfter  = 3 * time.Second // without a leader: an election takes 2 s at the most
-	answersFor  = time.Second     // that a founder waits for
-	replaceRest = time.Second     // between two changes of voters
-	againAfter  = 500 * time.Millisecond
-	newsFor     = time.Second // after a change, for which the leader's word has the record with it
+	leaderTimeout         = 3 * time.Second // time without a leader; an election takes at most 2 s
+	answerTimeout         = time.Second     // how long a forced recovery waits for answers of other voters
+	voterChangeInterval   = time.Second     // minimum time between two changes of voters
+	proposalRetryInterval = 500 * time.Millisecond
+	recordAttachPeriod    = time.Second // how long heartbeats include the record after it changed
 )
 
-// shortMost is what still goes along in one datagram, in bytes.
-const shortMost = 900
+// maxAttachedRecordBytes is the maximum size of a record that is included in a heartbeat, so that it fits
+// in one datagram.
+const maxAttachedRecordBytes = 900
 
-// Standing says how far a member may go by its record.
+// Standing says whether a member may still rely on its record.
 type Standing int
 
-// The kinds of Standing.
+// Values of Standing.
 const (
-	Unknown Standing = iota // never heard of a record
-	Agreed                  // a majority stood behind it within the lease
-	Held                    // not any more; it holds all the same for a while
-	Lapsed                  // each for itself
+	Unknown Standing = iota // no record was received yet
+	Agreed                  // a majority confirmed the record within the lease
+	Held                    // the lease has expired; the record stays in use for Config.Hold
+	Lapsed                  // the hold time has expired too; members act independently
 )
 
 func (s Standing) String() string { return [...]string{"unknown", "agreed", "held", "lapsed"}[s] }
 
-// proposal is a change of this member's own that has not ended.
+// proposal is a change proposed by this member whose result is not known yet.
 type proposal struct {
 	change Change
-	sent   time.Duration
+	sentAt time.Duration
 }
 
-// Machine is one member's part in the common record. It is for one goroutine.
+// Machine is one member's state machine for the common record. It is not safe for concurrent use.
 type Machine struct {
-	c     Config
-	voter bool
-	now   time.Duration // Unix time
-	begun time.Duration
-
-	peers   map[string]Peer
-	record  *Record       // best known
-	changed time.Duration // when this member took it
-	short   *Record       // the record, if it is short enough to go along with the leader's word; else nil
-	fresh   time.Duration // a majority stood behind it then
-	leader  string        // as last heard
-	led     time.Duration // when this member last heard of a leader
-
-	kept     *Record // see reserve
-	group    *group  // nil until this member has a part in one
-	lastBeat time.Duration
-	replaced time.Duration
-	pending  map[string]*proposal
-	asked    time.Duration // when this member began to found; 0: it does not
-	answers  map[string]*envelope
-	recover  bool      // see Recover
-	founded  *envelope // what it told founders, until the group works
-
-	out  []Message
-	errs []error
-}
-
-// New returns a machine that begins at a Unix time.
+	c         Config
+	voter     bool
+	now       time.Duration // latest time passed in, as Unix time
+	startedAt time.Duration
+
+	peers           map[string]Peer
+	record          *Record       // newest known
+	recordChangedAt time.Duration // when this member adopted the record
+	attachedRecord  *Record       // the record if small enough for heartbeats, otherwise nil
+	confirmedAt     time.Duration // time of the last known confirmation by a majority
+	leader          string        // name of the last known leader
+	leaderHeardAt   time.Duration // when the last message of a leader arrived; 0: never
+
+	reservedRecord *Record              // saved by reserveRecord for founding a group
+	group          *group               // nil if this member is in no group
+	lastConfirmAt  time.Duration        // when the last confirmation was requested
+	voterChangedAt time.Duration        // when a voter change was last proposed
+	pending        map[string]*proposal // own changes without a result, by ID
+	foundingSince  time.Duration        // when this member started founding a group; 0: not founding
+	answers        map[string]*envelope // to kindQuery, by name
+	forceRecovery  bool                 // an operator called Recover
+	foundMessage   *envelope            // sent to the other founders until the group has a leader
+
+	outgoing []Message
+	errs     []error
+}
+
+// New returns a machine whose time starts at now, a Unix time.
 func New(c Config, now time.Duration) *Machine {
 	if c.Log == nil {
-		c.Log = silent{}
+		c.Log = discardLogger{}
 	}
-	return &Machine{c: c, voter: slices.Contains(c.Voters, c.Name), now: now, begun: now,
+	return &Machine{c: c, voter: slices.Contains(c.Voters, c.Name), now: now, startedAt: now,
 		peers: map[string]Peer{}, record: &Record{}, pending: map[string]*proposal{},
 		answers: map[string]*envelope{}}
 }
 
-// Take returns the messages to send since the last call.
+// Take returns the messages queued for sending since the last call.
 func (m *Machine) Take() []Message {
-	out := m.out
-	m.out = nil
+	out := m.outgoing
+	m.outgoing = nil
 	return out
 }
 
-// Err returns what went wrong inside since the last call: it takes none of the service, but staff should
-// know.
+// Err returns the internal errors since the last call. They don't stop the machine, but they should be
+// logged.
 func (m *Machine) Err() error {
 	err := errors.Join(m.errs...)
 	m.errs = nil
 	return err
 }
 
-// Life is this member's present life: members are to be told when it changes.
+// Life returns the present incarnation of this member. The caller must announce it to the other members
+// when it changes.
 func (m *Machine) Life() uint64 { return m.c.Life }
 
-// Record is what is agreed, as far as this member knows. It must not be changed.
+// Record returns the newest record that this member knows. The caller must not modify it.
 func (m *Machine) Record() *Record { return m.record }
 
-// Standing says how far the record may be gone by.
+// Standing returns whether the record may be relied on at the given time.
 func (m *Machine) Standing(now time.Duration) Standing {
 	switch {
 	case m.record.Generation == 0:
 		return Unknown
-	case now < m.fresh+m.c.Lease:
+	case now < m.confirmedAt+m.c.Lease:
 		return Agreed
-	case now < m.fresh+m.c.Lease+m.c.Hold:
+	case now < m.confirmedAt+m.c.Lease+m.c.Hold:
 		return Held
 	}
 	return Lapsed
 }
 
-// Fresh is the last time at which a majority is known to have stood behind the record, as Unix time.
-func (m *Machine) Fresh() time.Duration { return m.fresh }
+// Fresh returns the time at which a majority last confirmed the record, as far as this member knows, as
+// Unix time.
+func (m *Machine) Fresh() time.Duration { return m.confirmedAt }
 
-// Leader is the leader's name as far as known.
+// Leader returns the name of the last known leader, or "" if there was none.
 func (m *Machine) Leader() string { return m.leader }
 
-// Leads reports whether this member leads, with a majority behind it within the lease.
-func (m *Machine) Leads(now time.Duration) bool { return m.leads() && now < m.fresh+m.c.Lease }
+// Leads reports whether this member is the leader and was confirmed by a majority within the lease.
+func (m *Machine) Leads(now time.Duration) bool { return m.isLeader() && now < m.confirmedAt+m.c.Lease }
 
-func (m *Machine) leads() bool {
+func (m *Machine) isLeader() bool {
 	return m.group != nil && m.group.node.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Peers tells who the members are, as the membership sees them.
+// Peers replaces the list of members by the present view of the membership.
 func (m *Machine) Peers(list []Peer) {
 	clear(m.peers)
 	for _, p := range list {
@@ -160,93 +163,96 @@
 	m.peers[m.c.Name] = Peer{m.c.Name, m.c.Life, true}
 }
 
-// Propose has a change decided. How it ended is in Record().Done, once it has.
+// Propose submits a change to the leader, repeatedly until its result is known. Record().Done then returns
+// the result.
 func (m *Machine) Propose(now time.Duration, c Change) {
 	m.now = max(m.now, now)
 	m.pending[c.ID] = &proposal{change: c}
-	m.push()
-	m.work()
+	m.sendProposals()
+	m.processReady()
 }
 
-// Waiting is how many changes of this member's own have not ended.
+// Waiting returns the number of changes proposed by this member whose result is not known yet.
 func (m *Machine) Waiting() int { return len(m.pending) }
 
-// Forget gives up a change: it may still be taken, if it is under way.
+// Forget stops proposing a change. The change may still be applied if it was already sent.
 func (m *Machine) Forget(id string) { delete(m.pending, id) }
 
-// Tick moves the machine's timers on. It is to be called every Tick.
+// Tick advances the timers of the machine. It must be called once per Tick interval.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = max(m.now, now)
 	if m.group != nil {
 		m.group.tick()
 	}
-	m.push()
-	m.confirm(false)
-	m.found()
-	m.reconcile()
-	m.work()
+	m.sendProposals()
+	m.requestConfirmation(false)
+	m.foundIfNeeded()
+	m.reconcileVoters()
+	m.processReady()
 }
 
-// Step takes a message of a member. A message that can't be read is an error, and changes nothing.
+// Step processes a message from a member. A message that can't be decoded returns an error and changes
+// nothing.
 func (m *Machine) Step(now time.Duration, from string, data []byte) error {
 	m.now = max(m.now, now)
 	e, err := decode(data)
 	if err != nil {
-		return fmt.Errorf("message of %s: %w", from, err)
+		return fmt.Errorf("message from %s: %w", from, err)
 	}
 	switch e.Kind {
 	case kindRaft:
 		err = m.stepRaft(from, e)
 	case kindBeat:
-		m.beat(from, e)
+		m.handleBeat(from, e)
 	case kindPull:
 		if m.record.Newer(&Record{Generation: e.Generation, Epoch: e.Epoch}) {
 			m.send(from, &envelope{Kind: kindBeat, Generation: m.record.Generation, Epoch: m.record.Epoch,
-				At: int64(m.fresh), Record: m.record})
+				ConfirmedAt: int64(m.confirmedAt), Record: m.record})
 		}
 	case kindPropose:
-		if e.Change != nil && m.leads() {
-			m.offer(*e.Change)
+		if e.Change != nil && m.isLeader() {
+			m.appendChange(*e.Change)
 		}
-	case kindAsk:
-		m.tell(from)
-	case kindTell:
-		if m.asked > 0 {
+	case kindQuery:
+		m.sendAnswer(from)
+	case kindAnswer:
+		if m.foundingSince > 0 {
 			m.answers[from] = e
 		}
 	case kindFound:
-		m.join(e)
-	default: // of a later version
+		m.joinGroup(e)
+	default: // unknown kind, from a later version: ignored
 	}
 	if err != nil {
-		return fmt.Errorf("message of %s: %w", from, err)
+		return fmt.Errorf("message from %s: %w", from, err)
 	}
-	m.work()
+	m.processReady()
 	return nil
 }
 
 func (m *Machine) send(to string, e *envelope) {
 	e.Life = m.c.Life
-	m.out = append(m.out, Message{to, e.encode()})
+	m.outgoing = append(m.outgoing, Message{to, e.encode()})
 }
 
-func (m *Machine) fault(err error) {
+func (m *Machine) addError(err error) {
 	if err != nil && len(m.errs) < 16 {
 		m.errs = append(m.errs, err)
 	}
 }
 
-// stepRaft takes a message of the log. A voter that the group has taken in begins with it.
+// stepRaft processes a Raft message. A message of a later group than this member's makes it join that group
+// with an empty log: the group has added this member as a voter.
 func (m *Machine) stepRaft(from string, e *envelope) error {
 	msg := &raftpb.Message{}
 	if err := proto.Unmarshal(e.Raft, msg); err != nil {
 		return err
 	}
 	if msg.GetTo() != voterID(m.c.Name, m.c.Life) || msg.GetFrom() != voterID(from, e.Life) {
-		return nil // for or from an earlier life
+		return nil // to or from an earlier incarnation
 	}
 	if m.group == nil || m.group.generation < e.Generation {
-		m.reserve()
+		m.reserveRecord()
 		g, err := newGroup(e.Generation, msg.GetTo(), nil, m.c.Log)
 		if err != nil {
 			return err
@@ -256,7 +262,7 @@
 	if m.group.generation > e.Generation {
 		return nil
 	}
-	m.group.names[msg.GetFrom()] = from
+	m.group.voterNames[msg.GetFrom()] = from
 	if err := m.group.node.Step(msg); err != nil && !errors.Is(err, raft.ErrStepPeerNotFound) &&
 		!errors.Is(err, raft.ErrProposalDropped) {
 		return err
@@ -264,63 +270,65 @@
 	switch msg.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.group.node.BasicStatus().Lead == msg.GetFrom() {
-			m.led = m.now
+			m.leaderHeardAt = m.now
 		}
 	}
 	return nil
 }
 
-// work carries out what the log has to do: keep, send, apply.
-func (m *Machine) work() {
+// processReady does the pending work of the Raft node: it stores entries, sends messages and applies
+// committed entries.
+func (m *Machine) processReady() {
 	g := m.group
 	for g != nil && g.node.HasReady() {
 		rd := g.node.Ready()
-		if err := m.ready(g, rd); err != nil {
-			m.fault(err)
-			m.relive() // a log that can't be read is none; the group takes this voter in anew
+		if err := m.handleReady(g, rd); err != nil {
+			m.addError(err)
+			m.newIncarnation() // unreadable log: the group adds this voter again under a new ID
 			return
 		}
 		g.node.Advance(rd)
-		m.fault(g.compact())
-		if g.works() && g.record.Newer(m.record) {
-			m.adopt(g.record)
+		m.addError(g.compact())
+		if g.hasCommitted() && g.record.Newer(m.record) {
+			m.adoptRecord(g.record)
 		}
 	}
 }
 
-// relive has this voter forget its part in a group, as a process does that starts again: it votes no more
-// as who it was, and the group that works takes it in as another.
-func (m *Machine) relive() {
-	m.reserve()
+// newIncarnation drops this voter's group state and changes its incarnation, as a restart of the process
+// would. It no longer votes under its old ID, and a working group adds it as a new voter.
+func (m *Machine) newIncarnation() {
+	m.reserveRecord()
 	m.group = nil
 	m.c.Life = m.c.Life*6364136223846793005 + 1442695040888963407
 	m.peers[m.c.Name] = Peer{m.c.Name, m.c.Life, true}
 }
 
-// reserve keeps what this voter's log holds beyond what is agreed, for a group that may be founded later.
-func (m *Machine) reserve() {
-	if m.group != nil && m.group.works() {
-		if far := m.group.farthest(); far.Newer(m.best()) {
-			m.kept = far
+// reserveRecord saves the record with the uncommitted entries of this voter's log, in case a new group has
+// to be founded from it.
+func (m *Machine) reserveRecord() {
+	if m.group != nil && m.group.hasCommitted() {
+		if far := m.group.recordWithUncommitted(); far.Newer(m.bestRecord()) {
+			m.reservedRecord = far
 		}
 	}
 }
 
-// best is the best record that this member could begin a new group with.
-func (m *Machine) best() *Record {
+// bestRecord returns the newest record from which this member could found a new group.
+func (m *Machine) bestRecord() *Record {
 	best := m.record
-	if m.kept != nil && m.kept.Newer(best) {
-		best = m.kept
+	if m.reservedRecord != nil && m.reservedRecord.Newer(best) {
+		best = m.reservedRecord
 	}
-	if m.group != nil && m.group.works() {
-		if far := m.group.farthest(); far.Newer(best) {
+	if m.group != nil && m.group.hasCommitted() {
+		if far := m.group.recordWithUncommitted(); far.Newer(best) {
 			best = far
 		}
 	}
 	return best
 }
 
-func (m *Machine) ready(g *group, rd raft.Ready) error {
+func (m *Machine) handleReady(g *group, rd raft.Ready) error {
 	if rd.HardState != nil {
 		if err := g.store.SetHardState(rd.HardState); err != nil {
 			return err
@@ -347,70 +355,74 @@
 	}
 	for _, r := range rd.ReadStates {
 		var at time.Duration
-		if err := json.Unmarshal(r.RequestCtx, &at); err == nil && m.leads() {
-			m.confirmed(at)
+		if err := json.Unmarshal(r.RequestCtx, &at); err == nil && m.isLeader() {
+			m.handleConfirmation(at)
 		}
 	}
 	return nil
 }
 
 func (m *Machine) sendRaft(g *group, msg *raftpb.Message) {
-	name, known := g.names[msg.GetTo()]
+	name, known := g.voterNames[msg.GetTo()]
 	if !known {
 		return
 	}
 	data, err := proto.Marshal(msg)
 	if err != nil {
-		m.fault(err)
+		m.addError(err)
 		return
 	}
 	m.send(name, &envelope{Kind: kindRaft, Generation: g.generation, Raft: data})
 	if msg.GetType() == raftpb.MsgSnap {
-		g.snaps[msg.GetTo()] = electionTicks / 2
+		g.snapshotTicks[msg.GetTo()] = electionTicks / 2
 	}
 }
 
-// adopt goes by a record that counts over the one so far.
-func (m *Machine) adopt(r *Record) {
+// adoptRecord makes a newer record the current one, and ends the proposals whose results it contains.
+func (m *Machine) adoptRecord(r *Record) {
 	old := m.record.Epoch
-	m.record, m.changed, m.short = r, m.now, nil
-	if data, err := json.Marshal(r); err == nil && len(data) <= shortMost {
-		m.short = r
+	m.record, m.recordChangedAt, m.attachedRecord = r, m.now, nil
+	if data, err := json.Marshal(r); err == nil && len(data) <= maxAttachedRecordBytes {
+		m.attachedRecord = r
 	}
 	for id := range m.pending {
 		if _, done := r.Done(id); done {
 			delete(m.pending, id)
 		}
 	}
-	if r.Epoch != old && m.leads() {
-		m.confirm(true)
+	if r.Epoch != old && m.isLeader() {
+		m.requestConfirmation(true)
 	}
 }
 
-// confirm asks a majority whether this member still leads; what it then says counts from when it asked.
-func (m *Machine) confirm(at bool) {
-	if !m.leads() || !at && m.now-m.lastBeat < m.c.Beat {
+// requestConfirmation asks a majority of voters to confirm that this member is still the leader. A
+// confirmation counts from the time of the request. Unless immediate is set, requests are sent at most once
+// per Config.Beat.
+func (m *Machine) requestConfirmation(immediate bool) {
+	if !m.isLeader() || !immediate && m.now-m.lastConfirmAt < m.c.Beat {
 		return
 	}
-	m.lastBeat = m.now
+	m.lastConfirmAt = m.now
 	context, err := json.Marshal(m.now)
 	if err != nil {
-		m.fault(err)
+		m.addError(err)
 		return
 	}
 	m.group.node.ReadIndex(context)
 }
 
-// confirmed tells all members of the record, a majority standing behind this leader.
-func (m *Machine) confirmed(at time.Duration) {
+// handleConfirmation is called when a majority has confirmed a request sent at time at. It sends a
+// heartbeat to all live members, with the record if it changed recently and is small enough.
+func (m *Machine) handleConfirmation(at time.Duration) {
 	g := m.group
 	if g.record.Newer(m.record) {
-		m.adopt(g.record)
+		m.adoptRecord(g.record)
 	}
-	m.fresh, m.led, m.leader, m.founded = max(m.fresh, at), m.now, m.c.Name, nil
-	e := &envelope{Kind: kindBeat, Generation: g.generation, Epoch: g.record.Epoch, At: int64(at), Led: true}
-	if m.now-m.changed < newsFor {
-		e.Record = m.short
+	m.confirmedAt, m.leaderHeardAt, m.leader, m.foundMessage = max(m.confirmedAt, at), m.now, m.c.Name, nil
+	e := &envelope{Kind: kindBeat, Generation: g.generation, Epoch: g.record.Epoch, ConfirmedAt: int64(at),
+		HasLeader: true}
+	if m.now-m.recordChangedAt < recordAttachPeriod {
+		e.Record = m.attachedRecord
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.peers)) {
 		if m.peers[name].Alive && name != m.c.Name {
@@ -419,56 +431,57 @@
 	}
 }
 
-// beat takes a leader's word, or a record that was pulled.
-func (m *Machine) beat(from string, e *envelope) {
-	said := &Record{Generation: e.Generation, Epoch: e.Epoch}
-	if m.record.Newer(said) { // an old leader's, or late
+// handleBeat processes a heartbeat of a leader, or a record that was requested with kindPull.
+func (m *Machine) handleBeat(from string, e *envelope) {
+	received := &Record{Generation: e.Generation, Epoch: e.Epoch}
+	if m.record.Newer(received) { // from a superseded leader, or delayed
 		return
 	}
-	if e.Led {
-		m.leader, m.led = from, m.now
+	if e.HasLeader {
+		m.leader, m.leaderHeardAt = from, m.now
 		switch g := m.group; {
 		case g != nil && g.generation < e.Generation:
-			// Both groups take a majority of the same names, and a name has a part in one at a time: the earlier
-			// one can't decide any more.
-			m.reserve()
+			// Both groups need a majority of the same names, and a name is in one group at a time: the
+			// earlier group can no longer commit anything.
+			m.reserveRecord()
 			m.group = nil
-		case g != nil && g.generation > e.Generation: // its founding came to nothing
-			m.relive()
+		case g != nil && g.generation > e.Generation: // the later group never elected a leader
+			m.newIncarnation()
 		}
 	}
-	if said.Newer(m.record) {
+	if received.Newer(m.record) {
 		if e.Record == nil {
 			m.send(from, &envelope{Kind: kindPull, Generation: m.record.Generation, Epoch: m.record.Epoch})
 			return
 		}
-		m.adopt(e.Record)
+		m.adoptRecord(e.Record)
 	}
-	// A time ahead of this member's own clock would make the word last longer than its lease.
-	m.fresh = max(m.fresh, min(time.Duration(e.At), m.now))
+	// A time that is later than this member's clock would extend the lease.
+	m.confirmedAt = max(m.confirmedAt, min(time.Duration(e.ConfirmedAt), m.now))
 }
 
-// push hands on this member's proposals, again and again until they have ended.
-func (m *Machine) push() {
+// sendProposals sends this member's pending proposals to the leader, every proposalRetryInterval until
+// their results are known.
+func (m *Machine) sendProposals() {
 	for _, id := range slices.Sorted(maps.Keys(m.pending)) {
 		p := m.pending[id]
-		if p.sent > 0 && m.now-p.sent < againAfter {
+		if p.sentAt > 0 && m.now-p.sentAt < proposalRetryInterval {
 			continue
 		}
 		switch {
-		case m.leads():
-			m.offer(p.change)
+		case m.isLeader():
+			m.appendChange(p.change)
 		case m.leader != "" && m.leader != m.c.Name:
 			m.send(m.leader, &envelope{Kind: kindPropose, Change: &p.change})
 		default:
 			continue
 		}
-		p.sent = m.now
+		p.sentAt = m.now
 	}
 }
 
-// offer puts a change into the log.
-func (m *Machine) offer(c Change) {
+// appendChange proposes a change to the Raft log. The caller must be the leader.
+func (m *Machine) appendChange(c Change) {
 	if _, done := m.group.record.Done(c.ID); done {
 		return
 	}
@@ -476,111 +489,120 @@
 	if err == nil {
 		err = m.group.node.Propose(data)
 	}
-	if err != nil && !errors.Is(err, raft.ErrProposalDropped) { // its proposer comes again
-		m.fault(err)
+	if err != nil && !errors.Is(err, raft.ErrProposalDropped) { // the proposer retries a dropped proposal
+		m.addError(err)
 	}
 }
 
-// reconcile has a name's present life vote in place of an earlier one, which is dead: a name lives once. A
-// name that was away when the group was founded is taken in.
-func (m *Machine) reconcile() {
+// reconcileVoters replaces one voter whose process has restarted by its present incarnation: a name has
+// only one live process, so the earlier incarnation is dead. It also adds a configured voter that was
+// absent when the group was founded. It makes one change at a time.
+func (m *Machine) reconcileVoters() {
 	g := m.group
-	if !m.leads() || m.now-m.replaced < replaceRest || len(g.conf.GetVotersOutgoing()) > 0 {
+	if !m.isLeader() || m.now-m.voterChangedAt < voterChangeInterval ||
+		len(g.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	for _, name := range m.c.Voters {
 		p := m.peers[name]
 		id := voterID(name, p.Life)
-		if !p.Alive || slices.Contains(g.conf.GetVoters(), id) {
+		if !p.Alive || slices.Contains(g.confState.GetVoters(), id) {
 			continue
 		}
 		var old uint64
-		for _, voter := range g.conf.GetVoters() {
-			if g.names[voter] == name {
+		for _, voter := range g.confState.GetVoters() {
+			if g.voterNames[voter] == name {
 				old = voter
 			}
 		}
-		m.replaced = m.now
-		if err := g.replace(old, id, name); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-			m.fault(err)
+		m.voterChangedAt = m.now
+		if err := g.proposeReplacement(old, id, name); err != nil &&
+			!errors.Is(err, raft.ErrProposalDropped) {
+			m.addError(err)
 		}
 		return
 	}
 }
 
-// stuck reports that no leader has been heard of for so long that there can be no majority of the group.
-func (m *Machine) stuck() bool { return m.now-max(m.led, m.begun) > stuckAfter }
+// leaderMissing reports whether no leader has been heard from for leaderTimeout, which is long enough to
+// conclude that the group has no majority.
+func (m *Machine) leaderMissing() bool {
+	return m.now-max(m.leaderHeardAt, m.startedAt) > leaderTimeout
+}
 
-// found makes a new group where none works: at the first start, and after so many voters came back without
-// their memory that the old one has no majority. The first living voter does it, once all names have
-// answered, with the best record that any of them has: one that does not answer might be the only one that
-// knows what was last agreed. Then only staff can say that it is gone: see Recover.
-func (m *Machine) found() {
-	if !m.voter || !m.stuck() && !m.early() {
-		m.asked, m.founded = 0, nil
+// foundIfNeeded founds a new group if no group has a leader: at the first start, and after so many voters
+// restarted, and so lost their state, that the old group has no majority. The first live voter in the
+// configured order does it, once all voters have answered, with the newest record that any of them has: a
+// voter that does not answer might be the only one that knows the last committed change. In that case only
+// an operator can declare it lost, see Recover.
+func (m *Machine) foundIfNeeded() {
+	if !m.voter || !m.leaderMissing() && !m.isFirstStart() {
+		m.foundingSince, m.foundMessage = 0, nil
 		return
 	}
-	if m.founded != nil {
-		if m.now-m.asked > stuckAfter { // it does not work either
-			m.asked, m.founded = 0, nil
+	if m.foundMessage != nil {
+		if m.now-m.foundingSince > leaderTimeout { // the new group has elected no leader either
+			m.foundingSince, m.foundMessage = 0, nil
 		} else {
-			m.invite()
+			m.sendFoundMessages()
 		}
 		return
 	}
 	for _, name := range m.c.Voters {
-		if m.peers[name].Alive && !m.recover {
+		if m.peers[name].Alive && !m.forceRecovery {
 			if name != m.c.Name {
-				m.asked = 0
+				m.foundingSince = 0
 				return
 			}
 			break
 		}
 	}
-	if m.asked == 0 {
-		m.asked = m.now
+	if m.foundingSince == 0 {
+		m.foundingSince = m.now
 		clear(m.answers)
 	}
-	heard := 1
+	answered := 1
 	for _, name := range m.c.Voters {
 		a := m.answers[name]
-		if a != nil && a.Led { // a leader there is, only not heard here
-			m.asked = 0
+		if a != nil && a.HasLeader { // another voter hears a leader that this one does not
+			m.foundingSince = 0
 			return
 		}
 		if a != nil && a.Life == m.peers[name].Life {
-			heard++
+			answered++
 		}
 		if name != m.c.Name && m.peers[name].Alive {
-			m.send(name, &envelope{Kind: kindAsk})
+			m.send(name, &envelope{Kind: kindQuery})
 		}
 	}
 	switch {
-	case m.mayElect():
-	case heard == len(m.c.Voters) || m.recover && m.now-m.asked > answersFor:
-		m.begin()
+	case m.canElect():
+	case answered == len(m.c.Voters) || m.forceRecovery && m.now-m.foundingSince > answerTimeout:
+		m.foundGroup()
 	}
 }
 
-// Recover is staff's word that voters who don't answer are gone for good: the next group is founded
-// without them. Were they alive elsewhere, two groups would decide at once, each for those that hear it.
+// Recover is called when an operator declares that the voters that don't answer are permanently lost: the
+// next group is founded without them. If they were still running elsewhere, two groups would commit changes
+// independently, each for the members that it reaches.
 func (m *Machine) Recover() error {
 	if !m.voter {
-		return fmt.Errorf("%s is no voter: want one of %v", m.c.Name, m.c.Voters)
+		return fmt.Errorf("%s is not a voter; the voters are %v", m.c.Name, m.c.Voters)
 	}
-	if !m.stuck() {
-		return errors.New("a leader was heard of within the last seconds: nothing is lost")
+	if !m.leaderMissing() {
+		return errors.New("a leader was heard from within the last seconds: no recovery is needed")
 	}
-	m.recover = true
+	m.forceRecovery = true
 	return nil
 }
 
-// mayElect reports that a group still has a majority among those who have answered: it will find a leader.
-func (m *Machine) mayElect() bool {
+// canElect reports whether some group still has a majority among the voters that have answered: that group
+// will elect a leader by itself.
+func (m *Machine) canElect() bool {
 	here := map[uint64]bool{voterID(m.c.Name, m.c.Life): true}
 	var groups [][][]uint64
 	if m.group != nil {
-		groups = append(groups, m.group.voters())
+		groups = append(groups, m.group.voterSets())
 	}
 	for name, a := range m.answers {
 		here[voterID(name, a.Life)] = true
@@ -599,10 +621,12 @@
 	})
 }
 
-// early reports that nobody has any record yet and all voters are there: the first start need not wait.
-func (m *Machine) early() bool {
+// isFirstStart reports whether this member has no record and no group and all voters are alive: the first
+// start does not wait for leaderTimeout. Once a record or group exists, it reports whether this member is
+// founding a group.
+func (m *Machine) isFirstStart() bool {
 	if m.record.Generation > 0 || m.group != nil {
-		return m.founded != nil
+		return m.foundMessage != nil
 	}
 	for _, name := range m.c.Voters {
 		if !m.peers[name].Alive {
@@ -612,22 +636,23 @@
 	return true
 }
 
-// tell answers one who would found a group.
-func (m *Machine) tell(to string) {
-	e := &envelope{Kind: kindTell, Generation: m.record.Generation, Led: m.led > 0 && !m.stuck()}
+// sendAnswer answers a kindQuery message of a voter that wants to found a group.
+func (m *Machine) sendAnswer(to string) {
+	e := &envelope{Kind: kindAnswer, Generation: m.record.Generation,
+		HasLeader: m.leaderHeardAt > 0 && !m.leaderMissing()}
 	if m.group != nil {
 		e.Generation = max(e.Generation, m.group.generation)
-		e.Voters = m.group.voters()
+		e.Voters = m.group.voterSets()
 	}
-	if best := m.best(); best.Generation > 0 {
+	if best := m.bestRecord(); best.Generation > 0 {
 		e.Record = best
 	}
 	m.send(to, e)
 }
 
-// begin founds a group of those who have answered.
-func (m *Machine) begin() {
-	best, last := m.best(), m.record.Generation
+// foundGroup founds a group of the voters that have answered, with the newest record among them.
+func (m *Machine) foundGroup() {
+	best, last := m.bestRecord(), m.record.Generation
 	if m.group != nil {
 		last = max(last, m.group.generation)
 	}
@@ -642,67 +667,69 @@
 		}
 	}
 	lives[m.c.Name] = m.c.Life
-	// Generations are by the time, with the founder's place, so that no two are alike.
+	// A generation is made of the time and, in the lowest 4 bits, the index of the founder, so that no two
+	// are equal.
 	place := uint64(slices.Index(m.c.Voters, m.c.Name))
 	generation := max(uint64(m.now.Milliseconds())<<4, last+16)&^15 | place
 	record := *best
 	record.Generation, record.Epoch = generation, best.Epoch+1
 	e := &envelope{Kind: kindFound, Generation: generation, Lives: lives, Record: &record}
-	m.recover = false
-	m.join(e)
+	m.forceRecovery = false
+	m.joinGroup(e)
 	if m.group != nil && m.group.generation == generation {
-		m.founded = e
-		m.asked = m.now
-		m.invite()
+		m.foundMessage = e
+		m.foundingSince = m.now
+		m.sendFoundMessages()
 	}
 }
 
-// invite tells the founders of the group, until it works.
-func (m *Machine) invite() {
+// sendFoundMessages sends the foundation message to the other founders. It is repeated until the group has
+// a leader.
+func (m *Machine) sendFoundMessages() {
 	for _, name := range m.c.Voters {
-		if name != m.c.Name && m.founded.Lives[name] != 0 { // who was not there is taken in later
-			m.send(name, m.founded)
+		if name != m.c.Name && m.foundMessage.Lives[name] != 0 { // voters that were absent are added later
+			m.send(name, m.foundMessage)
 		}
 	}
 }
 
-// join takes part in a group that is being founded, unless a leader is near or this member has a part in a
-// later one.
-func (m *Machine) join(e *envelope) {
+// joinGroup joins a group that is being founded, unless this member has recently heard from a leader or is
+// in a later group.
+func (m *Machine) joinGroup(e *envelope) {
 	if e.Record == nil || e.Lives[m.c.Name] != m.c.Life ||
 		m.group != nil && m.group.generation >= e.Generation ||
-		m.record.Generation >= e.Generation || m.led > 0 && !m.stuck() {
+		m.record.Generation >= e.Generation || m.leaderHeardAt > 0 && !m.leaderMissing() {
 		return
 	}
-	begin := &state{Record: e.Record, Names: map[uint64]string{}}
+	initial := &snapshotState{Record: e.Record, Names: map[uint64]string{}}
 	for name, life := range e.Lives {
-		begin.Names[voterID(name, life)] = name
+		initial.Names[voterID(name, life)] = name
 	}
-	m.reserve()
-	g, err := newGroup(e.Generation, voterID(m.c.Name, m.c.Life), begin, m.c.Log)
+	m.reserveRecord()
+	g, err := newGroup(e.Generation, voterID(m.c.Name, m.c.Life), initial, m.c.Log)
 	if err != nil {
-		m.fault(err)
+		m.addError(err)
 		return
 	}
 	m.group = g
 }
 
-// silent is a raft.Logger that says nothing: what matters shows in the record's standing.
-type silent struct{}
+// discardLogger is a raft.Logger that discards everything: problems show in the Standing of the record.
+type discardLogger struct{}
 
-func (silent) Debug(...any)            {}
-func (silent) Debugf(string, ...any)   {}
-func (silent) Error(...any)            {}
-func (silent) Errorf(string, ...any)   {}
-func (silent) Info(...any)             {}
-func (silent) Infof(string, ...any)    {}
-func (silent) Warning(...any)          {}
-func (silent) Warningf(string, ...any) {}
-func (silent) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...any) {
+func (discardLogger) Debug(...any)            {}
+func (discardLogger) Debugf(string, ...any)   {}
+func (discardLogger) Error(...any)            {}
+func (discardLogger) Errorf(string, ...any)   {}
+func (discardLogger) Info(...any)             {}
+func (discardLogger) Infof(string, ...any)    {}
+func (discardLogger) Warning(...any)          {}
+func (discardLogger) Warningf(string, ...any) {}
+func (discardLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (silent) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...any) {
+func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
--- a/fleet/common/wire.go
+++ b/fleet/common/wire.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Message is for a member, by name.
+// Message is an encoded message to the member with the name To.
 type Message struct {
 	To   string
 	Data []byte
@@ -16,46 +16,46 @@
 
 // Kinds of messages.
 const (
-	kindRaft    = "raft"    // of the voters' log
-	kindBeat    = "beat"    // the leader's word to all, with a majority behind it
-	kindPull    = "pull"    // asks for the whole record
-	kindPropose = "propose" // a change, to the leader
-	kindAsk     = "ask"     // what do you know? by one who would found a group
-	kindTell    = "tell"    // its answer
-	kindFound   = "found"   // be of this group
+	kindRaft    = "raft"    // Raft message between voters
+	kindBeat    = "beat"    // heartbeat of a leader that a majority has confirmed, or a reply to kindPull
+	kindPull    = "pull"    // request for the whole record
+	kindPropose = "propose" // a proposed change, to the leader
+	kindQuery   = "ask"     // query for the state of a voter, by one that wants to found a group
+	kindAnswer  = "tell"    // answer to kindQuery
+	kindFound   = "found"   // request to join a group that is being founded
 )
 
-// messageMost is the longest message that is read, in bytes.
-const messageMost = 1 << 20
+// maxMessageBytes is the maximum size of a message that is decoded.
+const maxMessageBytes = 1 << 20
 
-// envelope is a message on the wire. What a version does not know is passed over.
+// envelope is the JSON form of a message. Unknown fields are ignored, so that versions can be mixed.
 type envelope struct {
-	Kind       string            `json:"k"`
-	Generation uint64            `json:"g,omitempty"`
-	Life       uint64            `json:"l,omitempty"` // the sender's
-	Raft       []byte            `json:"r,omitempty"`
-	Epoch      uint64            `json:"e,omitempty"`
-	At         int64             `json:"t,omitempty"` // Unix nanoseconds, when a majority stood behind it
-	Record     *Record           `json:"rec,omitempty"`
-	Change     *Change           `json:"c,omitempty"`
-	Lives      map[string]uint64 `json:"v,omitempty"` // of a group's voters, by name
-	Led        bool              `json:"led,omitempty"`
-	Voters     [][]uint64        `json:"vs,omitempty"` // of the sender's group; two sets while they change
+	Kind        string            `json:"k"`
+	Generation  uint64            `json:"g,omitempty"`
+	Life        uint64            `json:"l,omitempty"` // incarnation of the sender
+	Raft        []byte            `json:"r,omitempty"`
+	Epoch       uint64            `json:"e,omitempty"`
+	ConfirmedAt int64             `json:"t,omitempty"` // Unix nanoseconds of the confirmation request
+	Record      *Record           `json:"rec,omitempty"`
+	Change      *Change           `json:"c,omitempty"`
+	Lives       map[string]uint64 `json:"v,omitempty"` // incarnation of each founder, by name
+	HasLeader   bool              `json:"led,omitempty"`
+	Voters      [][]uint64        `json:"vs,omitempty"` // of the sender's group; two sets during a change
 }
 
 func (e *envelope) encode() []byte {
 	data, err := json.Marshal(e)
-	if err != nil { // of values that were checked
-		panic(fmt.Errorf("message of kind %s: %w", e.Kind, err))
+	if err != nil { // can't happen: all values are valid JSON
+		panic(fmt.Errorf("encoding a message of kind %s: %w", e.Kind, err))
 	}
 	return data
 }
 
-var errLong = errors.New("message too long")
+var errMessageTooLong = errors.New("message too long")
 
 func decode(data []byte) (*envelope, error) {
-	if len(data) > messageMost {
-		return nil, errLong
+	if len(data) > maxMessageBytes {
+		return nil, errMessageTooLong
 	}
 	e := &envelope{}
 	if err := json.Unmarshal(data, e); err != nil {
@@ -64,8 +64,8 @@
 	return e, nil
 }
 
-// voterID is the number of a voter in the log: of one life of one name, so that a process that comes back
-// without its memory is another voter and no vote is given twice.
+// voterID returns the Raft ID of one incarnation of a name. A process that restarts without its state gets
+// a new ID, so that no voter votes twice in a term.
 func voterID(name string, life uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "/" + strconv.FormatUint(life, 16)))
