--- a/fleet/steer/steer.go
+++ b/fleet/steer/steer.go
@@ -1,5 +1,6 @@
-// Package steer is what an ingress's node goes by: its part in the common record, its reports to the
-// leader, what it decides as the leader, and what follows for its own traffic. It has no I/O and no clock.
+// Package steer decides how an ingress handles zones: it replicates the common record, reports observed
+// failures to the leader, makes the decisions if it is the leader, and derives from the agreed record what
+// this ingress does with its traffic. It does no I/O and reads no clock.
 package steer
 
 import (
@@ -13,23 +14,23 @@
 	"dunespoke/fleet/zones"
 )
 
-// The record's keys of the table of zones and of staff's orders.
+// Keys of the record: the table of zones and the operators' orders.
 const (
 	ZonesKey  = "zones"
 	OrdersKey = "orders"
 )
 
-// Times of what concerns zones.
+// Intervals and limits for reports and decisions about zones. The node calls Report every reportEvery.
 const (
-	reportEvery = 250 * time.Millisecond
-	triers      = 2               // ingresses of a zone that try a zone that is down
-	proposeFor  = 2 * time.Second // after which a table that is not decided is proposed anew
-	calmEvery   = time.Second     // between reports of one that sees no trouble
-	witnesses   = 3               // of a zone that report when they see none; others keep still
-	zonesFew    = 6               // with more of them reports are fewer, down to half: the leader reads them all
+	reportEvery        = 250 * time.Millisecond
+	probersPerZone     = 2               // ingresses of a zone that probe a zone that is down
+	proposalTimeout    = 2 * time.Second // time after which an undecided table is proposed again
+	healthyReportEvery = time.Second     // report interval of an ingress that sees no failures
+	healthyReporters   = 3               // ingresses of a zone that report although they see no failures
+	fullRateZones      = 6               // with more zones each ingress reports less often, see reportInterval
 )
 
-// reportMark begins a message that is a report: the common record's begin with a brace.
+// reportMark is the first byte of a report; messages of the common record begin with a brace.
 const reportMark = 'R'
 
 // Peer is a member with its zone.
@@ -38,91 +39,93 @@
 	Zone string
 }
 
-// Course is what an ingress does about its traffic.
+// Course says how an ingress handles its traffic.
 type Course struct {
-	Down     []string // zones of servers that get nothing new
-	Ill      bool     // it takes no clients
-	ByItself bool     // nothing is agreed or held: it goes by what it sees itself
-	Epoch    uint64   // of the decision that it follows from
-	By, Why  string   // of that
+	Down     []string // zones whose servers get no new requests
+	Ill      bool     // it reaches no zone, and accepts no clients
+	ByItself bool     // the record is neither agreed nor held: only this ingress's own observations count
+	Epoch    uint64   // epoch of the decision behind it
+	By, Why  string   // proposer of that decision and its reason
 }
 
-// Steer is one ingress's. It is for one goroutine.
+// Steer is the decision state of one ingress. It is not safe for concurrent use.
 type Steer struct {
 	*common.Machine
 	name, zone string
 
-	peers   []Peer
-	decider *zones.Decider
-	table   *zones.Table
-	epoch   uint64 // of the table
-	orders  *zones.Orders
-	ordered uint64 // their epoch
-	course  Course
-	due     time.Duration
-	sent    time.Duration // to the leader
-	since   time.Duration // when trouble began; 0: there is none
-	looked  time.Duration
-	asked   string // the change that is proposed
-	askedAt time.Duration
+	peers        []Peer
+	decider      *zones.Decider
+	table        *zones.Table
+	tableEpoch   uint64 // epoch of the table
+	orders       *zones.Orders
+	ordersEpoch  uint64 // epoch of the orders
+	course       Course
+	lastReport   time.Duration
+	lastSent     time.Duration // last report to the leader
+	failingSince time.Duration // when failures began; 0: there are none
+	lastFollow   time.Duration // when Follow last recomputed the course
+	proposalID   string        // ID of the pending change; empty if there is none
+	proposedAt   time.Duration
 
-	out  []common.Message
-	errs []error
+	outgoing []common.Message
+	errs     []error
 }
 
-// New returns one that begins at a Unix time.
+// New returns the state of an ingress in a zone, at a Unix time.
 func New(c common.Config, zone string, now time.Duration) *Steer {
 	return &Steer{Machine: common.New(c, now), name: c.Name, zone: zone, decider: zones.NewDecider(),
-		table: &zones.Table{}, orders: &zones.Orders{}, course: Course{ByItself: true}, sent: now}
+		table: &zones.Table{}, orders: &zones.Orders{}, course: Course{ByItself: true}, lastSent: now}
 }
 
-// Take returns the messages to send since the last call.
+// Take returns the messages queued for sending since the last call.
 func (s *Steer) Take() []common.Message {
-	out := append(s.Machine.Take(), s.out...)
-	s.out = nil
+	out := append(s.Machine.Take(), s.outgoing...)
+	s.outgoing = nil
 	return out
 }
 
-// Err returns what went wrong inside since the last call.
+// Err returns the internal errors since the last call.
 func (s *Steer) Err() error {
 	err := errors.Join(append(s.errs, s.Machine.Err())...)
 	s.errs = nil
 	return err
 }
 
-// Course is what to do about traffic now.
+// Course returns how traffic is handled now, as of the last call of Follow.
 func (s *Steer) Course() Course { return s.course }
 
-// Peers tells who the members are, as the membership sees them.
+// Peers replaces the list of members by the present view of the membership.
 func (s *Steer) Peers(list []Peer) {
 	s.peers = list
-	plain := make([]common.Peer, len(list))
+	members := make([]common.Peer, len(list))
 	for i, p := range list {
-		plain[i] = p.Peer
+		members[i] = p.Peer
 	}
-	s.Machine.Peers(plain)
+	s.Machine.Peers(members)
 }
 
-// Step takes a message of a member.
+// Step processes a message from a member: a report, or a message of the common record.
 func (s *Steer) Step(now time.Duration, from string, data []byte) error {
 	if len(data) == 0 || data[0] != reportMark {
 		return s.Machine.Step(now, from, data)
 	}
 	var r zones.Report
 	if err := json.Unmarshal(data[1:], &r); err != nil {
-		return fmt.Errorf("report of %s: %w", from, err)
+		return fmt.Errorf("report from %s: %w", from, err)
 	}
-	r.From = from // who is known to have sent it, whatever it says
+	r.From = from // the authenticated sender, whatever the report says
 	s.decider.Hear(now, r)
 	return nil
 }
 
-// Due reports that the ingress should report what it has seen.
-func (s *Steer) Due(now time.Duration) bool { return now-s.due >= reportEvery }
+// Due reports whether it is time to call Report.
+func (s *Steer) Due(now time.Duration) bool { return now-s.lastReport >= reportEvery }
 
-// rest is the time between two reports. In trouble the first of a zone report most often, and the others
-// less and less: it takes few to tell, but any of them may be the one that is ill.
-func (s *Steer) rest(trouble bool) time.Duration {
+// reportInterval returns the time between two reports. On failures the first ingress of a zone, by name,
+// reports most often, and the others less and less: a few reports are enough for a decision, but any of the
+// ingresses may be the unhealthy one. If none are seen, only healthyReporters ingresses of a zone report.
+// With more than fullRateZones zones the interval grows, up to double, because the leader reads all reports.
+func (s *Steer) reportInterval(failing bool) time.Duration {
 	rank, zones := 0, map[string]bool{}
 	for _, p := range s.peers {
 		if p.Alive {
@@ -132,57 +135,60 @@
 			}
 		}
 	}
-	many := min(2, max(1, float64(len(zones))/zonesFew))
+	factor := min(2, max(1, float64(len(zones))/fullRateZones))
 	switch {
-	case trouble:
-		return time.Duration(many * (1 + float64(rank)/2) * float64(reportEvery))
-	case rank < witnesses:
-		return time.Duration(many * float64(calmEvery))
+	case failing:
+		return time.Duration(factor * (1 + float64(rank)/2) * float64(reportEvery))
+	case rank < healthyReporters:
+		return time.Duration(factor * float64(healthyReportEvery))
 	}
 	return time.Hour
 }
 
-// Report tells the leader what this ingress has seen, or goes by it as the leader.
+// Report sends the observations of this ingress to the leader, if its report interval has elapsed. New
+// failures must have lasted for a quarter of the interval. If this ingress is the leader, it processes its
+// observations itself and may propose a new table.
 func (s *Steer) Report(now time.Duration, sums map[string]zones.Sum, tried map[string]bool) {
-	s.due = now
+	s.lastReport = now
 	r := zones.Report{From: s.name, Zone: s.zone, Sums: sums, Tried: tried}
 	if s.Leads(now) {
 		s.decider.Hear(now, r)
 		s.decide(now)
 		return
 	}
-	trouble := len(tried) > 0 || s.course.Ill
+	failing := len(tried) > 0 || s.course.Ill
 	for _, sum := range sums {
-		trouble = trouble || sum.Bad()
+		failing = failing || sum.Bad()
 	}
 	switch {
-	case !trouble:
-		s.since = 0
-	case s.since == 0:
-		s.since = now
+	case !failing:
+		s.failingSince = 0
+	case s.failingSince == 0:
+		s.failingSince = now
 	}
-	wait := s.rest(trouble)
-	early := now-s.sent < wait || trouble && now-s.since < wait/4
+	wait := s.reportInterval(failing)
+	early := now-s.lastSent < wait || failing && now-s.failingSince < wait/4
 	if early || s.Leader() == "" || s.Leader() == s.name {
 		return
 	}
-	s.sent = now
+	s.lastSent = now
 	data, err := json.Marshal(r)
 	if err != nil {
 		s.errs = append(s.errs, err)
 		return
 	}
-	s.out = append(s.out, common.Message{To: s.Leader(), Data: append([]byte{reportMark}, data...)})
+	s.outgoing = append(s.outgoing, common.Message{To: s.Leader(), Data: append([]byte{reportMark}, data...)})
 }
 
-// decide proposes another table, one at a time.
+// decide proposes a new table if the reports require one. Only one proposal is pending at a time, and none
+// is made while operators hold the table.
 func (s *Steer) decide(now time.Duration) {
-	if s.asked != "" {
-		if _, done := s.Record().Done(s.asked); !done && now-s.askedAt < proposeFor {
+	if s.proposalID != "" {
+		if _, done := s.Record().Done(s.proposalID); !done && now-s.proposedAt < proposalTimeout {
 			return
 		}
-		s.Forget(s.asked)
-		s.asked = ""
+		s.Forget(s.proposalID)
+		s.proposalID = ""
 	}
 	if s.orders.Held(now) {
 		return
@@ -196,45 +202,45 @@
 		s.errs = append(s.errs, err)
 		return
 	}
-	s.asked, s.askedAt = fmt.Sprintf("%s-zones-%x", s.name, now), now
-	s.Propose(now, common.Change{ID: s.asked, Key: ZonesKey, Base: s.epoch, Value: value, By: s.name, Why: why,
-		At: now.Milliseconds()})
+	s.proposalID, s.proposedAt = fmt.Sprintf("%s-zones-%x", s.name, now), now
+	s.Propose(now, common.Change{ID: s.proposalID, Key: ZonesKey, Base: s.tableEpoch, Value: value,
+		By: s.name, Why: why, At: now.Milliseconds()})
 }
 
-// Follow brings the course in line with the table and the orders that are agreed, or were and still hold, and
-// reports whether it has changed. Orders run out by the time, so that it looks again now and then.
+// Follow derives the course from the table and the orders, as long as the record is agreed or held, and
+// reports whether the course changed. Because orders expire, it is recomputed at least every reportEvery.
 func (s *Steer) Follow(now time.Duration) (changed bool) {
 	r, standing := s.Record(), s.Standing(now)
 	e, o := r.Entries[ZonesKey], r.Entries[OrdersKey]
-	alone := standing != common.Agreed && standing != common.Held
-	same := e.Epoch == s.epoch && o.Epoch == s.ordered && alone == s.course.ByItself
-	if same && now-s.looked < reportEvery {
+	independent := standing != common.Agreed && standing != common.Held
+	unchanged := e.Epoch == s.tableEpoch && o.Epoch == s.ordersEpoch && independent == s.course.ByItself
+	if unchanged && now-s.lastFollow < reportEvery {
 		return false
 	}
-	s.looked = now
-	if !same {
+	s.lastFollow = now
+	if !unchanged {
 		s.table, s.orders = &zones.Table{}, &zones.Orders{}
-		s.epoch, s.ordered = e.Epoch, o.Epoch
+		s.tableEpoch, s.ordersEpoch = e.Epoch, o.Epoch
 		if err := errors.Join(Read(e, s.table), Read(o, s.orders)); err != nil {
-			s.errs = append(s.errs, fmt.Errorf("table of zones: %w", err))
+			s.errs = append(s.errs, fmt.Errorf("decoding the table of zones and the orders: %w", err))
 		}
 	}
-	next := Course{ByItself: alone, Epoch: max(e.Epoch, o.Epoch), By: e.By, Why: e.Why}
+	next := Course{ByItself: independent, Epoch: max(e.Epoch, o.Epoch), By: e.By, Why: e.Why}
 	if o.Epoch > e.Epoch {
 		next.By, next.Why = o.By, o.Why
 	}
-	if !alone {
+	if !independent {
 		next.Down = append(s.table.Down(s.zone), s.orders.Evacuated(now)...)
 		slices.Sort(next.Down)
 		next.Down = slices.Compact(next.Down)
 		next.Ill = slices.Contains(s.table.Ill, s.name)
 	}
-	changed = !same || !slices.Equal(next.Down, s.course.Down)
+	changed = !unchanged || !slices.Equal(next.Down, s.course.Down)
 	s.course = next
 	return changed
 }
 
-// Read reads an entry of the record, if it is there.
+// Read decodes the value of an entry into the given variable, which stays as it is if the entry is absent.
 func Read(e common.Entry, into any) error {
 	if e.Epoch == 0 {
 		return nil
@@ -242,19 +248,20 @@
 	return json.Unmarshal(e.Value, into)
 }
 
-// ToTry are the zones that this ingress is to try connections to: those that are down for its zone, if it
-// is one of the first there; all of them, if it is ill.
+// ToTry returns the zones that this ingress should probe with connections: those that are down for its
+// zone, if it is among the first probersPerZone healthy ingresses of the zone. For an
+// unhealthy ingress all is true: it probes every zone.
 func (s *Steer) ToTry() (down []string, all bool) {
 	if s.course.Ill {
 		return nil, true
 	}
-	before := 0
+	healthyBefore := 0
 	for _, p := range s.peers {
 		if p.Zone == s.zone && p.Alive && p.Name < s.name && !slices.Contains(s.table.Ill, p.Name) {
-			before++
+			healthyBefore++
 		}
 	}
-	if before >= triers || s.course.ByItself {
+	if healthyBefore >= probersPerZone || s.course.ByItself {
 		return nil, false
 	}
 	return s.table.Down(s.zone), false
