--- a/fleet/zones/collect.go
+++ b/fleet/zones/collect.go
@@ -1,91 +1,92 @@
-// Package zones tells from many ingresses' reports which zones of servers can't be reached from where, and
-// decides what the fleet does about it. It has no I/O and no clock.
+// Package zones decides from the reports of many ingresses which zones of servers can't be reached from
+// which zones of ingresses, and which ingresses are unhealthy. It does no I/O and reads no clock.
 package zones
 
 import "time"
 
-// window is how far back a report reaches. It is divided into slots, so that what is old drops out bit by
-// bit.
+// window is the time that a report covers. It is divided into slots, so that old results expire gradually.
 const (
 	window = 2 * time.Second
 	slots  = 8
 )
 
-// Sum is what became of attempts to one zone within the window.
+// Sum counts the results of attempts to one zone within the window.
 type Sum struct {
-	Ended  int `json:"n"` // with an answer, or none
-	Failed int `json:"f"` // no connection, cut off, timed out, or an error
-	Row    int `json:"r"` // the last so many all failed: what fails is soon left alone
+	Ended  int `json:"n"` // attempts that ended, with or without an answer
+	Failed int `json:"f"` // of these: no connection, connection lost, timeout or error
+	Row    int `json:"r"` // current run of consecutive failures, see Collector
 }
 
-// Report is what one ingress has seen.
+// Report contains the observations of one ingress.
 type Report struct {
 	From  string          `json:"from"`
 	Zone  string          `json:"zone"`
-	Sums  map[string]Sum  `json:"sums"`            // by zone of servers
-	Tried map[string]bool `json:"tried,omitempty"` // zones it tried to connect to: did it go well?
+	Sums  map[string]Sum  `json:"sums"`            // by zone of the servers
+	Tried map[string]bool `json:"tried,omitempty"` // by probed zone: whether a connection succeeded
 }
 
-// row is how many attempts failed one after the other, and when the last did.
-type row struct {
+// failureRun is a number of consecutive failed attempts, and the time of the last one.
+type failureRun struct {
 	n    int
 	last time.Duration
 }
 
-// rowLasts is how long a row is told of, longer than the window: a zone that is silent is tried by few
-// attempts, each of which hangs.
-const rowLasts = 10 * time.Second
+// failureRunTTL is how long a failure run is reported after its last failure. It is longer than the window
+// because an unresponsive zone gets few attempts, and each of them hangs.
+const failureRunTTL = 10 * time.Second
 
-// Collector sums up one ingress's own attempts. It is for one goroutine.
+// Collector counts the attempts of one ingress. Besides the counts of the window it keeps the run of failures
+// of each zone, because a failing zone soon gets few attempts. It is not safe for concurrent use.
 type Collector struct {
-	at   time.Duration // of the slot that is being filled
-	ring [slots]map[string]Sum
-	rows map[string]row
-	last map[string]time.Duration // answers
-	from map[string]time.Duration // zones that were let in again, and when: what was sent before tells nothing
+	slotStart    time.Duration // start of the current slot
+	ring         [slots]map[string]Sum
+	failureRuns  map[string]failureRun
+	lastAnswer   map[string]time.Duration // time of the last successful answer, by zone
+	readmittedAt map[string]time.Duration // when a zone was readmitted; earlier attempts are ignored
 }
 
-// move goes on to the slot of a time.
-func (c *Collector) move(now time.Duration) {
+// advance moves the ring to the slot of the given time.
+func (c *Collector) advance(now time.Duration) {
 	step := window / slots
-	if now-c.at > 2*window {
-		c.ring, c.at = [slots]map[string]Sum{}, now
+	if now-c.slotStart > 2*window {
+		c.ring, c.slotStart = [slots]map[string]Sum{}, now
 	}
-	for now-c.at >= step {
+	for now-c.slotStart >= step {
 		copy(c.ring[1:], c.ring[:slots-1])
 		c.ring[0] = nil
-		c.at += step
+		c.slotStart += step
 	}
 }
 
-// Forget begins anew with a zone that is let in. Attempts that were sent before still end, some of them late.
+// Forget drops the results of a zone that is readmitted. Attempts that were sent before now are ignored
+// when they end, which may be late.
 func (c *Collector) Forget(now time.Duration, zone string) {
-	if c.from == nil {
-		c.from = map[string]time.Duration{}
+	if c.readmittedAt == nil {
+		c.readmittedAt = map[string]time.Duration{}
 	}
-	c.from[zone] = now
-	delete(c.rows, zone)
+	c.readmittedAt[zone] = now
+	delete(c.failureRuns, zone)
 	for _, slot := range c.ring {
 		delete(slot, zone)
 	}
 }
 
-// Ended takes the end of an attempt that took so long.
+// Ended records the end of an attempt that took the given time.
 func (c *Collector) Ended(now time.Duration, zone string, failed bool, took time.Duration) {
-	c.move(now)
-	if now-took < c.from[zone] {
+	c.advance(now)
+	if now-took < c.readmittedAt[zone] {
 		return
 	}
-	if c.rows == nil {
-		c.rows = map[string]row{}
+	if c.failureRuns == nil {
+		c.failureRuns = map[string]failureRun{}
 	}
-	c.rows[zone] = row{c.rows[zone].n + 1, now}
+	c.failureRuns[zone] = failureRun{c.failureRuns[zone].n + 1, now}
 	if !failed {
-		delete(c.rows, zone)
-		if c.last == nil {
-			c.last = map[string]time.Duration{}
+		delete(c.failureRuns, zone)
+		if c.lastAnswer == nil {
+			c.lastAnswer = map[string]time.Duration{}
 		}
-		c.last[zone] = now
+		c.lastAnswer[zone] = now
 	}
 	if c.ring[0] == nil {
 		c.ring[0] = map[string]Sum{}
@@ -98,18 +99,18 @@
 	c.ring[0][zone] = s
 }
 
-// Hung takes an attempt that is still not answered, after so long. Where nothing at all was answered
-// meanwhile the zone is silent, and the attempt counts as failed: it may hang until its client gives up. A
-// zone that answers late is not silent.
+// Hung records an attempt that has had no answer for the given time. If the zone has answered nothing at
+// all in the last half of that time, it is unresponsive and the attempt counts as failed: it might hang
+// until its client gives up. A zone that answers late is not unresponsive.
 func (c *Collector) Hung(now time.Duration, zone string, took time.Duration) {
-	if c.last[zone] < now-took/2 { // most that hang were sent a little before the last answer
+	if c.lastAnswer[zone] < now-took/2 { // most hanging attempts were sent shortly before the last answer
 		c.Ended(now, zone, true, took)
 	}
 }
 
-// Sums is what the window holds.
+// Sums returns the counts of each zone within the window, with the current failure runs.
 func (c *Collector) Sums(now time.Duration) map[string]Sum {
-	c.move(now)
+	c.advance(now)
 	all := map[string]Sum{}
 	for _, slot := range c.ring {
 		for zone, s := range slot {
@@ -117,9 +118,9 @@
 			all[zone] = Sum{Ended: a.Ended + s.Ended, Failed: a.Failed + s.Failed}
 		}
 	}
-	for zone, r := range c.rows {
-		if now-r.last > rowLasts {
-			delete(c.rows, zone)
+	for zone, r := range c.failureRuns {
+		if now-r.last > failureRunTTL {
+			delete(c.failureRuns, zone)
 			continue
 		}
 		s := all[zone]
--- a/fleet/zones/decide.go
+++ b/fleet/zones/decide.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Link is how the ingresses of one zone fare with the servers of one zone.
+// Link is the state of the connections from the ingresses of one zone to the servers of one zone.
 type Link struct {
 	Down  bool  `json:"down"`
-	Since int64 `json:"since"` // Unix milliseconds of its last change
-	Flaps int   `json:"flaps"` // times that it went down again soon after it came back
+	Since int64 `json:"since"` // Unix milliseconds of the last change
+	Flaps int   `json:"flaps"` // number of times that it went down again soon after it came up
 }
 
-// Table is what the fleet does: it is decided in common.
+// Table is the state of all links and ingresses. The fleet agrees on it.
 type Table struct {
-	Links map[string]Link `json:"links,omitempty"` // by From>To; one that is not there is up
-	Ill   []string        `json:"ill,omitempty"`   // ingresses that take no clients
+	Links map[string]Link `json:"links,omitempty"` // by Name(from, to); an absent link is up
+	Ill   []string        `json:"ill,omitempty"`   // unhealthy ingresses, which accept no clients
 }
 
-// Name is a link's.
+// Name returns the name of the link between two zones.
 func Name(from, to string) string { return from + ">" + to }
 
-// Down are the zones that the ingresses of a zone are to leave alone.
+// Down returns the zones that the ingresses of a zone must not send new requests to.
 func (t *Table) Down(from string) []string {
 	var all []string
 	for _, name := range slices.Sorted(maps.Keys(t.Links)) {
@@ -35,72 +35,85 @@
 	return all
 }
 
-// Figures of the decisions.
+// Thresholds and times of the decisions.
 const (
-	enough    = 5                // attempts that an ingress must have made to a zone for its word to count
-	badRow    = 3                // or so many that failed one after the other
-	badPart   = 0.7              // part of them that failed: the zone is down for it
-	goodPart  = 0.3              // at the most, where it is well
-	stale     = 3 * time.Second  // after which a report counts no more: the calm come every 2 s at the least
-	restFirst = 3 * time.Second  // that a link stays down at the least: longer than a report reaches back
-	restFlap  = 30 * time.Second // doubled by each flap: two changes in a minute are enough
-	restMost  = 4 * time.Minute
-	calm      = time.Minute                  // up for so long, and its flaps are forgotten
-	settleFor = stale + 500*time.Millisecond // after a link came up: until then reports may be older than that
-	illAfter  = time.Second                  // that it must look ill: one sees a zone's end before others
-	illRest   = 3 * time.Second              // that an ingress stays ill at the least
+	// A report of an ingress on a zone counts from this number of attempts on, or with badFailureRun consecutive
+	// failures.
+	minAttempts   = 5
+	badFailureRun = 3
+
+	// An ingress sees a zone as down from this share of failed attempts on, and as healthy up to the other one.
+	badFailureShare  = 0.7
+	goodFailureShare = 0.3
+
+	reportTTL = 3 * time.Second // ingresses without failures report at least every 2 s
+
+	minDowntime  = 3 * time.Second  // of a link; longer than the window of a report
+	flapDowntime = 30 * time.Second // minimum after a flap, doubled by each one: few changes in a minute
+	maxDowntime  = 4 * time.Minute
+	flapMemory   = time.Minute // a link that was up for so long has its flaps reset
+
+	// After a link came up it stays up for this time: until then reports may contain older results.
+	settleTime = reportTTL + 500*time.Millisecond
+
+	// An ingress must look unhealthy for this time, because one ingress notices the failure of a zone before the
+	// others do.
+	unhealthyAfter   = time.Second
+	minUnhealthyTime = 3 * time.Second // for which an ingress stays marked as unhealthy
 )
 
-// heard is a report and when it came.
-type heard struct {
+// receivedReport is the latest report of an ingress with what follows from its earlier reports.
+type receivedReport struct {
 	Report
-	at   time.Duration
-	good map[string]time.Duration // since when all tries of a zone have gone well
-	ill  time.Duration            // since when it looks ill; 0: it does not
+	receivedAt     time.Duration
+	reachableSince map[string]time.Duration // by zone: since when all probes of it have succeeded
+	unhealthySince time.Duration            // since when the ingress looks unhealthy; 0: it looks healthy
 }
 
-// Decider is the leader's, and that of any ingress that may become one. It is for one goroutine.
+// Decider computes the next table from the received reports. Every ingress has one, because any may become
+// the leader. It is not safe for concurrent use.
 type Decider struct {
-	reports map[string]*heard
-	ill     map[string]time.Duration // since when
+	reports        map[string]*receivedReport
+	unhealthySince map[string]time.Duration // when the ingress was marked as unhealthy
 }
 
-// NewDecider returns one that has heard nothing.
+// NewDecider returns a Decider without reports.
 func NewDecider() *Decider {
-	return &Decider{reports: map[string]*heard{}, ill: map[string]time.Duration{}}
+	return &Decider{reports: map[string]*receivedReport{}, unhealthySince: map[string]time.Duration{}}
 }
 
-// reportsMost bounds the ingresses that are heard.
-const reportsMost = 4096
+// maxReports limits the number of ingresses whose reports are kept.
+const maxReports = 4096
 
-// Hear takes a report.
+// Hear stores a report in place of the earlier one of the same ingress.
 func (d *Decider) Hear(now time.Duration, r Report) {
 	old := d.reports[r.From]
-	if old == nil && len(d.reports) >= reportsMost {
+	if old == nil && len(d.reports) >= maxReports {
 		return
 	}
-	h := &heard{Report: r, at: now, good: map[string]time.Duration{}}
+	h := &receivedReport{Report: r, receivedAt: now, reachableSince: map[string]time.Duration{}}
 	if old != nil {
-		h.ill = old.ill
+		h.unhealthySince = old.unhealthySince
 	}
-	for zone, well := range r.Tried {
-		if !well {
+	for zone, reachable := range r.Tried {
+		if !reachable {
 			continue
 		}
-		h.good[zone] = now
+		h.reachableSince[zone] = now
 		if old != nil {
-			if since, ok := old.good[zone]; ok {
-				h.good[zone] = since
+			if since, ok := old.reachableSince[zone]; ok {
+				h.reachableSince[zone] = since
 			}
 		}
 	}
 	d.reports[r.From] = h
 }
 
-// Decide returns the table that should take the place of one, and why; "" if it should stay.
+// Decide returns the table that should replace t, and the reason. If nothing should change, it returns t
+// and an empty reason.
 func (d *Decider) Decide(now time.Duration, t *Table) (*Table, string) {
 	for name, h := range d.reports {
-		if now-h.at > stale {
+		if now-h.receivedAt > reportTTL {
 			delete(d.reports, name)
 		}
 	}
@@ -109,47 +122,50 @@
 		next.Links = map[string]Link{}
 	}
 	ms := now.Milliseconds()
-	// One step at a time: the first that is found.
-	if why := d.illness(now, next); why != "" {
+	// Only the first change that is found is made; further calls find the others.
+	if why := d.updateUnhealthy(now, next); why != "" {
 		return next, why
 	}
-	for _, from := range d.zones() {
-		for _, to := range d.seen(from) {
+	for _, from := range d.reportingZones() {
+		for _, to := range d.observedZones(from) {
 			name := Name(from, to)
 			l := next.Links[name]
 			since := now - time.Duration(l.Since)*time.Millisecond
 			switch {
-			case !l.Down && (l.Since == 0 || since > settleFor) && d.bad(next, from, to):
-				if l.Since > 0 && since < calm {
+			case !l.Down && (l.Since == 0 || since > settleTime) && d.linkDown(next, from, to):
+				if l.Since > 0 && since < flapMemory {
 					l.Flaps++
 				} else {
 					l.Flaps = 0
 				}
 				next.Links[name] = Link{Down: true, Since: ms, Flaps: l.Flaps}
-				return next, fmt.Sprintf("zone %s does not answer to zone %s: %s", to, from, d.who(next, from, to))
-			case l.Down && since >= rest(l.Flaps) && d.back(now, next, from, to, rest(l.Flaps)/2):
+				return next, fmt.Sprintf("zone %s does not answer requests from zone %s: %s", to, from,
+					d.evidence(next, from, to))
+			case l.Down && since >= minDowntimeAfter(l.Flaps) &&
+				d.reachableAgain(now, next, from, to, minDowntimeAfter(l.Flaps)/2):
 				next.Links[name] = Link{Since: ms, Flaps: l.Flaps}
-				for _, h := range d.reports { // what was seen before tells nothing
+				for _, h := range d.reports { // earlier observations no longer count
 					if h.Zone == from {
 						delete(h.Sums, to)
 					}
 				}
-				return next, fmt.Sprintf("zone %s takes connections of zone %s again", to, from)
+				return next, fmt.Sprintf("zone %s accepts connections from zone %s again", to, from)
 			}
 		}
 	}
 	return t, ""
 }
 
-// rest is how long a link stays down at the least.
-func rest(flaps int) time.Duration {
+// minDowntimeAfter returns the minimum time that a link stays down after the given number of flaps.
+func minDowntimeAfter(flaps int) time.Duration {
 	if flaps == 0 {
-		return restFirst
+		return minDowntime
 	}
-	return min(restMost, restFlap<<min(flaps, 8))
+	return min(maxDowntime, flapDowntime<<min(flaps, 8))
 }
 
-func (d *Decider) zones() []string {
+// reportingZones returns the zones of the ingresses that have reported.
+func (d *Decider) reportingZones() []string {
 	all := map[string]bool{}
 	for _, h := range d.reports {
 		all[h.Zone] = true
@@ -157,8 +173,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// seen are the zones of servers that the ingresses of a zone have anything to say of.
-func (d *Decider) seen(from string) []string {
+// observedZones returns the zones of servers that reports of a zone's ingresses mention.
+func (d *Decider) observedZones(from string) []string {
 	all := map[string]bool{}
 	for _, h := range d.reports {
 		if h.Zone == from {
@@ -173,85 +189,93 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// The words of an ingress on a zone.
-func (h *heard) bad(to string) bool { return h.Sums[to].Bad() }
+// bad reports whether the ingress sees a zone as down.
+func (h *receivedReport) bad(to string) bool { return h.Sums[to].Bad() }
 
-// Bad reports that a zone is down, by this alone.
+// Bad reports whether these counts show a zone as down.
 func (s Sum) Bad() bool {
-	return s.Row >= badRow || s.Ended >= enough && float64(s.Failed) >= badPart*float64(s.Ended)
+	return s.Row >= badFailureRun || s.Ended >= minAttempts &&
+		float64(s.Failed) >= badFailureShare*float64(s.Ended)
 }
 
-func (h *heard) well(to string) bool {
+// healthy reports whether the ingress has made enough attempts to a zone and few of them failed.
+func (h *receivedReport) healthy(to string) bool {
 	s := h.Sums[to]
-	return s.Ended >= enough && s.Row < badRow && float64(s.Failed) <= goodPart*float64(s.Ended)
+	return s.Ended >= minAttempts && s.Row < badFailureRun &&
+		float64(s.Failed) <= goodFailureShare*float64(s.Ended)
 }
 
-// bad reports that more than half of a zone's ingresses that can tell, those that are ill left out, get no
-// answer from a zone. One alone is not believed unless it is alone in its zone.
-func (d *Decider) bad(t *Table, from, to string) bool {
-	bad, tell, here := 0, 0, 0
+// linkDown reports whether more than half of a zone's ingresses with enough attempts, not counting
+// unhealthy ones, see zone to as down. A single ingress is not enough, unless it is the only one that
+// reports from its zone.
+func (d *Decider) linkDown(t *Table, from, to string) bool {
+	bad, informed, reporting := 0, 0, 0
 	for name, h := range d.reports {
 		if h.Zone != from || slices.Contains(t.Ill, name) {
 			continue
 		}
-		here++
-		if h.Sums[to].Ended < enough && !h.bad(to) {
+		reporting++
+		if h.Sums[to].Ended < minAttempts && !h.bad(to) {
 			continue
 		}
-		tell++
+		informed++
 		if h.bad(to) {
 			bad++
 		}
 	}
-	return 2*bad > tell && bad >= min(2, here)
+	return 2*bad > informed && bad >= min(2, reporting)
 }
 
-// who names those by whose word a link is down.
-func (d *Decider) who(t *Table, from, to string) string {
+// evidence lists the ingresses that see a link as down, with their counts.
+func (d *Decider) evidence(t *Table, from, to string) string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(d.reports)) {
 		if h := d.reports[name]; h.Zone == from && h.bad(to) && !slices.Contains(t.Ill, name) {
-			names = append(names, fmt.Sprintf("%s %d of %d failed", name, h.Sums[to].Failed, h.Sums[to].Ended))
+			names = append(names, fmt.Sprintf("%s %d of %d failed", name, h.Sums[to].Failed,
+				h.Sums[to].Ended))
 		}
 	}
 	return strings.Join(names, ", ")
 }
 
-// back reports that whoever of a zone's ingresses tries a zone has reached it for so long, and somebody has.
-func (d *Decider) back(now time.Duration, t *Table, from, to string, long time.Duration) bool {
-	some := false
+// reachableAgain reports whether every healthy ingress of zone from that probes zone to has reached it for
+// the given time, and there is at least one.
+func (d *Decider) reachableAgain(now time.Duration, t *Table, from, to string, minTime time.Duration) bool {
+	probed := false
 	for name, h := range d.reports {
 		if _, tried := h.Tried[to]; !tried || h.Zone != from || slices.Contains(t.Ill, name) {
 			continue
 		}
-		since, well := h.good[to]
-		if !well || now-since < long {
+		since, reachable := h.reachableSince[to]
+		if !reachable || now-since < minTime {
 			return false
 		}
-		some = true
+		probed = true
 	}
-	return some
+	return probed
 }
 
-// illness finds an ingress that gets no answer from any zone while others do well with one of these, and
-// one that has recovered.
-func (d *Decider) illness(now time.Duration, next *Table) string {
+// updateUnhealthy marks an ingress as unhealthy if it gets no answer from any zone while others see one of
+// these zones as healthy, or clears the mark of one that has recovered. It makes at most one change and
+// returns the reason, or "".
+func (d *Decider) updateUnhealthy(now time.Duration, next *Table) string {
 	for _, name := range slices.Sorted(maps.Keys(d.reports)) {
 		h := d.reports[name]
 		i := slices.Index(next.Ill, name)
-		switch looks := d.isIll(next, h); {
-		case !looks:
-			h.ill = 0
-		case h.ill == 0:
-			h.ill = now
+		switch unhealthy := d.isUnhealthy(next, h); {
+		case !unhealthy:
+			h.unhealthySince = 0
+		case h.unhealthySince == 0:
+			h.unhealthySince = now
 		}
-		if i < 0 && h.ill > 0 && now-h.ill >= illAfter && 2*(len(next.Ill)+1) < len(d.reports) {
+		if i < 0 && h.unhealthySince > 0 && now-h.unhealthySince >= unhealthyAfter &&
+			2*(len(next.Ill)+1) < len(d.reports) {
 			next.Ill = append(next.Ill, name)
 			slices.Sort(next.Ill)
-			d.ill[name] = now
+			d.unhealthySince[name] = now
 			return fmt.Sprintf("ingress %s reaches no zone while others do", name)
 		}
-		if i >= 0 && now-d.ill[name] >= illRest && h.reaches(now, illRest/2) {
+		if i >= 0 && now-d.unhealthySince[name] >= minUnhealthyTime && h.reachesAll(now, minUnhealthyTime/2) {
 			next.Ill = slices.Delete(next.Ill, i, i+1)
 			return fmt.Sprintf("ingress %s reaches all zones again", name)
 		}
@@ -259,29 +283,31 @@
 	return ""
 }
 
-// reaches reports that an ingress has reached all zones that it tried for so long.
-func (h *heard) reaches(now, long time.Duration) bool {
+// reachesAll reports whether an ingress probes any zones and has reached all of them for the given time.
+func (h *receivedReport) reachesAll(now, minTime time.Duration) bool {
 	for zone := range h.Tried {
-		if since, well := h.good[zone]; !well || now-since < long {
+		if since, reachable := h.reachableSince[zone]; !reachable || now-since < minTime {
 			return false
 		}
 	}
 	return len(h.Tried) > 0
 }
 
-func (d *Decider) isIll(t *Table, h *heard) bool {
-	some, others := false, false
+// isUnhealthy reports whether an ingress sees every zone with enough attempts as down while another
+// ingress sees one of them as healthy. Links that are already down don't count.
+func (d *Decider) isUnhealthy(t *Table, h *receivedReport) bool {
+	anyBad, othersHealthy := false, false
 	for to, s := range h.Sums {
-		if s.Ended < enough && !h.bad(to) || t.Links[Name(h.Zone, to)].Down {
+		if s.Ended < minAttempts && !h.bad(to) || t.Links[Name(h.Zone, to)].Down {
 			continue
 		}
 		if !h.bad(to) {
 			return false
 		}
-		some = true
+		anyBad = true
 		for _, o := range d.reports {
-			others = others || o != h && o.well(to)
+			othersHealthy = othersHealthy || o != h && o.healthy(to)
 		}
 	}
-	return some && others
+	return anyBad && othersHealthy
 }
--- a/fleet/zones/decide_test.go
+++ b/fleet/zones/decide_test.go
@@ -10,11 +10,11 @@
 )
 
 var (
-	good = Sum{20, 0, 0}
-	dead = Sum{20, 20, 20}
+	good    = Sum{20, 0, 0}
+	failing = Sum{20, 20, 20}
 )
 
-// fleet is two ingresses in each of three zones, all of which see all well.
+// fleet returns reports of two ingresses in each of three zones, which all see their own zone as healthy.
 func fleet() map[string]Report {
 	all := map[string]Report{}
 	for _, z := range []string{"a", "b", "c"} {
@@ -25,7 +25,7 @@
 	return all
 }
 
-// settle has a decider hear all reports and decide until nothing changes.
+// settle passes all reports to a decider and decides until nothing changes.
 func settle(t interface{ Fatal(...any) }, d *Decider, now time.Duration, table *Table,
 	all map[string]Report) *Table {
 	changes := 0
@@ -35,7 +35,7 @@
 		}
 		for why := "first"; why != ""; changes++ {
 			if table, why = d.Decide(now, table); changes > 40 {
-				t.Fatal("it does not come to rest")
+				t.Fatal("the table does not settle")
 			}
 		}
 		now += 250 * time.Millisecond
@@ -43,31 +43,31 @@
 	return table
 }
 
-func TestWhatIsTold(t *testing.T) {
+func TestDecisions(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(all map[string]Report)
 		down   []string // links
 		ill    []string
 	}{
-		"all well": {func(map[string]Report) {}, nil, nil},
+		"all healthy": {func(map[string]Report) {}, nil, nil},
 		"zone lost": {func(all map[string]Report) {
-			all["a1"].Sums["a"], all["a2"].Sums["a"] = dead, dead
+			all["a1"].Sums["a"], all["a2"].Sums["a"] = failing, failing
 			all["a1"].Sums["b"] = good
 		}, []string{"a>a"}, nil},
 		"one link cut": {func(all map[string]Report) {
-			all["a1"].Sums["b"], all["a2"].Sums["b"] = dead, dead
+			all["a1"].Sums["b"], all["a2"].Sums["b"] = failing, failing
 		}, []string{"a>b"}, nil},
-		"one ingress ill": {func(all map[string]Report) {
-			all["a1"].Sums["a"], all["a1"].Sums["b"] = dead, dead
+		"one ingress unhealthy": {func(all map[string]Report) {
+			all["a1"].Sums["a"], all["a1"].Sums["b"] = failing, failing
 		}, nil, []string{"a1"}},
-		"one ingress lies about a zone that others see": {func(all map[string]Report) {
-			all["b1"].Sums["a"] = dead
+		"one ingress reports a zone as down that others reach": {func(all map[string]Report) {
+			all["b1"].Sums["a"] = failing
 			all["b2"].Sums["a"] = good
 		}, nil, nil},
-		"too few attempts to tell": {func(all map[string]Report) {
+		"too few attempts to decide": {func(all map[string]Report) {
 			all["a1"].Sums["a"], all["a2"].Sums["a"] = Sum{4, 2, 2}, Sum{4, 2, 2}
 		}, nil, nil},
-		"well until a moment ago": {func(all map[string]Report) {
+		"healthy until a moment ago": {func(all map[string]Report) {
 			all["a1"].Sums["a"], all["a2"].Sums["a"] = Sum{40, 4, 4}, Sum{40, 3, 3}
 		}, []string{"a>a"}, nil},
 		"half fail": {func(all map[string]Report) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A zone that comes and goes every two seconds for a minute is believed less each time.
+// A zone that fails and recovers every two seconds for a minute must change the table at most 3 times.
 func TestFlapping(t *testing.T) {
 	d, table, changes := NewDecider(), &Table{}, 0
 	for now := time.Hour; now < time.Hour+time.Minute; now += 1500 * time.Millisecond {
@@ -104,7 +104,7 @@
 				r.Tried = map[string]bool{"a": up}
 				all[name] = r
 			} else if !up {
-				all[name].Sums["a"] = dead
+				all[name].Sums["a"] = failing
 			}
 		}
 		next := settle(t, d, now, table, all)
@@ -118,9 +118,10 @@
 	}
 }
 
-// Whatever one ingress says, true or not, moves nobody else's clients: it takes more than half of a zone's.
-func TestOneReporterMovesNobodyElse(t *testing.T) {
-	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" { // the same verdict each time
+// No report of a single ingress, true or false, may mark a link as down: that takes more than half of the
+// ingresses of a zone.
+func TestOneReporterTakesNoLinkDown(t *testing.T) {
+	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" { // reproducible by default
 		f.Value.Set("1")
 	}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -128,8 +129,8 @@
 		for i := range 20 {
 			sums, tried := map[string]Sum{}, map[string]bool{}
 			for _, z := range []string{"a", "b", "c", "no such zone"} {
-				sums[z] = Sum{rapid.IntRange(-5, 50).Draw(rt, "ended"), rapid.IntRange(-5, 50).Draw(rt, "failed"),
-					rapid.IntRange(-5, 50).Draw(rt, "row")}
+				sums[z] = Sum{rapid.IntRange(-5, 50).Draw(rt, "ended"),
+					rapid.IntRange(-5, 50).Draw(rt, "failed"), rapid.IntRange(-5, 50).Draw(rt, "row")}
 				tried[z] = rapid.Bool().Draw(rt, "tried")
 			}
 			all["a1"] = Report{From: "a1", Zone: "a", Sums: sums, Tried: tried}
@@ -139,7 +140,7 @@
 			table = settle(rt, d, time.Hour+time.Duration(i)*time.Second, table, all)
 			for _, from := range []string{"a", "b", "c"} {
 				if down := table.Down(from); len(down) > 0 {
-					rt.Fatalf("%s leaves %v alone by the word of a1", from, down)
+					rt.Fatalf("zone %s has %v down because of a1 alone", from, down)
 				}
 			}
 			if len(table.Ill) > 1 || len(table.Ill) == 1 && table.Ill[0] != "a1" {
@@ -149,8 +150,9 @@
 	})
 }
 
-// A zone that answers nobody is told by what hangs; one that answers late is not.
-func TestSilenceAndLateness(t *testing.T) {
+// A zone that answers nothing must be found by its hanging attempts; one that answers late must not count
+// as down.
+func TestUnresponsiveAndLateZones(t *testing.T) {
 	for name, answers := range map[string]bool{"silent": false, "late": true} {
 		c, now := Collector{}, time.Hour
 		for range 5 {
@@ -166,7 +168,7 @@
 	}
 }
 
-func TestCollectorForgets(t *testing.T) {
+func TestCollectorExpiresResults(t *testing.T) {
 	c := Collector{}
 	for i := range 10 {
 		c.Ended(time.Hour+time.Duration(i)*100*time.Millisecond, "a", i%2 == 0, 0)
@@ -175,6 +177,6 @@
 		t.Errorf("%+v within the window", s)
 	}
 	if s := c.Sums(time.Hour + 4*time.Second)["a"]; s.Ended != 0 {
-		t.Errorf("%+v after it", s)
+		t.Errorf("%+v after the window", s)
 	}
 }
--- a/fleet/zones/orders.go
+++ b/fleet/zones/orders.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Orders are staff's, decided in common like the table, and kept apart from it: what staff have said, no
-// evidence takes back. Times are Unix milliseconds.
+// Orders are the operators' orders. They are agreed on like the table, but kept separately, so that no
+// observation can revoke them. Times are Unix milliseconds.
 type Orders struct {
-	Evacuate map[string]int64 `json:"evacuate,omitempty"` // zones that get nothing new, until then
-	Hold     int64            `json:"hold,omitempty"`     // the table stays as it is until then
+	Evacuate map[string]int64 `json:"evacuate,omitempty"` // zones that get no new requests, and until when
+	Hold     int64            `json:"hold,omitempty"`     // until when the table must not change
 }
 
-// Evacuated are the zones that are to be left alone now, from everywhere.
+// Evacuated returns the zones that no ingress may send new requests to now.
 func (o *Orders) Evacuated(now time.Duration) []string {
 	var all []string
 	for _, zone := range slices.Sorted(maps.Keys(o.Evacuate)) {
@@ -24,10 +24,11 @@
 	return all
 }
 
-// Held reports whether the table is to stay as it is.
+// Held reports whether the table must not change now.
 func (o *Orders) Held(now time.Duration) bool { return now.Milliseconds() < o.Hold }
 
-// With returns the orders with a zone evacuated until a time; what has run out is dropped.
+// With returns a copy of the orders in which a zone is evacuated until the given time. Expired evacuations
+// are dropped.
 func (o *Orders) With(now time.Duration, zone string, until time.Duration) *Orders {
 	next := &Orders{Evacuate: map[string]int64{}, Hold: o.Hold}
 	for _, z := range o.Evacuated(now) {
@@ -37,7 +38,8 @@
 	return next
 }
 
-// Without returns the orders with a zone released; "" releases all, and the table.
+// Without returns a copy of the orders in which a zone is released. An empty zone releases all zones and
+// the table.
 func (o *Orders) Without(now time.Duration, zone string) *Orders {
 	if zone == "" {
 		return &Orders{}
