--- a/fleet/common/group.go
+++ b/fleet/common/group.go
@@ -62,8 +62,8 @@
 		}
 	}
 	node, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks,
-		HeartbeatTick: heartbeatTicks, Storage: g.store, Applied: g.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 16,
-		MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true, Logger: log,
+		HeartbeatTick: heartbeatTicks, Storage: g.store, Applied: g.applied, MaxSizePerMsg: 64 << 10,
+		MaxInflightMsgs: 16, MaxUncommittedEntriesSize: 4 << 20, CheckQuorum: true, PreVote: true, Logger: log,
 		DisableProposalForwarding: true})
 	if err != nil {
 		return nil, fmt.Errorf("creating the Raft node of the group: %w", err)
--- a/fleet/member/counts.go
+++ b/fleet/member/counts.go
@@ -9,75 +9,79 @@
 	"github.com/rs/zerolog"
 )
 
-// Counts are messages between members since the start. What the membership itself sends is in none but
-// Forged and Malformed.
+// Counts counts messages between members since the start. The library's own protocol messages are included
+// only in Forged and Malformed.
 type Counts struct {
 	In        int64 `json:"in"`
 	BytesIn   int64 `json:"bytes_in"`
 	Out       int64 `json:"out"`
 	BytesOut  int64 `json:"bytes_out"`
-	Unsent    int64 `json:"unsent"`    // nobody there, or no connection free
-	Forged    int64 `json:"forged"`    // not encrypted by any of the keys
-	Replayed  int64 `json:"replayed"`  // a second time, or of an earlier life
-	Malformed int64 `json:"malformed"` // can't be read
+	Unsent    int64 `json:"unsent"`    // receiver unknown, connection limit reached, or sending failed
+	Forged    int64 `json:"forged"`    // not encrypted with any of the keys
+	Replayed  int64 `json:"replayed"`  // duplicate, or from an earlier incarnation or an unknown member
+	Malformed int64 `json:"malformed"` // can't be decoded
 }
 
-// Counts reads the counts.
+// Counts returns the present counts.
 func (m *Members) Counts() Counts {
 	c := &m.counts
 	return Counts{c.in.Load(), c.bytesIn.Load(), c.out.Load(), c.bytesOut.Load(), c.unsent.Load(),
 		c.forged.Load(), c.replayed.Load(), c.malformed.Load()}
 }
 
-// counts takes the library's log lines: it tells of bad messages in no other way.
+// counts holds the counters of Counts. It also receives the log lines of the library, which reports invalid
+// messages in no other way.
 type counts struct {
 	in, bytesIn, out, bytesOut, unsent, forged, replayed, malformed atomic.Int64
 
 	log  zerolog.Logger
 	mu   sync.Mutex
-	last map[string]time.Time
+	last map[string]time.Time // when a line was last logged, by code
 }
 
-// quiet is the time between two lines of one kind: whoever sends rubbish must not fill the log.
-const quiet = 10 * time.Second
+// logInterval is the minimum time between two log lines of one code, so that a sender of invalid messages
+// can't fill the log.
+const logInterval = 10 * time.Second
 
-// What the library says of messages that it drops.
+// Parts of the library's log lines about messages that it drops.
 var (
-	forgedSays = [][]byte{[]byte("Decrypt packet failed"), []byte("failed to receive:"),
+	forgedPatterns = [][]byte{[]byte("Decrypt packet failed"), []byte("failed to receive:"),
 		[]byte("No installed keys could decrypt")}
-	malformedSays = [][]byte{[]byte("ailed to decode"), []byte("not supported"), []byte("nvalid msgType"),
+	malformedPatterns = [][]byte{[]byte("ailed to decode"), []byte("not supported"), []byte("nvalid msgType"),
 		[]byte("truncated"), []byte("invalid checksum"), []byte("label"), []byte("missing message type")}
 )
 
+// Write counts and logs a log line of the library. It never returns an error.
 func (c *counts) Write(line []byte) (int, error) {
-	has := func(says [][]byte) bool {
-		for _, s := range says {
-			if bytes.Contains(line, s) {
+	containsAny := func(patterns [][]byte) bool {
+		for _, p := range patterns {
+			if bytes.Contains(line, p) {
 				return true
 			}
 		}
 		return false
 	}
 	switch {
-	case has(forgedSays):
+	case containsAny(forgedPatterns):
 		c.forged.Add(1)
-		c.say("fleet-forged", line)
-	case has(malformedSays):
+		c.logLimited("fleet-forged", line)
+	case containsAny(malformedPatterns):
 		c.malformed.Add(1)
-		c.say("fleet-malformed", line)
+		c.logLimited("fleet-malformed", line)
 	case bytes.HasPrefix(line, []byte("[ERR]")):
-		c.say("fleet-member", line)
+		c.logLimited("fleet-member", line)
 	}
 	return len(line), nil
 }
 
-func (c *counts) say(code string, line []byte) {
+// logLimited logs a line of the library, at most once per code and logInterval.
+func (c *counts) logLimited(code string, line []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last == nil {
 		c.last = map[string]time.Time{}
 	}
-	if now := time.Now(); now.Sub(c.last[code]) > quiet {
+	if now := time.Now(); now.Sub(c.last[code]) > logInterval {
 		c.last[code] = now
 		c.log.Warn().Str("code", code).Str("says", string(bytes.TrimSpace(line))).Msg("membership")
 	}
--- a/fleet/member/frame.go
+++ b/fleet/member/frame.go
@@ -5,55 +5,60 @@
 	"errors"
 )
 
-// frame is a message with who sent it: a member's name, its life, and the message's number in that life.
+// frame is a message with its sender's name, the sender's incarnation, and the sequence number of the
+// message within that incarnation.
 type frame struct {
-	from   string
-	life   uint64
-	number uint64
-	data   []byte
+	from     string
+	life     uint64
+	sequence uint64
+	data     []byte
 }
 
+// append appends the encoded frame to b.
 func (f frame) append(b []byte) []byte {
 	b = append(b, byte(len(f.from)))
 	b = append(b, f.from...)
 	b = binary.BigEndian.AppendUint64(b, f.life)
-	b = binary.BigEndian.AppendUint64(b, f.number)
+	b = binary.BigEndian.AppendUint64(b, f.sequence)
 	return append(b, f.data...)
 }
 
-var errFrame = errors.New("message cut short")
+var errTruncated = errors.New("message truncated")
 
 func readFrame(b []byte) (frame, error) {
 	if len(b) < 1 || len(b) < 1+int(b[0])+16 {
-		return frame{}, errFrame
+		return frame{}, errTruncated
 	}
 	n := 1 + int(b[0])
 	return frame{string(b[1:n]), binary.BigEndian.Uint64(b[n:]), binary.BigEndian.Uint64(b[n+8:]), b[n+16:]}, nil
 }
 
-// window tells a message that comes a second time: RFC 4303, 3.4.3, with 64 numbers behind the highest.
+// window detects replayed messages as in RFC 4303, section 3.4.3. It covers the 64 highest sequence
+// numbers.
 type window struct {
-	high uint64
-	bits uint64 // bit i: high-i has come
+	highest uint64
+	bits    uint64 // bit i is set if sequence number highest-i was received
 }
 
-func (w *window) take(n uint64) bool {
+// accept reports whether number n is new and within the window, and marks it as received. Numbers start at
+// 1; a nil window accepts nothing.
+func (w *window) accept(n uint64) bool {
 	switch {
 	case w == nil || n == 0:
 		return false
-	case n > w.high:
-		if shift := n - w.high; shift < 64 {
+	case n > w.highest:
+		if shift := n - w.highest; shift < 64 {
 			w.bits <<= shift
 		} else {
 			w.bits = 0
 		}
-		w.high = n
+		w.highest = n
 		w.bits |= 1
 		return true
-	case w.high-n >= 64:
+	case w.highest-n >= 64:
 		return false
 	}
-	bit := uint64(1) << (w.high - n)
+	bit := uint64(1) << (w.highest - n)
 	if w.bits&bit != 0 {
 		return false
 	}
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -1,6 +1,6 @@
-// Package member knows which ingresses are there, and carries messages between them. Who is there is
-// decided by memberlist's protocol: probes, probes by others, suspicion. All messages are encrypted by the
-// keys that the ingresses share.
+// Package member keeps track of which ingresses are alive and carries messages between them. Failures are
+// detected with the protocol of memberlist: direct probes, indirect probes through other members, and
+// suspicion. All messages are encrypted with keys that the ingresses share.
 package member
 
 import (
@@ -19,111 +19,114 @@
 	"github.com/rs/zerolog"
 )
 
-// Config is what Start needs.
+// Config configures Start.
 type Config struct {
 	Name      string
-	Bind      netip.AddrPort // where it listens, by TCP and UDP
-	Advertise netip.AddrPort // where others reach it; the zero value: at Bind
-	Keys      [][]byte       // of 16, 24 or 32 bytes; the first encrypts, all decrypt
+	Bind      netip.AddrPort // listening address, TCP and UDP
+	Advertise netip.AddrPort // address that others connect to; the zero value means Bind
+	Keys      [][]byte       // 16, 24 or 32 bytes each; the first encrypts, all of them decrypt
 	Meta      Meta
-	Deliver   func(from string, data []byte) // on any goroutine; it must not block
+	Deliver   func(from string, data []byte) // called on any goroutine; must not block
 	Log       zerolog.Logger
 }
 
-// Meta is what a member tells of itself.
+// Meta is what a member announces about itself.
 type Meta struct {
-	Life    uint64 `json:"l"` // unlike that of any other start of the same name
+	Life    uint64 `json:"l"` // random incarnation number, different at each start
 	Zone    string `json:"z"`
 	Region  string `json:"r,omitempty"`
-	Version int    `json:"v"` // of the messages that it understands
+	Version int    `json:"v"` // version of the messages that it understands
 }
 
-// State is how a member is seen here.
+// State is the state of a member as seen by this process.
 type State string
 
-// The kinds of State.
+// Values of State.
 const (
 	Alive   State = "alive"
-	Suspect State = "suspect" // it has not answered, and others are asked
+	Suspect State = "suspect" // it has not answered a probe, which others may still refute
 	Dead    State = "dead"
 	Left    State = "left"
 )
 
-// Member is an ingress as it is seen here.
+// Member is an ingress as seen by this process.
 type Member struct {
 	Name  string    `json:"name"`
 	Addr  string    `json:"addr"`
 	State State     `json:"state"`
-	Since time.Time `json:"since"` // of alive, dead or left
+	Since time.Time `json:"since"` // when it became alive, dead or left
 	Meta
 }
 
-// goneMost bounds how many members that are gone are remembered.
-const goneMost = 256
+// maxMembers is the number of known members above which dead or departed ones are forgotten.
+const maxMembers = 256
 
-// Times of the membership. A crash is known 3 to 5 s later: what must be quicker does not wait for it.
+// Timing and limits of the membership. A crash is detected after 3 to 5 s; decisions that must be faster
+// don't depend on it.
 const (
-	probeEvery   = time.Second
-	probeWait    = 500 * time.Millisecond
-	suspicion    = 3 // probes, times the order of magnitude of the fleet
-	streamWait   = 2 * time.Second
-	datagramMost = 1200 // bytes of a message that goes as a datagram; a longer one takes a connection
-	streamsMost  = 8    // connections being made for messages at once
+	probeInterval       = time.Second
+	probeTimeout        = 500 * time.Millisecond
+	suspicionMultiplier = 3 // in probe intervals, multiplied by the order of magnitude of the fleet's size
+	streamTimeout       = 2 * time.Second
+	maxDatagramBytes    = 1200 // larger messages are sent over a TCP connection
+	maxStreams          = 8    // concurrent TCP connections for messages
 )
 
-// Members is the membership of this process.
+// Members is this process's view of the membership.
 type Members struct {
 	c       Config
 	list    *memberlist.Memberlist
 	keys    *memberlist.Keyring
-	streams chan struct{}
+	streams chan struct{} // semaphore of maxStreams
 	counts  counts
 
-	mu      sync.Mutex
-	meta    Meta
-	seen    map[string]Member // as last heard by events
-	windows map[string]*window
-	number  uint64
+	mu       sync.Mutex
+	meta     Meta
+	seen     map[string]Member  // latest event of each member
+	windows  map[string]*window // of received sequence numbers, by sender
+	sequence uint64             // of the last message sent
 }
 
-// Start listens. It joins nobody by itself.
+// Start listens for messages of other members. It does not join any of them; see Join.
 func Start(c Config) (*Members, error) {
 	if len(c.Keys) == 0 {
-		return nil, errors.New("members: no key: anyone could speak for an ingress")
+		return nil, errors.New("members: no encryption key: anyone could impersonate an ingress")
 	}
 	keys, err := memberlist.NewKeyring(c.Keys, c.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("members: keys: %w", err)
 	}
 	m := &Members{c: c, keys: keys, meta: c.Meta, seen: map[string]Member{}, windows: map[string]*window{},
-		streams: make(chan struct{}, streamsMost)}
-	lines := log.New(&m.counts, "", 0)
+		streams: make(chan struct{}, maxStreams)}
+	libraryLog := log.New(&m.counts, "", 0)
 	m.counts.log = c.Log
-	set := memberlist.DefaultLANConfig()
-	set.Name, set.Keyring, set.Logger = c.Name, keys, lines
-	set.BindAddr, set.BindPort = c.Bind.Addr().String(), int(c.Bind.Port())
-	set.AdvertiseAddr, set.AdvertisePort = set.BindAddr, set.BindPort
+	conf := memberlist.DefaultLANConfig()
+	conf.Name, conf.Keyring, conf.Logger = c.Name, keys, libraryLog
+	conf.BindAddr, conf.BindPort = c.Bind.Addr().String(), int(c.Bind.Port())
+	conf.AdvertiseAddr, conf.AdvertisePort = conf.BindAddr, conf.BindPort
 	if c.Advertise.IsValid() {
-		set.AdvertiseAddr, set.AdvertisePort = c.Advertise.Addr().String(), int(c.Advertise.Port())
+		conf.AdvertiseAddr, conf.AdvertisePort = c.Advertise.Addr().String(), int(c.Advertise.Port())
 	}
-	set.ProbeInterval, set.ProbeTimeout, set.SuspicionMult = probeEvery, probeWait, suspicion
-	set.TCPTimeout, set.DNSConfigPath = streamWait, ""
-	set.EnableCompression, set.RequireNodeNames = false, true
-	set.Delegate, set.Events = delegate{m}, delegate{m}
-	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
-		BindAddrs: []string{set.BindAddr}, BindPort: set.BindPort, Logger: lines})
+	conf.ProbeInterval, conf.ProbeTimeout, conf.SuspicionMult =
+		probeInterval, probeTimeout, suspicionMultiplier
+	conf.TCPTimeout, conf.DNSConfigPath = streamTimeout, ""
+	conf.EnableCompression, conf.RequireNodeNames = false, true
+	conf.Delegate, conf.Events = delegate{m}, delegate{m}
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{conf.BindAddr}, BindPort: conf.BindPort, Logger: libraryLog})
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	set.Transport = transport{sockets, net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(
+	conf.Transport = transport{netTransport, net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(
 		netip.AddrPortFrom(c.Bind.Addr(), 0))}}
-	if m.list, err = memberlist.Create(set); err != nil {
-		return nil, errors.Join(fmt.Errorf("members: %w", err), sockets.Shutdown())
+	if m.list, err = memberlist.Create(conf); err != nil {
+		return nil, errors.Join(fmt.Errorf("members: %w", err), netTransport.Shutdown())
 	}
 	return m, nil
 }
 
-// transport calls others from the address that it is bound to, so that firewalls may tell members by it.
+// transport connects to other members from the address that it is bound to, so that firewalls can identify
+// members by it.
 type transport struct {
 	*memberlist.NetTransport
 	from net.Dialer
@@ -139,32 +142,33 @@
 	return dialer.Dial("tcp", a.Addr)
 }
 
-// Join asks the members at addresses to be taken in, and reports how many did. It may block for seconds.
+// Join joins the fleet through the members at the given addresses, and returns how many of them could be
+// contacted. It may block for seconds.
 func (m *Members) Join(addrs []string) (int, error) {
-	named := make([]string, len(addrs))
+	namedAddrs := make([]string, len(addrs))
 	for i, a := range addrs {
-		named[i] = "seed/" + a // the library asks that a name be told, and goes by the answer's
+		namedAddrs[i] = "seed/" + a // the library requires a name, and uses the one in the answer
 	}
-	n, err := m.list.Join(named)
+	n, err := m.list.Join(namedAddrs)
 	if err != nil {
 		return n, fmt.Errorf("members: joining: %w", err)
 	}
 	return n, nil
 }
 
-// Meta tells all others what has changed of this member.
+// Meta announces changed metadata of this member to all others.
 func (m *Members) Meta(meta Meta) {
 	m.mu.Lock()
 	m.meta = meta
 	m.mu.Unlock()
-	go m.list.UpdateNode(0) // takes the library's lock, under which events come back here
+	go m.list.UpdateNode(0) // asynchronous, because it takes the lock under which the library calls delegate
 }
 
-// Keys takes other keys: the first encrypts from now on, and all of them decrypt. While the fleet changes
-// its key, every ingress is first given both.
+// Keys replaces the encryption keys: the first encrypts from now on, and all of them decrypt. To change the
+// key of a fleet, every ingress must first get both the old and the new one.
 func (m *Members) Keys(keys [][]byte) error {
 	if len(keys) == 0 {
-		return errors.New("members: no key")
+		return errors.New("members: no encryption key")
 	}
 	for _, k := range keys {
 		if err := m.keys.AddKey(k); err != nil {
@@ -184,7 +188,7 @@
 	return nil
 }
 
-// List tells all members, by name; those that are gone too, for a while.
+// List returns all known members sorted by name, including those that died or left recently.
 func (m *Members) List() []Member {
 	now := map[string]State{}
 	for _, n := range m.list.Members() {
@@ -206,7 +210,7 @@
 	return all
 }
 
-// Send sends a message to a member that is there, or drops it. It does not block.
+// Send sends a message to a live member, or drops it and counts it as unsent. It does not block.
 func (m *Members) Send(to string, data []byte) {
 	var node *memberlist.Node
 	for _, n := range m.list.Members() {
@@ -219,12 +223,12 @@
 		return
 	}
 	m.mu.Lock()
-	m.number++
-	framed := frame{m.c.Name, m.meta.Life, m.number, data}.append(nil)
+	m.sequence++
+	framed := frame{m.c.Name, m.meta.Life, m.sequence, data}.append(nil)
 	m.mu.Unlock()
 	m.counts.out.Add(1)
 	m.counts.bytesOut.Add(int64(len(framed)))
-	if len(framed) <= datagramMost {
+	if len(framed) <= maxDatagramBytes {
 		if m.list.SendBestEffort(node, framed) != nil {
 			m.counts.unsent.Add(1)
 		}
@@ -238,17 +242,17 @@
 				m.counts.unsent.Add(1)
 			}
 		}()
-	default: // whoever sends it comes again
+	default: // dropped: senders retry
 		m.counts.unsent.Add(1)
 	}
 }
 
-// Leave tells the others that this member goes, and ends.
+// Leave announces to the others that this member leaves, waiting at most the given time, and shuts down.
 func (m *Members) Leave(wait time.Duration) error {
 	return errors.Join(m.list.Leave(wait), m.list.Shutdown())
 }
 
-// delegate is what the library calls.
+// delegate implements the callbacks of the library.
 type delegate struct{ m *Members }
 
 func (d delegate) NodeMeta(int) []byte {
@@ -264,13 +268,13 @@
 func (delegate) GetBroadcasts(int, int) [][]byte  { return nil }
 func (delegate) LocalState(bool) []byte           { return nil }
 func (delegate) MergeRemoteState([]byte, bool)    {}
-func (d delegate) NotifyJoin(n *memberlist.Node)  { d.m.event(n, Alive, "fleet-joined") }
-func (d delegate) NotifyLeave(n *memberlist.Node) { d.m.gone(n) }
+func (d delegate) NotifyJoin(n *memberlist.Node)  { d.m.recordEvent(n, Alive, "fleet-joined") }
+func (d delegate) NotifyLeave(n *memberlist.Node) { d.m.handleDeparture(n) }
 func (d delegate) NotifyUpdate(n *memberlist.Node) {
-	d.m.event(n, Alive, "")
+	d.m.recordEvent(n, Alive, "")
 }
 
-// NotifyMsg takes a message that was decrypted.
+// NotifyMsg processes a decrypted message.
 func (d delegate) NotifyMsg(data []byte) {
 	m := d.m
 	m.counts.in.Add(1)
@@ -282,25 +286,26 @@
 	}
 	m.mu.Lock()
 	known, ok := m.seen[f.from]
-	fresh := ok && known.Life == f.life && m.windows[f.from].take(f.number)
+	accepted := ok && known.Life == f.life && m.windows[f.from].accept(f.sequence)
 	m.mu.Unlock()
-	if !fresh { // of an earlier life, of one not heard of yet, or a second time
+	if !accepted { // from an earlier incarnation, from an unknown member, or a duplicate
 		m.counts.replayed.Add(1)
 		return
 	}
 	m.c.Deliver(f.from, slices.Clone(f.data))
 }
 
-func (m *Members) gone(n *memberlist.Node) {
+// handleDeparture records whether a member left by itself or was declared dead.
+func (m *Members) handleDeparture(n *memberlist.Node) {
 	if n.State == memberlist.StateLeft {
-		m.event(n, Left, "fleet-left")
+		m.recordEvent(n, Left, "fleet-left")
 		return
 	}
-	m.event(n, Dead, "fleet-dead")
+	m.recordEvent(n, Dead, "fleet-dead")
 }
 
-// event notes what the library says of a member.
-func (m *Members) event(n *memberlist.Node, state State, code string) {
+// recordEvent stores a state change of a member reported by the library, and logs it if code is not empty.
+func (m *Members) recordEvent(n *memberlist.Node, state State, code string) {
 	var meta Meta
 	if err := json.Unmarshal(n.Meta, &meta); err != nil {
 		m.counts.malformed.Add(1)
@@ -315,7 +320,7 @@
 		m.windows[n.Name] = &window{}
 	}
 	m.seen[n.Name] = s
-	if len(m.seen) > goneMost {
+	if len(m.seen) > maxMembers {
 		for name, old := range m.seen {
 			if old.State == Dead || old.State == Left {
 				delete(m.seen, name)
@@ -327,6 +332,6 @@
 	m.mu.Unlock()
 	if code != "" && n.Name != m.c.Name {
 		m.c.Log.Info().Str("code", code).Str("member", n.Name).Str("zone", meta.Zone).Str("addr", n.Address()).
-			Msg("member of the fleet")
+			Msg("fleet member changed state")
 	}
 }
