--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -1,4 +1,5 @@
-// Package node is an ingress's part in its fleet: sockets, timers and wiring round the machines that decide.
+// Package node runs an ingress's membership in its fleet: it provides sockets, timers and wiring around the
+// state machines of the other fleet packages.
 package node
 
 import (
@@ -21,11 +22,11 @@
 	"dunespoke/fleet/zones"
 )
 
-// Config is what Start needs.
+// Config configures Start.
 type Config struct {
 	Name, Zone, Region string
 	Bind, Advertise    netip.AddrPort
-	Seeds              []string // addresses of members
+	Seeds              []string // addresses of members to join
 	Keys               [][]byte
 	Voters             []string
 	Lease, Hold        time.Duration
@@ -33,21 +34,21 @@
 	Traffic            Traffic
 }
 
-// version of the messages that this program understands.
-const version = 1
+// messageVersion is the version of the fleet's messages that this program understands.
+const messageVersion = 1
 
-// Times of the node.
+// Intervals, timeouts and limits of the node.
 const (
-	beat        = 500 * time.Millisecond
-	joinEvery   = 2 * time.Second
-	bindEvery   = 300 * time.Millisecond
-	leaveWait   = 500 * time.Millisecond
-	inboxMost   = 1024
-	waitingMost = 16                     // changes by staff that have not ended
-	decideWait  = 900 * time.Millisecond // a caller's patience: operators' calls are answered within a second
+	heartbeatInterval = 500 * time.Millisecond
+	joinInterval      = 2 * time.Second
+	bindRetryInterval = 300 * time.Millisecond
+	leaveTimeout      = 500 * time.Millisecond
+	inboxCapacity     = 1024
+	maxPendingChanges = 16                     // changes by operators without a result
+	callTimeout       = 900 * time.Millisecond // operators' calls must be answered within a second
 )
 
-// Status is how the fleet looks from here.
+// Status is the state of the fleet as seen by this ingress.
 type Status struct {
 	Name       string          `json:"name"`
 	Standing   string          `json:"standing"` // unknown, agreed, held or lapsed
@@ -56,18 +57,18 @@
 	Leader     string          `json:"leader"`
 	Leads      bool            `json:"leads"`
 	Voter      bool            `json:"voter"`
-	FreshMS    int64           `json:"fresh_ms"` // since a majority stood behind it
+	FreshMS    int64           `json:"fresh_ms"` // milliseconds since a majority last confirmed the record
 	Members    []member.Member `json:"members,omitempty"`
 	Messages   member.Counts   `json:"messages"`
 }
 
-// Node is a running part in a fleet.
+// Node is a running member of a fleet. Its methods may be called from any goroutine.
 type Node struct {
 	c       Config
 	members atomic.Pointer[member.Members]
 	inbox   chan message
-	calls   chan func(*steer.Steer, time.Duration)
-	origin  time.Time
+	calls   chan func(*steer.Steer, time.Duration) // see call
+	origin  time.Time                              // start time, see now
 	done    chan struct{}
 	record  atomic.Pointer[common.Record]
 	watch   watch
@@ -78,37 +79,39 @@
 	data []byte
 }
 
-// Start takes part in the fleet until the context ends, which tells the others. An address that is still
-// taken is waited for: the process of an upgrade has it as soon as the old one leaves.
+// Start takes part in the fleet, in the background, until the context ends; it then announces to the others
+// that this member leaves. An address that is in use is retried: during an upgrade the new process
+// gets it once the old one leaves.
 func Start(ctx context.Context, c Config) (*Node, error) {
 	life, err := newLife()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{c: c, inbox: make(chan message, inboxMost), calls: make(chan func(*steer.Steer, time.Duration)),
-		origin: time.Now(), done: make(chan struct{})}
+	n := &Node{c: c, inbox: make(chan message, inboxCapacity),
+		calls: make(chan func(*steer.Steer, time.Duration)), origin: time.Now(), done: make(chan struct{})}
 	n.record.Store(&common.Record{})
 	m := steer.New(common.Config{Name: c.Name, Life: life, Voters: c.Voters, Lease: c.Lease, Hold: c.Hold,
-		Beat: beat}, c.Zone, n.now())
+		Beat: heartbeatInterval}, c.Zone, n.now())
 	go n.run(ctx, m)
 	return n, nil
 }
 
+// newLife returns a random nonzero incarnation number.
 func newLife() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return 0, fmt.Errorf("fleet: %w", err)
+		return 0, fmt.Errorf("fleet: generating a random ID: %w", err)
 	}
 	return binary.BigEndian.Uint64(b[:]) | 1, nil
 }
 
-// now is Unix time that no step of the system's clock turns back.
+// now returns the Unix time, unaffected by steps of the system clock after the start.
 func (n *Node) now() time.Duration { return time.Duration(n.origin.UnixNano()) + time.Since(n.origin) }
 
-// Done is closed once the others have been told that this member leaves.
+// Done returns a channel that is closed when this member has left the fleet.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// run owns the machine.
+// run owns the state machine: no other goroutine may use it, see call.
 func (n *Node) run(ctx context.Context, m *steer.Steer) {
 	defer close(n.done)
 	members := n.listen(ctx, m.Life())
@@ -117,8 +120,8 @@
 	}
 	n.members.Store(members)
 	go n.join(ctx, members)
-	if n.c.Traffic.on() {
-		go n.try(ctx)
+	if n.c.Traffic.enabled() {
+		go n.probe(ctx)
 	}
 	tick := time.NewTicker(common.Tick)
 	defer tick.Stop()
@@ -126,8 +129,8 @@
 	for {
 		select {
 		case <-ctx.Done():
-			if err := members.Leave(leaveWait); err != nil {
-				n.c.Log.Warn().Str("code", "fleet-member").Err(err).Msg("leaving the fleet")
+			if err := members.Leave(leaveTimeout); err != nil {
+				n.c.Log.Warn().Str("code", "fleet-member").Err(err).Msg("error while leaving the fleet")
 			}
 			return
 		case <-tick.C:
@@ -135,19 +138,19 @@
 			m.Tick(n.now())
 		case msg := <-n.inbox:
 			if err := m.Step(n.now(), msg.from, msg.data); err != nil {
-				n.c.Log.Warn().Str("code", "fleet-message").Err(err).Msg("a message of the fleet was dropped")
+				n.c.Log.Warn().Str("code", "fleet-message").Err(err).Msg("invalid fleet message dropped")
 			}
 		case call := <-n.calls:
 			call(m, n.now())
 		}
-		if n.c.Traffic.on() {
-			n.steer(m)
+		if n.c.Traffic.enabled() {
+			n.applyDecisions(m)
 		}
 		for _, out := range m.Take() {
 			members.Send(out.To, out.Data)
 		}
 		if err := m.Err(); err != nil {
-			n.c.Log.Warn().Str("code", "fleet-common").Err(err).Msg("the common record's log")
+			n.c.Log.Warn().Str("code", "fleet-common").Err(err).Msg("internal error of the common record")
 		}
 		if l := m.Life(); l != life {
 			life = l
@@ -157,38 +160,39 @@
 		n.record.Store(r)
 		if s != standing || r.Epoch != epoch {
 			n.c.Log.Info().Str("code", "fleet-record").Stringer("standing", s).Uint64("epoch", r.Epoch).
-				Uint64("generation", r.Generation).Str("leader", m.Leader()).Msg("what the fleet has decided")
+				Uint64("generation", r.Generation).Str("leader", m.Leader()).Msg("common record or its standing changed")
 			standing, epoch = s, r.Epoch
 		}
 	}
 }
 
 func (n *Node) meta(life uint64) member.Meta {
-	return member.Meta{Life: life, Zone: n.c.Zone, Region: n.c.Region, Version: version}
+	return member.Meta{Life: life, Zone: n.c.Zone, Region: n.c.Region, Version: messageVersion}
 }
 
-// listen takes the address of the fleet, as soon as it is free.
+// listen binds the fleet address, retrying until it succeeds or the context ends.
 func (n *Node) listen(ctx context.Context, life uint64) *member.Members {
-	for said := false; ; {
+	for logged := false; ; {
 		members, err := member.Start(member.Config{Name: n.c.Name, Bind: n.c.Bind, Advertise: n.c.Advertise,
 			Keys: n.c.Keys, Meta: n.meta(life), Deliver: n.deliver, Log: n.c.Log})
 		if err == nil {
 			return members
 		}
-		if !said {
-			said = true
+		if !logged {
+			logged = true
 			n.c.Log.Warn().Str("code", "fleet-address").Bool("taken", errors.Is(err, syscall.EADDRINUSE)).Err(err).
-				Msg("trying again until it is free")
+				Msg("cannot listen on the fleet address, retrying")
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(bindEvery):
+		case <-time.After(bindRetryInterval):
 		}
 	}
 }
 
-// deliver takes a message for the machine; one too many is dropped, as on a network.
+// deliver queues a message for the state machine. If the queue is full the message is dropped, as a network
+// would.
 func (n *Node) deliver(from string, data []byte) {
 	select {
 	case n.inbox <- message{from, data}:
@@ -196,25 +200,26 @@
 	}
 }
 
-// join looks for members at the seeds that are not there: at the start, and after a cut has healed.
+// join contacts seeds that are not known to be alive: at the start, and after a network partition has
+// healed.
 func (n *Node) join(ctx context.Context, m *member.Members) {
 	for i := 0; ; i++ {
-		here := map[string]bool{}
+		reachable := map[string]bool{}
 		for _, p := range m.List() {
-			here[p.Addr] = p.State == member.Alive || p.State == member.Suspect
+			reachable[p.Addr] = p.State == member.Alive || p.State == member.Suspect
 		}
-		var away []string
+		var absent []string
 		for _, s := range n.c.Seeds {
-			if !here[s] {
-				away = append(away, s)
+			if !reachable[s] {
+				absent = append(absent, s)
 			}
 		}
-		if len(away) > 0 {
-			m.Join(away[i%len(away) : i%len(away)+1]) // one that is not there is asked again later
+		if len(absent) > 0 {
+			m.Join(absent[i%len(absent) : i%len(absent)+1]) // one at a time; failed ones are retried in turn
 		}
-		wait := joinEvery
-		if len(here) < 2 {
-			wait = bindEvery
+		wait := joinInterval
+		if len(reachable) < 2 {
+			wait = bindRetryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -224,19 +229,21 @@
 	}
 }
 
+// peers converts the membership to the form that steer uses. Suspect members count as alive.
 func peers(list []member.Member) []steer.Peer {
 	all := make([]steer.Peer, len(list))
 	for i, p := range list {
-		here := p.State == member.Alive || p.State == member.Suspect
-		all[i] = steer.Peer{Peer: common.Peer{Name: p.Name, Life: p.Life, Alive: here}, Zone: p.Zone}
+		alive := p.State == member.Alive || p.State == member.Suspect
+		all[i] = steer.Peer{Peer: common.Peer{Name: p.Name, Life: p.Life, Alive: alive}, Zone: p.Zone}
 	}
 	return all
 }
 
-// call has something done by the goroutine that owns the machine.
+// call runs do on the goroutine that owns the state machine, and waits for it. It returns an error if that
+// goroutine does not accept the call within callTimeout.
 func (n *Node) call(do func(m *steer.Steer, now time.Duration)) error {
 	done := make(chan struct{})
-	t := time.NewTimer(decideWait)
+	t := time.NewTimer(callTimeout)
 	defer t.Stop()
 	select {
 	case n.calls <- func(m *steer.Steer, now time.Duration) { do(m, now); close(done) }:
@@ -245,14 +252,14 @@
 	case <-n.done:
 		return errors.New("this ingress has left the fleet")
 	case <-t.C:
-		return errors.New("this ingress does not take part in the fleet yet")
+		return errors.New("this ingress does not participate in the fleet yet")
 	}
 }
 
-// Record is what is agreed as far as known here.
+// Record returns the newest record that this ingress knows. The caller must not modify it.
 func (n *Node) Record() *common.Record { return n.record.Load() }
 
-// Status tells how the fleet looks from here.
+// Status returns the state of the fleet as seen by this ingress. On an error it is incomplete.
 func (n *Node) Status() (Status, error) {
 	s := Status{Name: n.c.Name}
 	err := n.call(func(m *steer.Steer, now time.Duration) {
@@ -269,7 +276,7 @@
 	return s, err
 }
 
-// Zones is the table of zones as it is known here, with the change that made it.
+// Zones is the table of zones as known to this ingress, with the change that made it.
 type Zones struct {
 	zones.Table
 	Orders   zones.Orders `json:"orders"`
@@ -279,7 +286,7 @@
 	Why      string       `json:"why"`
 }
 
-// Zones tells the table of zones.
+// Zones returns the table of zones and the operators' orders.
 func (n *Node) Zones() Zones {
 	r := n.Record()
 	e := r.Entries[steer.ZonesKey]
@@ -294,25 +301,25 @@
 	return z
 }
 
-// Recover is staff's word that the voters who don't answer are gone for good.
+// Recover is called when an operator declares that the voters that don't answer are permanently lost.
 func (n *Node) Recover() error {
 	var err error
 	return errors.Join(n.call(func(m *steer.Steer, _ time.Duration) { err = m.Recover() }), err)
 }
 
-// errPending is the error of a change that has neither been taken nor refused while its caller waited.
-var errPending = errors.New("not decided yet: it stays proposed for as long as this ingress runs")
+// errPending is returned for a change that was neither applied nor refused within callTimeout.
+var errPending = errors.New("not decided yet: the change stays pending while this ingress runs")
 
-// Put has a key of the record changed in common, and waits a second for it.
+// Put proposes a new value for a key of the record, and waits up to callTimeout for the result.
 func (n *Node) Put(key string, value json.RawMessage, why string) error {
 	life, err := newLife()
 	if err != nil {
 		return err
 	}
 	id := fmt.Sprintf("%s-%x", n.c.Name, life)
-	full := false
+	tooMany := false
 	err = n.call(func(m *steer.Steer, now time.Duration) {
-		if full = m.Waiting() >= waitingMost; full {
+		if tooMany = m.Waiting() >= maxPendingChanges; tooMany {
 			return
 		}
 		m.Propose(now, common.Change{ID: id, Key: key, Base: m.Record().Entries[key].Epoch, Value: value,
@@ -321,10 +328,10 @@
 	if err != nil {
 		return err
 	}
-	if full {
-		return fmt.Errorf("%d changes wait here for a majority already", waitingMost)
+	if tooMany {
+		return fmt.Errorf("%d changes are already pending on this ingress", maxPendingChanges)
 	}
-	for until := time.Now().Add(decideWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(callTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if d, ok := n.Record().Done(id); ok {
 			if d.Refused != "" {
 				return errors.New("refused: " + d.Refused)
@@ -335,10 +342,10 @@
 	return errPending
 }
 
-// Keys takes other keys.
+// Keys replaces the encryption keys, see member.Members.Keys.
 func (n *Node) Keys(keys [][]byte) error {
 	if m := n.members.Load(); m != nil {
 		return m.Keys(keys)
 	}
-	return errors.New("the fleet's address is not taken yet")
+	return errors.New("this ingress does not listen on the fleet address yet")
 }
--- a/fleet/node/processes_test.go
+++ b/fleet/node/processes_test.go
@@ -11,8 +11,8 @@
 	"dunespoke/internal/lab/rig"
 )
 
-// Each test here starts six processes of the program, on three zones with a voter each, and does something
-// to them or to the links between them. They wait for events, with wide margins.
+// Each test starts six processes of the program, in three zones with one voter each, and injects faults
+// into them or the links between them. Tests wait for events, with wide margins.
 const threeZones = `
 seconds = 60
 [[region]]
@@ -28,8 +28,8 @@
 `
 
 var (
-	everyone = []string{"a1", "a2", "b1", "b2", "c1", "c2"}
-	program  string
+	allIngresses = []string{"a1", "a2", "b1", "b2", "c1", "c2"}
+	program      string
 )
 
 func TestMain(m *testing.M) {
@@ -52,6 +52,8 @@
 
 func start(t *testing.T) fleet { return startWith(t, threeZones) }
 
+// startWith starts the processes of a scenario in parallel with other tests, and waits until all have the
+// same record.
 func startWith(t *testing.T, text string) fleet {
 	t.Helper()
 	t.Parallel()
@@ -65,21 +67,22 @@
 	}
 	t.Cleanup(r.Close)
 	f := fleet{t, r}
-	f.agreed(everyone, "")
+	f.waitAgreed(allIngresses, "")
 	return f
 }
 
-func (f fleet) eventually(what string, is func() bool) {
+// eventually waits up to 40 s until isMet returns true.
+func (f fleet) eventually(condition string, isMet func() bool) {
 	f.Helper()
-	for until := time.Now().Add(40 * time.Second); !is(); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(40 * time.Second); !isMet(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
-			f.Fatalf("waited 40 s for %s", what)
+			f.Fatalf("waited 40 s for %s", condition)
 		}
 	}
 }
 
-// begin begins a fault.
-func (f fleet) begin(do, on, to string) (end func()) {
+// startFault starts a fault of the given kind; the returned function ends it.
+func (f fleet) startFault(do, on, to string) (end func()) {
 	f.Helper()
 	return f.fault(rig.Fault{Do: do, On: on, To: to})
 }
@@ -93,8 +96,9 @@
 	return end
 }
 
-// agreed waits until all of them hold one record to be agreed, with the note; an empty one is any.
-func (f fleet) agreed(names []string, note string) {
+// waitAgreed waits until the named ingresses all have the same agreed record, and it contains the note. An
+// empty note matches any record.
+func (f fleet) waitAgreed(names []string, note string) {
 	f.Helper()
 	f.eventually("one record with note "+note+" at "+strings.Join(names, ", "), func() bool {
 		first := ""
@@ -113,8 +117,9 @@
 	})
 }
 
-// note has one of them decide in common, as soon as that goes. It may take longer than its caller waits.
-func (f fleet) note(at, text string) {
+// proposeNote proposes a note through one ingress, retrying until it is accepted. The decision may take
+// longer than the call waits.
+func (f fleet) proposeNote(at, text string) {
 	f.Helper()
 	f.eventually("note "+text+" from "+at, func() bool {
 		_, err := f.Call(at, "FLEET NOTE "+text)
@@ -122,7 +127,8 @@
 	})
 }
 
-func (f fleet) standing(name, want string) {
+// waitStanding waits until the record of an ingress has the given standing.
+func (f fleet) waitStanding(name, want string) {
 	f.Helper()
 	f.eventually(name+" to be "+want, func() bool {
 		s, err := f.Status(name)
@@ -130,9 +136,9 @@
 	})
 }
 
-// other is an ingress of another zone than one's, that votes or not.
-func other(name string) string {
-	for _, o := range everyone {
+// ingressOfOtherZone returns a non-voting ingress of another zone.
+func ingressOfOtherZone(name string) string {
+	for _, o := range allIngresses {
 		if o[0] != name[0] && o[1] == '2' {
 			return o
 		}
@@ -140,32 +146,36 @@
 	return ""
 }
 
+// without returns all ingresses but the named ones.
 func without(names ...string) []string {
-	return slices.DeleteFunc(slices.Clone(everyone), func(n string) bool { return slices.Contains(names, n) })
+	return slices.DeleteFunc(slices.Clone(allIngresses), func(n string) bool {
+		return slices.Contains(names, n)
+	})
 }
 
 func TestLeaderKilled(t *testing.T) {
 	f := start(t)
-	f.note("a2", "before")
+	f.proposeNote("a2", "before")
 	leader := f.Leader()
-	back := f.begin("kill", "ingress:"+leader, "")
-	f.note(other(leader), "without-it")
-	f.agreed(without(leader), "without-it")
+	back := f.startFault("kill", "ingress:"+leader, "")
+	f.proposeNote(ingressOfOtherZone(leader), "without-it")
+	f.waitAgreed(without(leader), "without-it")
 	back()
-	f.note(leader, "back")
-	f.agreed(everyone, "back")
+	f.proposeNote(leader, "back")
+	f.waitAgreed(allIngresses, "back")
 }
 
-// A leader that was stopped holds nothing to be agreed when it goes on, until it has heard what was decided.
+// A leader that was stopped must not count its old record as agreed when it resumes, until it has received
+// what was decided in the meantime.
 func TestLeaderStopped(t *testing.T) {
 	f := start(t)
 	leader := f.Leader()
 	stopped := time.Now()
-	goOn := f.begin("stop", "ingress:"+leader, "")
-	f.note(other(leader), "meanwhile")
-	f.agreed(without(leader), "meanwhile")
+	resume := f.startFault("stop", "ingress:"+leader, "")
+	f.proposeNote(ingressOfOtherZone(leader), "meanwhile")
+	f.waitAgreed(without(leader), "meanwhile")
 	f.eventually("the lease to end", func() bool { return time.Since(stopped) > 3*time.Second })
-	goOn()
+	resume()
 	for range 20 {
 		s, err := f.Status(leader)
 		if err != nil {
@@ -173,51 +183,51 @@
 		}
 		record, _ := f.Call(leader, "FLEET RECORD")
 		if s.Standing == "agreed" && !strings.Contains(record, "meanwhile") {
-			t.Errorf("%s goes on by what was agreed before it was stopped: %+v", leader, s)
+			t.Errorf("%s has its record from before it was stopped as agreed: %+v", leader, s)
 		}
 	}
-	f.agreed(everyone, "meanwhile")
+	f.waitAgreed(allIngresses, "meanwhile")
 }
 
 func TestMajorityLostAndBack(t *testing.T) {
 	f := start(t)
-	f.note("c2", "kept")
-	a, b := f.begin("kill", "ingress:a1", ""), f.begin("kill", "ingress:b1", "")
-	f.standing("c1", "held")
-	f.standing("c2", "lapsed")
+	f.proposeNote("c2", "kept")
+	a, b := f.startFault("kill", "ingress:a1", ""), f.startFault("kill", "ingress:b1", "")
+	f.waitStanding("c1", "held")
+	f.waitStanding("c2", "lapsed")
 	if _, err := f.Call("c2", "FLEET NOTE alone"); err == nil {
 		t.Error("decided without a majority")
 	}
 	a()
 	b()
-	f.agreed(everyone, "alone") // what waited was decided once there was a majority
+	f.waitAgreed(allIngresses, "alone") // the pending change was decided once there was a majority again
 }
 
 func TestZoneCutOffAndHealed(t *testing.T) {
 	f := start(t)
-	heal := f.begin("cut", "zone:a", "")
-	f.standing("a2", "lapsed")
-	f.note("b2", "others")
-	f.agreed(without("a1", "a2"), "others")
+	heal := f.startFault("cut", "zone:a", "")
+	f.waitStanding("a2", "lapsed")
+	f.proposeNote("b2", "others")
+	f.waitAgreed(without("a1", "a2"), "others")
 	heal()
-	f.agreed(everyone, "others")
+	f.waitAgreed(allIngresses, "others")
 }
 
 func TestOneWayCut(t *testing.T) {
 	f := start(t)
-	heal := f.begin("cut-oneway", "zone:a", "zone:b")
-	f.note("c2", "one-way")
+	heal := f.startFault("cut-oneway", "zone:a", "zone:b")
+	f.proposeNote("c2", "one-way")
 	heal()
-	f.agreed(everyone, "one-way")
+	f.waitAgreed(allIngresses, "one-way")
 }
 
-// Two zones don't hear each other, and both hear the third: what is decided reaches all.
+// Two zones can't reach each other, and both reach the third: decisions must still arrive everywhere.
 func TestTwoZonesCutFromEachOther(t *testing.T) {
 	f := start(t)
-	heal := f.begin("cut", "zone:a", "zone:b")
-	f.note("c2", "by-the-third")
+	heal := f.startFault("cut", "zone:a", "zone:b")
+	f.proposeNote("c2", "by-the-third")
 	heal()
-	f.agreed(everyone, "by-the-third")
+	f.waitAgreed(allIngresses, "by-the-third")
 }
 
 func TestLossAndDelayOnAllLinks(t *testing.T) {
@@ -226,22 +236,23 @@
 		on, to := "ingresses:"+pair[0], "ingresses:"+pair[1]
 		f.fault(rig.Fault{Do: "lose", On: on, To: to, Share: 0.2, By: "200ms"})
 	}
-	f.note("a2", "slowly")
-	f.agreed(everyone, "slowly")
-	f.note("b2", "but-surely")
-	f.agreed(everyone, "but-surely")
+	f.proposeNote("a2", "slowly")
+	f.waitAgreed(allIngresses, "slowly")
+	f.proposeNote("b2", "but-surely")
+	f.waitAgreed(allIngresses, "but-surely")
 }
 
 func TestAllRestartedOneByOne(t *testing.T) {
 	f := start(t)
-	f.note("a2", "older-than-any-process")
-	for _, name := range everyone {
-		f.begin("restart", "ingress:"+name, "")
-		f.agreed(everyone, "older-than-any-process")
+	f.proposeNote("a2", "older-than-any-process")
+	for _, name := range allIngresses {
+		f.startFault("restart", "ingress:"+name, "")
+		f.waitAgreed(allIngresses, "older-than-any-process")
 	}
 }
 
-// The fleet's key is changed while it decides; messages under a key that is gone are dropped and counted.
+// The fleet's key is changed while it makes decisions; messages under a removed key must be dropped and
+// counted.
 func TestKeysChanged(t *testing.T) {
 	f := start(t)
 	first, second := []byte("a key of the rig"), []byte("and another one.")
@@ -249,8 +260,8 @@
 		if err := f.Rekey(keys...); err != nil {
 			t.Fatal(err)
 		}
-		f.note("b2", "with-keys-"+string(rune('0'+i)))
-		f.agreed(everyone, "with-keys-"+string(rune('0'+i)))
+		f.proposeNote("b2", "with-keys-"+string(rune('0'+i)))
+		f.waitAgreed(allIngresses, "with-keys-"+string(rune('0'+i)))
 	}
 	if err := f.Forge("a1", first); err != nil {
 		t.Fatal(err)
@@ -259,5 +270,5 @@
 		s, err := f.Status("a1")
 		return err == nil && s.Messages.Forged > 0
 	})
-	f.note("c2", "still-well")
+	f.proposeNote("c2", "still-well")
 }
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -13,31 +13,32 @@
 	"dunespoke/fleet/zones"
 )
 
-// Traffic is what of the ingress's own work the fleet decides about. The zero value is none.
+// Traffic connects the fleet's decisions to the traffic of the ingress. With the zero value the fleet
+// decides nothing about traffic.
 type Traffic struct {
-	Servers func() map[string][]string // addresses by zone, to try connections to
-	Avoid   func(zones []string)       // send nothing new there
-	Leave   func(bool)                 // take no clients
+	Servers func() map[string][]string // server addresses by zone, to probe with connections
+	Avoid   func(zones []string)       // send no new requests to these zones
+	Leave   func(bool)                 // whether to accept no clients
 }
 
-func (t Traffic) on() bool { return t.Avoid != nil }
+func (t Traffic) enabled() bool { return t.Avoid != nil }
 
-// Times of tries.
+// Timing of probes.
 const (
-	tryEvery = 500 * time.Millisecond
-	tryWait  = 300 * time.Millisecond // for a connection
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond // to establish a connection
 )
 
-// watch is what this ingress has seen of the zones, for its reports.
+// watch holds this ingress's observations of the zones, for its reports.
 type watch struct {
-	mu     sync.Mutex
-	sums   zones.Collector
-	tried  map[string]bool
-	trying []string // zones; of all of them, everything
-	all    bool
+	mu       sync.Mutex
+	sums     zones.Collector
+	probed   map[string]bool // by zone: whether the latest probe succeeded
+	toProbe  []string        // zones to probe
+	probeAll bool            // probe all zones instead
 }
 
-// Ended takes the end of an attempt of this ingress's own. Any goroutine may call it.
+// Ended records the end of an attempt of this ingress. It is safe for concurrent use.
 func (n *Node) Ended(zone string, failed bool, took time.Duration) {
 	w := &n.watch
 	w.mu.Lock()
@@ -45,7 +46,7 @@
 	w.sums.Ended(n.now(), zone, failed, took)
 }
 
-// Hung takes an attempt of this ingress's own that is not answered yet. Any goroutine may call it.
+// Hung records an attempt of this ingress that has not been answered yet. It is safe for concurrent use.
 func (n *Node) Hung(zone string, took time.Duration) {
 	w := &n.watch
 	w.mu.Lock()
@@ -53,17 +54,18 @@
 	w.sums.Hung(n.now(), zone, took)
 }
 
-// steer reports what was seen, and has traffic follow what is decided.
-func (n *Node) steer(s *steer.Steer) {
+// applyDecisions reports this ingress's observations if a report is due, and applies the fleet's decisions to
+// its traffic.
+func (n *Node) applyDecisions(s *steer.Steer) {
 	now := n.now()
 	if s.Due(now) {
 		w := &n.watch
 		w.mu.Lock()
 		sums, tried := w.sums.Sums(now), map[string]bool{}
-		for zone, well := range w.tried {
-			tried[zone] = well
+		for zone, succeeded := range w.probed {
+			tried[zone] = succeeded
 		}
-		w.trying, w.all = s.ToTry()
+		w.toProbe, w.probeAll = s.ToTry()
 		w.mu.Unlock()
 		s.Report(now, sums, tried)
 	}
@@ -82,14 +84,16 @@
 	n.c.Traffic.Avoid(c.Down)
 	n.c.Traffic.Leave(c.Ill)
 	n.c.Log.Info().Str("code", "fleet-zones").Uint64("epoch", c.Epoch).Strs("left_alone", c.Down).
-		Bool("ill", c.Ill).Bool("by_itself", c.ByItself).Str("by", c.By).Str("why", c.Why).Msg("table of zones")
+		Bool("ill", c.Ill).Bool("by_itself", c.ByItself).Str("by", c.By).Str("why", c.Why).
+		Msg("traffic decision changed")
 }
 
-// Order has staff's orders changed in common.
+// Order proposes a change of the operators' orders. The change function gets the present orders and returns
+// the new ones.
 func (n *Node) Order(why string, change func(now time.Duration, o *zones.Orders) *zones.Orders) error {
 	orders := &zones.Orders{}
 	if err := steer.Read(n.Record().Entries[steer.OrdersKey], orders); err != nil {
-		return fmt.Errorf("the orders so far: %w", err)
+		return fmt.Errorf("decoding the present orders: %w", err)
 	}
 	value, err := json.Marshal(change(n.now(), orders))
 	if err != nil {
@@ -98,9 +102,10 @@
 	return n.Put(steer.OrdersKey, value, why)
 }
 
-// try connects to servers of the zones in question, one after the other, and closes at once.
-func (n *Node) try(ctx context.Context) {
-	tick := time.NewTicker(tryEvery)
+// probe connects to one server of each zone to be probed, one after the other, and closes the connections
+// at once. It repeats this every probeInterval.
+func (n *Node) probe(ctx context.Context) {
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	w := &n.watch
 	for i := 0; ; i++ {
@@ -110,31 +115,32 @@
 		case <-tick.C:
 		}
 		w.mu.Lock()
-		trying, all := w.trying, w.all
+		zoneNames, all := w.toProbe, w.probeAll
 		w.mu.Unlock()
 		var results map[string]bool
-		if all || len(trying) > 0 {
+		if all || len(zoneNames) > 0 {
 			results = map[string]bool{}
 			servers := n.c.Traffic.Servers()
 			if all {
 				for zone := range servers {
-					trying = append(trying, zone)
+					zoneNames = append(zoneNames, zone)
 				}
 			}
-			for _, zone := range trying {
+			for _, zone := range zoneNames {
 				if addrs := servers[zone]; len(addrs) > 0 {
-					results[zone] = connects(ctx, addrs[i%len(addrs)])
+					results[zone] = canConnect(ctx, addrs[i%len(addrs)])
 				}
 			}
 		}
 		w.mu.Lock()
-		w.tried = results
+		w.probed = results
 		w.mu.Unlock()
 	}
 }
 
-func connects(ctx context.Context, addr string) bool {
-	d := net.Dialer{Timeout: tryWait}
+// canConnect reports whether a TCP connection to addr can be established within probeTimeout.
+func canConnect(ctx context.Context, addr string) bool {
+	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
