--- a/fleet/common/machine.go
+++ b/fleet/common/machine.go
@@ -140,9 +140,9 @@
 	return Lapsed
 }
 
-// Fresh returns the time at which a majority last confirmed the record, as far as this member knows, as
-// Unix time.
-func (m *Machine) Fresh() time.Duration { return m.confirmedAt }
+// ConfirmedAt returns the time at which a majority last confirmed the record, as far as this member knows,
+// as Unix time.
+func (m *Machine) ConfirmedAt() time.Duration { return m.confirmedAt }
 
 // Leader returns the name of the last known leader, or "" if there was none.
 func (m *Machine) Leader() string { return m.leader }
@@ -172,8 +172,8 @@
 	m.processReady()
 }
 
-// Waiting returns the number of changes proposed by this member whose result is not known yet.
-func (m *Machine) Waiting() int { return len(m.pending) }
+// PendingChanges returns the number of changes proposed by this member whose result is not known yet.
+func (m *Machine) PendingChanges() int { return len(m.pending) }
 
 // Forget stops proposing a change. The change may still be applied if it was already sent.
 func (m *Machine) Forget(id string) { delete(m.pending, id) }
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -265,7 +265,7 @@
 	err := n.call(func(m *steer.Steer, now time.Duration) {
 		r := m.Record()
 		s.Standing, s.Generation, s.Epoch = m.Standing(now).String(), r.Generation, r.Epoch
-		s.Leader, s.Leads, s.FreshMS = m.Leader(), m.Leads(now), (now - m.Fresh()).Milliseconds()
+		s.Leader, s.Leads, s.FreshMS = m.Leader(), m.Leads(now), (now - m.ConfirmedAt()).Milliseconds()
 	})
 	if members := n.members.Load(); members != nil {
 		s.Members, s.Messages = members.List(), members.Counts()
@@ -319,7 +319,7 @@
 	id := fmt.Sprintf("%s-%x", n.c.Name, life)
 	tooMany := false
 	err = n.call(func(m *steer.Steer, now time.Duration) {
-		if tooMany = m.Waiting() >= maxPendingChanges; tooMany {
+		if tooMany = m.PendingChanges() >= maxPendingChanges; tooMany {
 			return
 		}
 		m.Propose(now, common.Change{ID: id, Key: key, Base: m.Record().Entries[key].Epoch, Value: value,
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -65,7 +65,7 @@
 		for zone, succeeded := range w.probed {
 			tried[zone] = succeeded
 		}
-		w.toProbe, w.probeAll = s.ToTry()
+		w.toProbe, w.probeAll = s.ZonesToProbe()
 		w.mu.Unlock()
 		s.Report(now, sums, tried)
 	}
@@ -84,7 +84,7 @@
 	n.c.Traffic.Avoid(c.Down)
 	n.c.Traffic.Leave(c.Ill)
 	n.c.Log.Info().Str("code", "fleet-zones").Uint64("epoch", c.Epoch).Strs("left_alone", c.Down).
-		Bool("ill", c.Ill).Bool("by_itself", c.ByItself).Str("by", c.By).Str("why", c.Why).
+		Bool("ill", c.Ill).Bool("by_itself", c.Independent).Str("by", c.By).Str("why", c.Why).
 		Msg("traffic decision changed")
 }
 
--- a/fleet/steer/steer.go
+++ b/fleet/steer/steer.go
@@ -41,11 +41,11 @@
 
 // Course says how an ingress handles its traffic.
 type Course struct {
-	Down     []string // zones whose servers get no new requests
-	Ill      bool     // it reaches no zone, and accepts no clients
-	ByItself bool     // the record is neither agreed nor held: only this ingress's own observations count
-	Epoch    uint64   // epoch of the decision behind it
-	By, Why  string   // proposer of that decision and its reason
+	Down        []string // zones whose servers get no new requests
+	Ill         bool     // it reaches no zone, and accepts no clients
+	Independent bool     // the record is neither agreed nor held: the ingress acts on its own observations
+	Epoch       uint64   // epoch of the decision behind it
+	By, Why     string   // proposer of that decision and its reason
 }
 
 // Steer is the decision state of one ingress. It is not safe for concurrent use.
@@ -74,7 +74,7 @@
 // New returns the state of an ingress in a zone, at a Unix time.
 func New(c common.Config, zone string, now time.Duration) *Steer {
 	return &Steer{Machine: common.New(c, now), name: c.Name, zone: zone, decider: zones.NewDecider(),
-		table: &zones.Table{}, orders: &zones.Orders{}, course: Course{ByItself: true}, lastSent: now}
+		table: &zones.Table{}, orders: &zones.Orders{}, course: Course{Independent: true}, lastSent: now}
 }
 
 // Take returns the messages queued for sending since the last call.
@@ -114,7 +114,7 @@
 		return fmt.Errorf("report from %s: %w", from, err)
 	}
 	r.From = from // the authenticated sender, whatever the report says
-	s.decider.Hear(now, r)
+	s.decider.AddReport(now, r)
 	return nil
 }
 
@@ -148,15 +148,15 @@
 // Report sends the observations of this ingress to the leader, if its report interval has elapsed. New
 // failures must have lasted for a quarter of the interval. If this ingress is the leader, it processes its
 // observations itself and may propose a new table.
-func (s *Steer) Report(now time.Duration, sums map[string]zones.Sum, tried map[string]bool) {
+func (s *Steer) Report(now time.Duration, sums map[string]zones.Sum, probed map[string]bool) {
 	s.lastReport = now
-	r := zones.Report{From: s.name, Zone: s.zone, Sums: sums, Tried: tried}
+	r := zones.Report{From: s.name, Zone: s.zone, Sums: sums, Probed: probed}
 	if s.Leads(now) {
-		s.decider.Hear(now, r)
+		s.decider.AddReport(now, r)
 		s.decide(now)
 		return
 	}
-	failing := len(tried) > 0 || s.course.Ill
+	failing := len(probed) > 0 || s.course.Ill
 	for _, sum := range sums {
 		failing = failing || sum.Bad()
 	}
@@ -213,7 +213,7 @@
 	r, standing := s.Record(), s.Standing(now)
 	e, o := r.Entries[ZonesKey], r.Entries[OrdersKey]
 	independent := standing != common.Agreed && standing != common.Held
-	unchanged := e.Epoch == s.tableEpoch && o.Epoch == s.ordersEpoch && independent == s.course.ByItself
+	unchanged := e.Epoch == s.tableEpoch && o.Epoch == s.ordersEpoch && independent == s.course.Independent
 	if unchanged && now-s.lastFollow < reportEvery {
 		return false
 	}
@@ -225,7 +225,7 @@
 			s.errs = append(s.errs, fmt.Errorf("decoding the table of zones and the orders: %w", err))
 		}
 	}
-	next := Course{ByItself: independent, Epoch: max(e.Epoch, o.Epoch), By: e.By, Why: e.Why}
+	next := Course{Independent: independent, Epoch: max(e.Epoch, o.Epoch), By: e.By, Why: e.Why}
 	if o.Epoch > e.Epoch {
 		next.By, next.Why = o.By, o.Why
 	}
@@ -248,10 +248,10 @@
 	return json.Unmarshal(e.Value, into)
 }
 
-// ToTry returns the zones that this ingress should probe with connections: those that are down for its
-// zone, if it is among the first probersPerZone healthy ingresses of the zone. For an
-// unhealthy ingress all is true: it probes every zone.
-func (s *Steer) ToTry() (down []string, all bool) {
+// ZonesToProbe returns the zones that this ingress should probe with connections: those that are down for
+// its zone, if it is among the first probersPerZone healthy ingresses of the zone. For an unhealthy ingress all
+// is true: it probes every zone.
+func (s *Steer) ZonesToProbe() (down []string, all bool) {
 	if s.course.Ill {
 		return nil, true
 	}
@@ -261,7 +261,7 @@
 			healthyBefore++
 		}
 	}
-	if healthyBefore >= probersPerZone || s.course.ByItself {
+	if healthyBefore >= probersPerZone || s.course.Independent {
 		return nil, false
 	}
 	return s.table.Down(s.zone), false
--- a/fleet/zones/collect.go
+++ b/fleet/zones/collect.go
@@ -12,17 +12,17 @@
 
 // Sum counts the results of attempts to one zone within the window.
 type Sum struct {
-	Ended  int `json:"n"` // attempts that ended, with or without an answer
-	Failed int `json:"f"` // of these: no connection, connection lost, timeout or error
-	Row    int `json:"r"` // current run of consecutive failures, see Collector
+	Ended      int `json:"n"` // attempts that ended, with or without an answer
+	Failed     int `json:"f"` // of these: no connection, connection lost, timeout or error
+	FailureRun int `json:"r"` // current run of consecutive failures, see Collector
 }
 
 // Report contains the observations of one ingress.
 type Report struct {
-	From  string          `json:"from"`
-	Zone  string          `json:"zone"`
-	Sums  map[string]Sum  `json:"sums"`            // by zone of the servers
-	Tried map[string]bool `json:"tried,omitempty"` // by probed zone: whether a connection succeeded
+	From   string          `json:"from"`
+	Zone   string          `json:"zone"`
+	Sums   map[string]Sum  `json:"sums"`            // by zone of the servers
+	Probed map[string]bool `json:"tried,omitempty"` // by probed zone: whether a connection succeeded
 }
 
 // failureRun is a number of consecutive failed attempts, and the time of the last one.
@@ -124,7 +124,7 @@
 			continue
 		}
 		s := all[zone]
-		s.Row = r.n
+		s.FailureRun = r.n
 		all[zone] = s
 	}
 	return all
--- a/fleet/zones/decide.go
+++ b/fleet/zones/decide.go
@@ -85,8 +85,8 @@
 // maxReports limits the number of ingresses whose reports are kept.
 const maxReports = 4096
 
-// Hear stores a report in place of the earlier one of the same ingress.
-func (d *Decider) Hear(now time.Duration, r Report) {
+// AddReport stores a report in place of the earlier one of the same ingress.
+func (d *Decider) AddReport(now time.Duration, r Report) {
 	old := d.reports[r.From]
 	if old == nil && len(d.reports) >= maxReports {
 		return
@@ -95,7 +95,7 @@
 	if old != nil {
 		h.unhealthySince = old.unhealthySince
 	}
-	for zone, reachable := range r.Tried {
+	for zone, reachable := range r.Probed {
 		if !reachable {
 			continue
 		}
@@ -181,7 +181,7 @@
 			for to := range h.Sums {
 				all[to] = true
 			}
-			for to := range h.Tried {
+			for to := range h.Probed {
 				all[to] = true
 			}
 		}
@@ -194,14 +194,14 @@
 
 // Bad reports whether these counts show a zone as down.
 func (s Sum) Bad() bool {
-	return s.Row >= badFailureRun || s.Ended >= minAttempts &&
+	return s.FailureRun >= badFailureRun || s.Ended >= minAttempts &&
 		float64(s.Failed) >= badFailureShare*float64(s.Ended)
 }
 
 // healthy reports whether the ingress has made enough attempts to a zone and few of them failed.
 func (h *receivedReport) healthy(to string) bool {
 	s := h.Sums[to]
-	return s.Ended >= minAttempts && s.Row < badFailureRun &&
+	return s.Ended >= minAttempts && s.FailureRun < badFailureRun &&
 		float64(s.Failed) <= goodFailureShare*float64(s.Ended)
 }
 
@@ -243,7 +243,7 @@
 func (d *Decider) reachableAgain(now time.Duration, t *Table, from, to string, minTime time.Duration) bool {
 	probed := false
 	for name, h := range d.reports {
-		if _, tried := h.Tried[to]; !tried || h.Zone != from || slices.Contains(t.Ill, name) {
+		if _, tried := h.Probed[to]; !tried || h.Zone != from || slices.Contains(t.Ill, name) {
 			continue
 		}
 		since, reachable := h.reachableSince[to]
@@ -285,12 +285,12 @@
 
 // reachesAll reports whether an ingress probes any zones and has reached all of them for the given time.
 func (h *receivedReport) reachesAll(now, minTime time.Duration) bool {
-	for zone := range h.Tried {
+	for zone := range h.Probed {
 		if since, reachable := h.reachableSince[zone]; !reachable || now-since < minTime {
 			return false
 		}
 	}
-	return len(h.Tried) > 0
+	return len(h.Probed) > 0
 }
 
 // isUnhealthy reports whether an ingress sees every zone with enough attempts as down while another
--- a/fleet/zones/decide_test.go
+++ b/fleet/zones/decide_test.go
@@ -31,7 +31,7 @@
 	changes := 0
 	for range 6 {
 		for _, r := range all {
-			d.Hear(now, r)
+			d.AddReport(now, r)
 		}
 		for why := "first"; why != ""; changes++ {
 			if table, why = d.Decide(now, table); changes > 40 {
@@ -101,7 +101,7 @@
 			if len(table.Down("a")) > 0 {
 				all[name].Sums["a"] = Sum{}
 				r := all[name]
-				r.Tried = map[string]bool{"a": up}
+				r.Probed = map[string]bool{"a": up}
 				all[name] = r
 			} else if !up {
 				all[name].Sums["a"] = failing
@@ -133,7 +133,7 @@
 					rapid.IntRange(-5, 50).Draw(rt, "failed"), rapid.IntRange(-5, 50).Draw(rt, "row")}
 				tried[z] = rapid.Bool().Draw(rt, "tried")
 			}
-			all["a1"] = Report{From: "a1", Zone: "a", Sums: sums, Tried: tried}
+			all["a1"] = Report{From: "a1", Zone: "a", Sums: sums, Probed: tried}
 			for _, z := range []string{"a", "b", "c"} {
 				all["a2"].Sums[z] = good
 			}
--- a/internal/lab/simulatedfleet/fleet.go
+++ b/internal/lab/simulatedfleet/fleet.go
@@ -110,7 +110,7 @@
 	in.Steer.Tick(now)
 	if in.Steer.Due(now) {
 		tried := map[string]bool{}
-		zones, _ := in.Steer.ToTry()
+		zones, _ := in.Steer.ZonesToProbe()
 		for _, to := range zones {
 			tried[to] = !f.Fails(in, to)
 		}
--- a/internal/lab/simulatedfleet/fleet_test.go
+++ b/internal/lab/simulatedfleet/fleet_test.go
@@ -62,11 +62,11 @@
 		}
 	}
 	f.Run(hold / 2)
-	if !left() || last.Steer.Course().ByItself {
+	if !left() || last.Steer.Course().Independent {
 		t.Error("the table does not hold")
 	}
 	f.Run(hold)
-	if c := last.Steer.Course(); len(c.Down) > 0 || !c.ByItself {
+	if c := last.Steer.Course(); len(c.Down) > 0 || !c.Independent {
 		t.Errorf("%+v: want it to go by itself", c)
 	}
 }
