--- a/fleet/common/explore_test.go
+++ b/fleet/common/explore_test.go
@@ -151,13 +151,14 @@
 	f.sendAndCheck(to)
 }
 
+// resume continues a stalled process, which first receives the messages that arrived meanwhile.
 func (f *fleet) resume(name string) {
 	n := f.nodes[name]
 	n.stalled = false
-	waiting := n.queued
+	queued := n.queued
 	n.queued = nil
-	for _, w := range waiting {
-		w()
+	for _, deliver := range queued {
+		deliver()
 	}
 }
 
@@ -219,10 +220,10 @@
 // majorityWithout reports whether the group keeps a majority of voters with their state if name crashes. A
 // restarted voter counts once the leader has added it.
 func (f *fleet) majorityWithout(name string) bool {
-	in := 0
-	for _, lead := range f.names {
-		if m := f.nodes[lead].m; f.nodes[lead].up && m.Leads(f.net.Now()) {
-			in = 0
+	count := 0
+	for _, leader := range f.names {
+		if m := f.nodes[leader].m; f.nodes[leader].up && m.Leads(f.net.Now()) {
+			count = 0
 			for _, v := range f.voters {
 				// A voter that has not received the latest configuration would still wait for removed
 				// voters.
@@ -231,16 +232,16 @@
 					g.confState.Equivalent(m.group.confState) == nil &&
 					slices.Contains(g.confState.GetVoters(), g.id) &&
 					len(g.confState.GetVotersOutgoing()) == 0 {
-					in++
+					count++
 				}
 			}
 		}
 	}
-	return in > len(f.voters)/2
+	return count > len(f.voters)/2
 }
 
-// healAndCheck ends all faults and returns an error text unless all members have the same agreed record 20
-// s later.
+// healAndCheck ends all faults and returns an error text unless all members have the same agreed
+// record 20 s later.
 func (f *fleet) healAndCheck() string {
 	clear(f.cuts)
 	f.net.Loss, f.net.Delay = 0, time.Millisecond
--- a/fleet/common/machine.go
+++ b/fleet/common/machine.go
@@ -140,8 +140,8 @@
 	return Lapsed
 }
 
-// ConfirmedAt returns the time at which a majority last confirmed the record, as far as this member knows,
-// as Unix time.
+// ConfirmedAt returns the time at which a majority last confirmed the record, as far as this member
+// knows, as Unix time.
 func (m *Machine) ConfirmedAt() time.Duration { return m.confirmedAt }
 
 // Leader returns the name of the last known leader, or "" if there was none.
@@ -150,6 +150,7 @@
 // Leads reports whether this member is the leader and was confirmed by a majority within the lease.
 func (m *Machine) Leads(now time.Duration) bool { return m.isLeader() && now < m.confirmedAt+m.c.Lease }
 
+// isLeader reports whether this member considers itself the Raft leader, confirmed or not.
 func (m *Machine) isLeader() bool {
 	return m.group != nil && m.group.node.BasicStatus().RaftState == raft.StateLeader
 }
@@ -230,11 +231,13 @@
 	return nil
 }
 
+// send queues a message for Take.
 func (m *Machine) send(to string, e *envelope) {
 	e.Life = m.c.Life
 	m.outgoing = append(m.outgoing, Message{to, e.encode()})
 }
 
+// addError queues an error for Err. At most 16 are kept.
 func (m *Machine) addError(err error) {
 	if err != nil && len(m.errs) < 16 {
 		m.errs = append(m.errs, err)
@@ -308,8 +311,8 @@
 // to be founded from it.
 func (m *Machine) reserveRecord() {
 	if m.group != nil && m.group.hasCommitted() {
-		if far := m.group.recordWithUncommitted(); far.Newer(m.bestRecord()) {
-			m.reservedRecord = far
+		if uncommitted := m.group.recordWithUncommitted(); uncommitted.Newer(m.bestRecord()) {
+			m.reservedRecord = uncommitted
 		}
 	}
 }
@@ -321,13 +324,15 @@
 		best = m.reservedRecord
 	}
 	if m.group != nil && m.group.hasCommitted() {
-		if far := m.group.recordWithUncommitted(); far.Newer(best) {
-			best = far
+		if uncommitted := m.group.recordWithUncommitted(); uncommitted.Newer(best) {
+			best = uncommitted
 		}
 	}
 	return best
 }
 
+// handleReady processes one raft.Ready: it stores the new log entries before it sends messages, and then
+// applies committed entries and confirmations.
 func (m *Machine) handleReady(g *group, rd raft.Ready) error {
 	if rd.HardState != nil {
 		if err := g.store.SetHardState(rd.HardState); err != nil {
@@ -362,6 +367,8 @@
 	return nil
 }
 
+// sendRaft sends a Raft message to the member that its receiver ID belongs to. Messages to unknown IDs are
+// dropped.
 func (m *Machine) sendRaft(g *group, msg *raftpb.Message) {
 	name, known := g.voterNames[msg.GetTo()]
 	if !known {
@@ -456,7 +463,7 @@
 		}
 		m.adoptRecord(e.Record)
 	}
-	// A time that is later than this member's clock would extend the lease.
+	// A confirmation time that is later than this member's clock would extend the lease.
 	m.confirmedAt = max(m.confirmedAt, min(time.Duration(e.ConfirmedAt), m.now))
 }
 
@@ -548,6 +555,7 @@
 		}
 		return
 	}
+	// Only the first live voter founds a group, unless an operator forces a recovery.
 	for _, name := range m.c.Voters {
 		if m.peers[name].Alive && !m.forceRecovery {
 			if name != m.c.Name {
@@ -576,7 +584,7 @@
 		}
 	}
 	switch {
-	case m.canElect():
+	case m.canElect(): // wait for that group's election
 	case answered == len(m.c.Voters) || m.forceRecovery && m.now-m.foundingSince > answerTimeout:
 		m.foundGroup()
 	}
--- a/fleet/common/record.go
+++ b/fleet/common/record.go
@@ -89,6 +89,8 @@
 	return next
 }
 
+// refusalReason returns why a change is refused, or "" if it is applied. The texts are stored in the
+// replicated record, so all versions must use the same ones.
 func (r *Record) refusalReason(c Change) string {
 	_, known := r.Entries[c.Key]
 	switch at := r.Entries[c.Key].Epoch; {
--- a/fleet/common/wire.go
+++ b/fleet/common/wire.go
@@ -43,6 +43,7 @@
 	Voters      [][]uint64        `json:"vs,omitempty"` // of the sender's group; two sets during a change
 }
 
+// encode returns the JSON form of the message.
 func (e *envelope) encode() []byte {
 	data, err := json.Marshal(e)
 	if err != nil { // can't happen: all values are valid JSON
@@ -53,6 +54,7 @@
 
 var errMessageTooLong = errors.New("message too long")
 
+// decode parses a message. It returns errMessageTooLong for more than maxMessageBytes.
 func decode(data []byte) (*envelope, error) {
 	if len(data) > maxMessageBytes {
 		return nil, errMessageTooLong
--- a/fleet/member/frame.go
+++ b/fleet/member/frame.go
@@ -25,6 +25,7 @@
 
 var errTruncated = errors.New("message truncated")
 
+// readFrame decodes a frame. Its data shares memory with b.
 func readFrame(b []byte) (frame, error) {
 	if len(b) < 1 || len(b) < 1+int(b[0])+16 {
 		return frame{}, errTruncated
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -166,6 +166,7 @@
 	}
 }
 
+// meta returns what this member announces about itself in the given incarnation.
 func (n *Node) meta(life uint64) member.Meta {
 	return member.Meta{Life: life, Zone: n.c.Zone, Region: n.c.Region, Version: messageVersion}
 }
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -21,6 +21,7 @@
 	Leave   func(bool)                 // whether to accept no clients
 }
 
+// enabled reports whether the fleet decides about traffic.
 func (t Traffic) enabled() bool { return t.Avoid != nil }
 
 // Timing of probes.
--- a/fleet/steer/steer.go
+++ b/fleet/steer/steer.go
@@ -249,8 +249,8 @@
 }
 
 // ZonesToProbe returns the zones that this ingress should probe with connections: those that are down for
-// its zone, if it is among the first probersPerZone healthy ingresses of the zone. For an unhealthy ingress all
-// is true: it probes every zone.
+// its zone, if it is among the first probersPerZone healthy ingresses of the zone. For an unhealthy ingress
+// all is true: it probes every zone.
 func (s *Steer) ZonesToProbe() (down []string, all bool) {
 	if s.course.Ill {
 		return nil, true
--- a/fleet/zones/decide.go
+++ b/fleet/zones/decide.go
@@ -37,8 +37,8 @@
 
 // Thresholds and times of the decisions.
 const (
-	// A report of an ingress on a zone counts from this number of attempts on, or with badFailureRun consecutive
-	// failures.
+	// A report of an ingress on a zone counts from this number of attempts on, or with badFailureRun
+	// consecutive failures.
 	minAttempts   = 5
 	badFailureRun = 3
 
@@ -56,8 +56,8 @@
 	// After a link came up it stays up for this time: until then reports may contain older results.
 	settleTime = reportTTL + 500*time.Millisecond
 
-	// An ingress must look unhealthy for this time, because one ingress notices the failure of a zone before the
-	// others do.
+	// An ingress must look unhealthy for this time, because one ingress notices the failure of a zone before
+	// the others do.
 	unhealthyAfter   = time.Second
 	minUnhealthyTime = 3 * time.Second // for which an ingress stays marked as unhealthy
 )
