--- a/fleet/zones/decide.go
+++ b/fleet/zones/decide.go
@@ -139,7 +139,7 @@
 					l.Flaps = 0
 				}
 				next.Links[name] = Link{Down: true, Since: ms, Flaps: l.Flaps}
-				return next, fmt.Sprintf("zone %s does not answer requests from zone %s: %s", to, from,
+				return next, fmt.Sprintf("zone %s does not answer to zone %s: %s", to, from,
 					d.evidence(next, from, to))
 			case l.Down && since >= minDowntimeAfter(l.Flaps) &&
 				d.reachableAgain(now, next, from, to, minDowntimeAfter(l.Flaps)/2):
@@ -149,7 +149,7 @@
 						delete(h.Sums, to)
 					}
 				}
-				return next, fmt.Sprintf("zone %s accepts connections from zone %s again", to, from)
+				return next, fmt.Sprintf("zone %s takes connections of zone %s again", to, from)
 			}
 		}
 	}
