--- a/internal/net/accept/accept_test.go
+++ b/internal/net/accept/accept_test.go
@@ -274,8 +274,8 @@
 	return nil
 }
 
-// During a drain, Exchange.TimeLeft returns the time until the exit. Shortly before the exit, a client that is
-// still sending its request gets a 503.
+// During a drain, Exchange.TimeLeft returns the time until the exit. Shortly before the exit, a client that
+// is still sending its request gets a 503.
 func TestDrainRefusesIncompleteRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, o := scenario.NewNet(), Platform
--- a/internal/net/accept/exchange.go
+++ b/internal/net/accept/exchange.go
@@ -36,10 +36,11 @@
 	onEnd       func(whole bool) // see OnEnd; may be nil
 }
 
-// SetTerms sets the limits of the exchange and, if reservation is not nil, the transfer that its bodies' memory is
-// reserved from. Up to replay bytes of a streamed body are kept for retries. The Streamer may call it until
-// Stream returns.
-func (x *Exchange) SetTerms(t *transfer.Terms, reservation *flow.Transfer, replay int, clock func() time.Duration) {
+// SetTerms sets the limits of the exchange and, if reservation is not nil, the transfer that its bodies'
+// memory is reserved from. Up to replay bytes of a streamed body are kept for retries. The Streamer may call
+// it until Stream returns.
+func (x *Exchange) SetTerms(t *transfer.Terms, reservation *flow.Transfer, replay int,
+	clock func() time.Duration) {
 	x.conn.mu.Lock()
 	defer x.conn.mu.Unlock()
 	x.terms, x.reservation, x.clock = t, reservation, clock
--- a/internal/net/accept/response.go
+++ b/internal/net/accept/response.go
@@ -93,8 +93,8 @@
 	c.cut("answered-last")
 }
 
-// beginResponse marks the response as begun and reports whether the connection closes after it. It must be called
-// with mu held.
+// beginResponse marks the response as begun and reports whether the connection closes after it. It must be
+// called with mu held.
 func (c *streamConnection) beginResponse(x *Exchange) bool {
 	x.responding = true
 	c.closeAfter = c.closeAfter || !x.complete || c.server.Draining() || c.server.overHalfFull()
--- a/internal/net/accept/server.go
+++ b/internal/net/accept/server.go
@@ -95,7 +95,8 @@
 	if s.streams != nil {
 		return newStreamConnection(s, nc, now)
 	}
-	return &bufferedConnection{server: s, netConn: nc, frames: http1.NewRequests(s.limits), since: now, lastUsed: now}
+	return &bufferedConnection{server: s, netConn: nc, frames: http1.NewRequests(s.limits), since: now,
+		lastUsed: now}
 }
 
 // all returns the open connections.
--- a/internal/net/accept/slots.go
+++ b/internal/net/accept/slots.go
@@ -10,9 +10,9 @@
 	since time.Time
 }
 
-// The ranks of connections. At worst, a client whose idle connection is closed repeats its request on another.
-// A client whose first request is not read sees a failure, and that request may be on the network, or received
-// and unread while this process waits for the CPU.
+// The ranks of connections. At worst, a client whose idle connection is closed repeats its request on
+// another. A client whose first request is not read sees a failure, and that request may be on the network,
+// or received and unread while this process waits for the CPU.
 const (
 	rankDone   = iota // closed, or its last response was sent
 	rankSilent        // no complete request was received for silentTimeout
@@ -21,9 +21,9 @@
 	rankBusy          // a request is being answered: never evicted
 )
 
-// recentlyConnected reports whether a connection is so new that its first request may still be on the network.
-// During a drain, such connections are kept open for a moment; otherwise clients that connected just before the
-// listener closed would be disconnected before their requests are read.
+// recentlyConnected reports whether a connection is so new that its first request may still be on the
+// network. During a drain, such connections are kept open for a moment; otherwise clients that connected just
+// before the listener closed would be disconnected before their requests are read.
 func recentlyConnected(requests int, since time.Time) bool {
 	return requests == 0 && time.Since(since) < newConnectionGrace
 }
--- a/internal/net/accept/timeouts.go
+++ b/internal/net/accept/timeouts.go
@@ -14,7 +14,7 @@
 	writeTimeout       = 5 * time.Second         // to write a buffered response
 	idleTimeout        = 2 * time.Second         // between requests; clients have few connections, too
 	slotPollInterval   = 10 * time.Millisecond   // between searches for a connection to evict
-	lateReadTimeout    = 2 * time.Millisecond    // to read input that arrived while this process was not scheduled
+	lateReadTimeout    = 2 * time.Millisecond    // to read input received while the process was not scheduled
 	silentTimeout      = time.Second             // without a complete request, then the first to be evicted
 	refusalLeadTime    = 150 * time.Millisecond  // before the exit, when incomplete requests are refused
 	newConnectionGrace = 100 * time.Millisecond  // for the first request, before eviction or a close by a drain
--- a/internal/net/accept/whole_connection.go
+++ b/internal/net/accept/whole_connection.go
@@ -33,8 +33,9 @@
 	lastUsed       time.Time // when the last response was written, or the connection accepted
 }
 
-// maxPipelinedBytes limits the input that is buffered while a request is being answered: one complete request.
-// Beyond it, and beyond the size limits of a request, the connection closes after the current response.
+// maxPipelinedBytes limits the input that is buffered while a request is being answered: one complete
+// request. Beyond it, and beyond the size limits of a request, the connection closes after the current
+// response.
 const maxPipelinedBytes = 96 << 10
 
 // read reads requests until the connection ends.
@@ -65,7 +66,8 @@
 			default:
 				c.received += n
 			}
-			c.closeAfter = c.closeAfter || c.frames.Buffered() > max(maxPipelinedBytes, c.server.limits.Head+c.server.limits.Body)
+			c.closeAfter = c.closeAfter ||
+				c.frames.Buffered() > max(maxPipelinedBytes, c.server.limits.Head+c.server.limits.Body)
 		}
 		switch {
 		case err == nil || c.ended:
--- a/internal/net/forward/connection.go
+++ b/internal/net/forward/connection.go
@@ -13,8 +13,8 @@
 	"dunespoke/internal/net/direct"
 )
 
-// connection is a connection to a server. Its reader waits for input also while the connection is idle, so that
-// it notices at once when the server closes it.
+// connection is a connection to a server. Its reader waits for input also while the connection is idle, so
+// that it notices at once when the server closes it.
 type connection struct {
 	forwarder   *Forwarder
 	netConn     net.Conn
@@ -33,7 +33,7 @@
 	out          []byte
 	exchange     *exchange     // nil while idle
 	writing      bool          // the request head, or a whole request, is being written
-	sentNotify   chan struct{} // closed once the request was sent completely; nil: the reader isn't waiting for that
+	sentNotify   chan struct{} // closed once the request was sent completely; nil: the reader is not waiting
 	readErr      error         // read error that occurred while the request was being written
 	ended        bool
 	closeOnce    sync.Once
@@ -52,8 +52,8 @@
 }
 
 // receive reads input, but only while the connection carries an attempt. Input on an idle connection stays
-// unread, so that write can detect it before it sends a request. Otherwise such input could be read just before
-// the next request is written, and be taken for its response.
+// unread, so that write can detect it before it sends a request. Otherwise such input could be read just
+// before the next request is written, and be taken for its response.
 func (c *connection) receive(buf []byte) (int, error) {
 	if g, ok := c.netConn.(wantedReader); ok {
 		return g.ReadWanted(buf, &c.mu, func() bool { return c.exchange != nil || c.ended })
@@ -123,8 +123,8 @@
 }
 
 // handleTimeout handles an expired read deadline. It ends an idle connection, unless an attempt has just
-// acquired it, and an attempt whose response head is overdue or whose response has stalled. It reports whether
-// to continue to read.
+// acquired it, and an attempt whose response head is overdue or whose response has stalled. It reports
+// whether to continue to read.
 func (c *connection) handleTimeout(x *exchange, responseStarted bool) bool {
 	switch {
 	case x == nil && c.forwarder.remove(c):
--- a/internal/net/forward/exchange.go
+++ b/internal/net/forward/exchange.go
@@ -171,8 +171,8 @@
 
 // write writes the request to a connection. If that fails before a byte was written, the request has not run
 // and the attempt ends as refused; after that it may have run, and the attempt ends as reset. write reports
-// false if it wrote nothing and did not end the attempt, because the attempt was aborted or the connection has
-// ended or has unsolicited input.
+// false if it wrote nothing and did not end the attempt, because the attempt was aborted or the connection
+// has ended or has unsolicited input.
 func (x *exchange) write(c *connection) bool {
 	c.mu.Lock()
 	msg := x.Payload.(Message).Append(c.out[:0], x.Server, x.Timeout)
--- a/internal/net/forward/forward_bench_test.go
+++ b/internal/net/forward/forward_bench_test.go
@@ -22,8 +22,8 @@
 	return append(buf, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"...)
 }
 
-// BenchmarkAdded measures the latency that this stage adds to a server's 5 ms at 600 and 2,500 requests a second
-// in an open loop, in microseconds at the median and the 99th percentile:
+// BenchmarkAdded measures the latency that this stage adds to a server's 5 ms at 600 and 2,500 requests a
+// second in an open loop, in microseconds at the median and the 99th percentile:
 //
 //	go test ./internal/net/forward -run xxx -bench Added -benchtime 3000x
 func BenchmarkAdded(b *testing.B) {
--- a/internal/net/forward/forward_test.go
+++ b/internal/net/forward/forward_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// For servers that need the complete request to begin, a request whose body was cut off before its last byte has
-// not run.
+// For servers that need the complete request to begin, a request whose body was cut off before its last byte
+// has not run.
 func TestRequestHasNotRunBeforeItsLastByte(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -87,8 +87,8 @@
 	return r.Conn.Close()
 }
 
-// An aborted attempt whose last byte was sent just before its connection closed may have run. If its connection
-// carries another attempt meanwhile, that attempt is not interrupted.
+// An aborted attempt whose last byte was sent just before its connection closed may have run. If its
+// connection carries another attempt meanwhile, that attempt is not interrupted.
 func TestAbortRacingWithTheLastByte(t *testing.T) {
 	near, _ := net.Pipe()
 	f := New(Config{})
--- a/internal/net/forward/forwarder.go
+++ b/internal/net/forward/forwarder.go
@@ -1,5 +1,5 @@
-// Package forward is the stage that sends attempts to servers and reads their responses. It keeps a connection
-// pool per server. Each connection carries one request at a time.
+// Package forward is the stage that sends attempts to servers and reads their responses. It keeps a
+// connection pool per server. Each connection carries one request at a time.
 package forward
 
 import (
--- a/internal/net/forward/held_response.go
+++ b/internal/net/forward/held_response.go
@@ -9,10 +9,11 @@
 	"dunespoke/internal/http1"
 )
 
-// bufferPiece adds a piece to a response that is buffered until it is complete. If the response is longer than
-// Config.Hold, it is streamed from its beginning. done reports that readResponse has to return, and readOn
-// whether to continue to read from the connection.
-func (c *connection) bufferPiece(x *exchange, kind http1.Kind, r *http.Response, piece, buf []byte) (readOn, done bool) {
+// bufferPiece adds a piece to a response that is buffered until it is complete. If the response is longer
+// than Config.Hold, it is streamed from its beginning. done reports that readResponse has to return, and
+// readOn whether to continue to read from the connection.
+func (c *connection) bufferPiece(x *exchange, kind http1.Kind, r *http.Response,
+	piece, buf []byte) (readOn, done bool) {
 	switch kind {
 	case http1.Head:
 		if _, ok := x.stream.headReceived(); !ok {
@@ -29,7 +30,8 @@
 		readOn, awaitAgain := c.deliverBuffered(x, false)
 		return readOn, !awaitAgain
 	}
-	if n := c.pieces.Length(); len(c.bufferedBody) > c.forwarder.Hold || n > int64(c.forwarder.Hold-len(c.bufferedBody)) {
+	if n := c.pieces.Length(); len(c.bufferedBody) > c.forwarder.Hold ||
+		n > int64(c.forwarder.Hold-len(c.bufferedBody)) {
 		return c.streamResponse(x, c.bufferedHead, buf), true
 	}
 	return true, false
@@ -83,9 +85,9 @@
 	return kind == http1.End
 }
 
-// deliverBuffered classifies the complete buffered response and ends the attempt with it. readOn reports whether
-// to continue to read from the connection. awaitAgain reports that the response was for another request, so
-// that this request's response is still expected.
+// deliverBuffered classifies the complete buffered response and ends the attempt with it. readOn reports
+// whether to continue to read from the connection. awaitAgain reports that the response was for another
+// request, so that this request's response is still expected.
 func (c *connection) deliverBuffered(x *exchange, closed bool) (readOn, awaitAgain bool) {
 	r, body := c.bufferedHead, c.bufferedBody
 	c.bufferedHead, c.bufferedBody, c.interim = nil, nil, nil
--- a/internal/net/forward/pool.go
+++ b/internal/net/forward/pool.go
@@ -10,15 +10,15 @@
 	"dunespoke/core"
 )
 
-// endpoint identifies the server that a connection leads to. It includes the name, since a new server may have
-// the address of a removed one.
+// endpoint identifies the server that a connection leads to. It includes the name, since a new server may
+// have the address of a removed one.
 type endpoint struct{ server, addr string }
 
 func endpointOf(s core.Server) endpoint { return endpoint{s.Name, s.Addr} }
 
-// idleShare is the share of a server's keep-alive time after which an idle connection is closed from this side.
-// It is well under 1, since a request that is written to a connection while the server closes it ends as a
-// reset, and fails if it must not run twice.
+// idleShare is the share of a server's keep-alive time after which an idle connection is closed from this
+// side. It is well under 1, since a request that is written to a connection while the server closes it ends
+// as a reset, and fails if it must not run twice.
 const idleShare = 0.6
 
 // settleTime is how long a connection stays unused after a response. If a server sends bytes beyond its
@@ -26,9 +26,9 @@
 const settleTime = 2 * time.Millisecond
 
 // acquire removes a connection from the pool and returns it, or nil if there is none: the most recently used
-// of those idle for settleTime, or else the least recently used. Always taking the most recently used one would
-// mean, under load, to wait until it has settled. A connection whose last request was the same one is not used,
-// as a duplicate response to that would pass for the expected one.
+// of those idle for settleTime, or else the least recently used. Always taking the most recently used one
+// would mean, under load, to wait until it has settled. A connection whose last request was the same one is
+// not used, as a duplicate response to that would pass for the expected one.
 func (f *Forwarder) acquire(at endpoint, request any) *connection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,8 +58,8 @@
 	return c.lastRequest != nil && c.lastRequest == request
 }
 
-// remove removes a connection from the pool. It reports false if the connection is not in the pool, because an
-// attempt has acquired it.
+// remove removes a connection from the pool. It reports false if the connection is not in the pool, because
+// an attempt has acquired it.
 func (f *Forwarder) remove(c *connection) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/net/forward/request_sent.go
+++ b/internal/net/forward/request_sent.go
@@ -23,8 +23,8 @@
 
 // awaitRequestSent reports whether the request was sent completely. The response may be received before the
 // goroutine that wrote the last byte is scheduled again. On a busy CPU this does not mean that the server has
-// answered early, and the connection is reusable. awaitRequestSent therefore waits up to settleTime, for which
-// the connection would not be used anyway.
+// answered early, and the connection is reusable. awaitRequestSent therefore waits up to settleTime, for
+// which the connection would not be used anyway.
 func (c *connection) awaitRequestSent(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/net/forward/request_stream.go
+++ b/internal/net/forward/request_stream.go
@@ -34,7 +34,7 @@
 	side       *transfer.Side
 	sentBytes  int64        // bytes sent of a long body
 	incomplete atomic.Bool  // the last byte of a long body was not sent
-	sent       atomic.Bool  // the request was sent completely, and no goroutine writes to the connection any more
+	sent       atomic.Bool  // the request was sent completely; no goroutine writes to the connection any more
 	due        atomic.Int64 // Unix time in ns when the response head is due; 0: no limit but the core's
 
 	mu       sync.Mutex
@@ -43,8 +43,8 @@
 }
 
 // Commit ends the attempt for the core, as no retry is possible: any response to this attempt is final. Thus
-// long bodies neither use up the core's limits on attempts in flight nor fail by its deadline. It does nothing
-// if the terms say that the core waits for the response head.
+// long bodies neither use up the core's limits on attempts in flight nor fail by its deadline. It does
+// nothing if the terms say that the core waits for the response head.
 func (s *bodyStream) Commit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +89,8 @@
 	setReadDeadline(s.side.Conn, due)
 }
 
-// initStream initializes the attempt's stream. If the body can't be sent again from its beginning, it ends the
-// attempt and reports false.
+// initStream initializes the attempt's stream. If the body can't be sent again from its beginning, it ends
+// the attempt and reports false.
 func (x *exchange) initStream() bool {
 	m := x.Payload.(Streamed)
 	x.stream = &bodyStream{exchange: x, up: m.Upload(), terms: m.Terms(), method: m.Method()}
@@ -102,8 +102,8 @@
 	return true
 }
 
-// finish detaches the request body after a failed attempt and sets in res whether another attempt is possible.
-// It also fails a reply that Commit passed on and whose head was not received.
+// finish detaches the request body after a failed attempt and sets in res whether another attempt is
+// possible. It also fails a reply that Commit passed on and whose head was not received.
 func (s *bodyStream) finish(res *core.Result) {
 	if res.Code == choice.OK {
 		return // the response may precede the end of the body, which is still sent
@@ -125,8 +125,8 @@
 	}
 }
 
-// notStarted reports whether the server can't have begun to process the request: it needs the complete request
-// to begin, and the last byte was not sent.
+// notStarted reports whether the server can't have begun to process the request: it needs the complete
+// request to begin, and the last byte was not sent.
 func (s *bodyStream) notStarted() bool { return s.terms.Whole && s.incomplete.Load() }
 
 // lost reports whether the body can no longer be sent from its beginning.
@@ -182,7 +182,8 @@
 func (s *bodyStream) Write(p []byte) error {
 	var err error
 	s.sentBytes += int64(len(p))
-	if !s.chunked && s.sentBytes >= s.up.Length() { // set before the write, during which the last byte may be sent
+	// set before the write, during which the last byte may be sent
+	if !s.chunked && s.sentBytes >= s.up.Length() {
 		s.incomplete.Store(false)
 	}
 	if s.chunked {
@@ -237,8 +238,8 @@
 	}
 }
 
-// earlyResponseWait is how long to wait for an early response after the server has stopped reading the request
-// body.
+// earlyResponseWait is how long to wait for an early response after the server has stopped reading the
+// request body.
 const earlyResponseWait = time.Second
 
 // writeFailed handles an error in sending the body. If the server was too slow, the attempt ends; otherwise
--- a/internal/net/forward/response_stream.go
+++ b/internal/net/forward/response_stream.go
@@ -14,8 +14,8 @@
 // maxInterim is the maximum number of 1xx responses that are kept until the final one is passed on.
 const maxInterim = 4
 
-// readResponse parses received input and buffers or streams the response. readErr is the error of the last read.
-// It reports whether to continue to read.
+// readResponse parses received input and buffers or streams the response. readErr is the error of the last
+// read. It reports whether to continue to read.
 func (c *connection) readResponse(buf []byte, readErr error) bool {
 	for {
 		c.mu.Lock()
@@ -96,7 +96,8 @@
 	if reply.Length >= 0 {
 		reply.Length += int64(len(c.bufferedBody))
 	}
-	reply.NoBody = x.stream.isHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
+	reply.NoBody = x.stream.isHead || r.StatusCode == http.StatusNoContent ||
+		r.StatusCode == http.StatusNotModified
 	reply.Interim, c.interim = c.interim, nil
 	if !early {
 		result.Body, result.Drop = reply, reply.Drop
--- a/internal/net/forward/staleness.go
+++ b/internal/net/forward/staleness.go
@@ -4,10 +4,10 @@
 	"dunespoke/core"
 )
 
-// Servers, and proxies in front of them, may drop an idle connection in a way that is noticed only at the next
-// request, which then may have run. While more than staleMax of the reused connections break, requests that are
-// not safe to repeat use new connections. One break adds staleSmoothing to the smoothed share, which exceeds
-// staleMax; about 30 successful reuses bring it below again.
+// Servers, and proxies in front of them, may drop an idle connection in a way that is noticed only at the
+// next request, which then may have run. While more than staleMax of the reused connections break, requests
+// that are not safe to repeat use new connections. One break adds staleSmoothing to the smoothed share, which
+// exceeds staleMax; about 30 successful reuses bring it below again.
 const (
 	staleSmoothing = 0.05
 	staleMax       = 0.01
@@ -23,8 +23,8 @@
 	}
 }
 
-// avoidReuse reports whether an attempt must use a new connection. If so, it closes the least recently used idle
-// connection to the server, to free its slot for the new one.
+// avoidReuse reports whether an attempt must use a new connection. If so, it closes the least recently used
+// idle connection to the server, to free its slot for the new one.
 func (f *Forwarder) avoidReuse(a core.Attempt) bool {
 	f.mu.Lock()
 	avoid := a.NotRepeatable && f.stale > staleMax
--- a/internal/net/forward/whole_response.go
+++ b/internal/net/forward/whole_response.go
@@ -10,8 +10,8 @@
 	"dunespoke/internal/http1"
 )
 
-// readBuffered ends the attempt if its response is complete. readErr is the error of the last read. It reports
-// whether to continue to read.
+// readBuffered ends the attempt if its response is complete. readErr is the error of the last read. It
+// reports whether to continue to read.
 func (c *connection) readBuffered(readErr error) bool {
 	c.mu.Lock()
 	next := c.frames.Next
--- a/internal/net/transfer/side.go
+++ b/internal/net/transfer/side.go
@@ -47,10 +47,10 @@
 
 func (s *Side) now() time.Duration { return time.Since(s.start) }
 
-// startWait begins a wait for this side and returns the deadline to set; ok is false if the deadline that is set
-// is sufficient. Setting a deadline for each piece costs CPU time with long bodies (0.97 of ReverseProxy's with
-// it, 0.91 without). Therefore, if the pace limits only stalls, the deadline is set half of the stall limit
-// later than needed, and renewed once it is too early.
+// startWait begins a wait for this side and returns the deadline to set; ok is false if the deadline that is
+// set is sufficient. Setting a deadline for each piece costs CPU time with long bodies (0.97 of
+// ReverseProxy's with it, 0.91 without). Therefore, if the pace limits only stalls, the deadline is set half
+// of the stall limit later than needed, and renewed once it is too early.
 func (s *Side) startWait() (due time.Time, ok bool) {
 	now := s.now()
 	s.monitor.StartWait(now)
@@ -110,7 +110,8 @@
 		}
 		s.monitor.Moved(now, n)
 		s.moved.Add(int64(n))
-		// After a timeout part of p may have been written. Whether that was too slow is checked with the next write.
+		// After a timeout part of p may have been written. Whether that was too slow is checked with the next
+		// write.
 		if err != nil && (n == 0 || !isTimeout(err)) {
 			return err
 		}
@@ -136,8 +137,8 @@
 	buf         *[]byte // nil: base is in use
 }
 
-// NewWindow returns a window that begins with base, a small existing buffer. If reservation is nil, the window
-// does not grow.
+// NewWindow returns a window that begins with base, a small existing buffer. If reservation is nil, the
+// window does not grow.
 func NewWindow(reservation *flow.Transfer, d flow.Direction, base []byte) *Window {
 	return &Window{reservation: reservation, dir: d, base: base, size: len(base)}
 }
@@ -162,8 +163,8 @@
 // fastConsumption is the time within which the data read must be passed on for the window to grow.
 const fastConsumption = 100 * time.Millisecond
 
-// Release releases the buffer that Acquire returned and adjusts the size of the next one. used is the number of
-// bytes read into it, and elapsed how long it took to pass them on.
+// Release releases the buffer that Acquire returned and adjusts the size of the next one. used is the number
+// of bytes read into it, and elapsed how long it took to pass them on.
 func (w *Window) Release(buf []byte, used int, elapsed time.Duration) {
 	if w.buf != nil {
 		w.reservation.Release(w.dir, len(buf))
@@ -178,9 +179,9 @@
 	}
 }
 
-// buffers are pools of buffers, by the logarithm of their size, which is a power of two. They contain pointers
-// that are kept along with the buffers: allocating a pointer for each piece took 192 allocations per MB instead
-// of 180.
+// buffers are pools of buffers, by the logarithm of their size, which is a power of two. They contain
+// pointers that are kept along with the buffers: allocating a pointer for each piece took 192 allocations per
+// MB instead of 180.
 var buffers [bits.UintSize]sync.Pool
 
 // getBuffer returns a buffer of at least n bytes.
--- a/internal/net/transfer/store_test.go
+++ b/internal/net/transfer/store_test.go
@@ -24,8 +24,8 @@
 func (k *limitedSink) Close([]byte) error { return nil }
 func (k *limitedSink) Cut()               {}
 
-// Each attempt gets a stored body from its beginning. What the store has no capacity for is streamed after it to
-// only one attempt, and the store's memory is released then.
+// Each attempt gets a stored body from its beginning. What the store has no capacity for is streamed after it
+// to only one attempt, and the store's memory is released then.
 func TestStoredBodyIsReplayableUntilItsRestIsStreamed(t *testing.T) {
 	store := flow.NewStore(4 * storeBlock)
 	u, body := Stored(store), bytes.Repeat([]byte("stored!!"), storeBlock/8)
--- a/internal/net/transfer/upload.go
+++ b/internal/net/transfer/upload.go
@@ -1,6 +1,6 @@
-// Package transfer streams the bodies of one exchange: the request body from the client to the current attempt,
-// and the response body from the server to the client. Packages accept and forward read and write through it.
-// Package flow decides how much memory may be used and which side is too slow.
+// Package transfer streams the bodies of one exchange: the request body from the client to the current
+// attempt, and the response body from the server to the client. Packages accept and forward read and write
+// through it. Package flow decides how much memory may be used and which side is too slow.
 package transfer
 
 import (
@@ -10,8 +10,8 @@
 	"dunespoke/internal/flow"
 )
 
-// Sink is an attempt that receives a request body. Its methods may block. They are called by one goroutine at a
-// time, except for Cut, which may be called concurrently.
+// Sink is an attempt that receives a request body. Its methods may block. They are called by one goroutine at
+// a time, except for Cut, which may be called concurrently.
 type Sink interface {
 	Write(piece []byte) error
 	Commit()                    // from now on no other attempt can get the body
@@ -20,8 +20,8 @@
 }
 
 // Upload is a request body that is being streamed. The client's side writes it while it is received. Attempts
-// attach to it one after the other, and each gets it from its beginning, as long as everything that was sent is
-// still buffered.
+// attach to it one after the other, and each gets it from its beginning, as long as everything that was sent
+// is still buffered.
 type Upload struct {
 	length      int64
 	replayLimit int            // maximum number of bytes that are buffered for retries
@@ -104,8 +104,8 @@
 	return true
 }
 
-// StreamRest says that the store has no capacity for the rest of a stored body: the rest is streamed after the
-// stored part. length is that of the whole body, or -1 if it is unknown.
+// StreamRest says that the store has no capacity for the rest of a stored body: the rest is streamed after
+// the stored part. length is that of the whole body, or -1 if it is unknown.
 func (u *Upload) StreamRest(length int64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -115,7 +115,8 @@
 // Length returns the length of the body, or -1 if it is unknown.
 func (u *Upload) Length() int64 { return u.length }
 
-// Bytes returns the whole body. ok is false if it is not completely received and in one buffer, or has a trailer.
+// Bytes returns the whole body. ok is false if it is not completely received and in one buffer, or has a
+// trailer.
 func (u *Upload) Bytes() (body []byte, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -181,8 +182,8 @@
 	}
 }
 
-// Close records that the request has its final response, so that no attempt needs the body any more, and releases
-// the buffered bytes, unless an attempt may still be reading them.
+// Close records that the request has its final response, so that no attempt needs the body any more, and
+// releases the buffered bytes, unless an attempt may still be reading them.
 func (u *Upload) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -193,8 +194,8 @@
 	u.changed.Broadcast()
 }
 
-// Wait waits until an attempt is attached and has got the buffered part of the body. It returns an error if no
-// attempt will attach.
+// Wait waits until an attempt is attached and has got the buffered part of the body. It returns an error if
+// no attempt will attach.
 func (u *Upload) Wait() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -215,8 +216,8 @@
 	return nil
 }
 
-// Write passes on a piece of the body. If the attempt fails, it waits for another one, which gets the body from
-// its beginning. An error means that no attempt will accept more.
+// Write passes on a piece of the body. If the attempt fails, it waits for another one, which gets the body
+// from its beginning. An error means that no attempt will accept more.
 func (u *Upload) Write(piece []byte) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -300,8 +301,8 @@
 	return err
 }
 
-// keepForReplay buffers a piece for retries. It reports false if the limit or the memory does not allow that, or
-// an earlier piece is no longer buffered. It must be called with mu held.
+// keepForReplay buffers a piece for retries. It reports false if the limit or the memory does not allow that,
+// or an earlier piece is no longer buffered. It must be called with mu held.
 func (u *Upload) keepForReplay(piece []byte) bool {
 	if !u.replayable || len(u.buffered)+len(piece) > u.replayLimit {
 		return false
