--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -73,7 +73,7 @@
 		{`"r7"`, `"7"`, "version"},
 		{`"r7"`, `"r0"`, "number above 0"},
 		{`"item_kind":"limits"`, `"item_kind":7`, "item_kind"},
-		{`"idle_s":15}}]}`, `"idle_s":15}}`, "can't be read whole"},
+		{`"idle_s":15}}]}`, `"idle_s":15}}`, "cannot be decoded as JSON"},
 		{`"path_start":"/x/"`, `"path_start":"/x"`, "path_start"},
 	} {
 		if _, err := Validate(config(c.old, c.new)); err == nil || !strings.Contains(err.Error(), c.message) {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,4 @@
-// Package schema checks documents by JSON schemas that the program carries.
+// Package schema validates JSON documents against JSON schemas that are embedded in the program.
 package schema
 
 import (
@@ -10,12 +10,13 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Schema is a schema, compiled when it is first used.
+// Schema is a JSON schema, compiled on first use.
 type Schema struct {
 	compiled func() (*jsonschema.Schema, error)
 }
 
-// New returns the schema of a text, which errors call by the name.
+// New returns the schema with the given JSON text. Its resource name, which errors show, is
+// urn:dunespoke:NAME. An invalid schema is reported by the first call of Validate.
 func New(name string, text []byte) Schema {
 	return Schema{sync.OnceValues(func() (*jsonschema.Schema, error) {
 		doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
@@ -31,10 +32,11 @@
 	})}
 }
 
-// maxFaults bounds an error: a long document may have a fault in each item.
-const maxFaults = 8
+// maxErrorLines limits an error text: a long document may have a fault in each item.
+const maxErrorLines = 8
 
-// Validate checks a document of JSON. An error is a trace.BadParameter that names its faults.
+// Validate checks a JSON document. If the document is invalid, the error is a trace.BadParameter that lists
+// its faults.
 func (s Schema) Validate(text []byte) error {
 	compiled, err := s.compiled()
 	if err != nil {
@@ -42,11 +44,11 @@
 	}
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return trace.BadParameter("can't be read whole: %v", err)
+		return trace.BadParameter("cannot be decoded as JSON: %v", err)
 	}
 	if err := compiled.Validate(doc); err != nil {
 		lines := strings.Split(err.Error(), "\n")
-		return trace.BadParameter("%s", strings.Join(lines[:min(len(lines), maxFaults)], "; "))
+		return trace.BadParameter("%s", strings.Join(lines[:min(len(lines), maxErrorLines)], "; "))
 	}
 	return nil
 }
