--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the file that tells a process what it is, and checks it by a schema.
+// Package settings reads the settings file of a process and validates it against a JSON schema.
 package settings
 
 import (
@@ -19,78 +19,84 @@
 //go:embed settings.schema.json
 var schemaText []byte
 
-// Settings are what a process is told, by the file that its platform writes. The keys are the platform's.
+// Settings is the content of the settings file, which the platform writes for each process. The platform
+// defines the keys.
 type Settings struct {
-	NodeName  string   `toml:"node_name"`  // in log lines and in the status
-	Serves    []string `toml:"serves"`     // what others may call here: edge, control
-	IPAddress string   `toml:"ip_address"` // for the system's own processes
-	Zone      string   `toml:"zone"`       // a failure domain; servers and replicas of it are preferred
-	Region    string   `toml:"region"`     // of the zone; empty: as Zones says
-	// SparePorts are the first and the last port that is free. The first is for the system's own processes.
+	NodeName  string   `toml:"node_name"`  // shown in log lines and in the status
+	Serves    []string `toml:"serves"`     // interfaces that this process offers: edge, control
+	IPAddress string   `toml:"ip_address"` // address for the system's other processes
+	Zone      string   `toml:"zone"`       // failure domain; its servers and replicas are preferred
+	Region    string   `toml:"region"`     // region of the zone; empty: taken from Zones
+	// SparePorts are the first and the last port of a free range. The first is used between the system's
+	// own processes.
 	SparePorts []int `toml:"spare_ports"`
-	// SeedNodes are control addresses by which a process that knows no replica finds the core. At the first
-	// start they are the same everywhere.
+	// SeedNodes are control addresses through which a process that knows no replica finds the core. At the
+	// first start of the system they must be the same in all processes.
 	SeedNodes []string `toml:"seed_nodes"`
-	// FreshStart says that the whole system starts for the first time, with empty disks. Default: false.
+	// FreshStart reports that the entire system starts for the first time, with empty disks. Default: false.
 	FreshStart bool `toml:"fresh_start"`
-	// DataDir is a folder on the machine's disk, and makes it hold a replica. Default: none.
+	// DataDir is a directory on the machine's disk. A process that has one runs a replica. Default: none.
 	DataDir string   `toml:"data_dir"`
-	Bounds  []string `toml:"bounds"` // of the form name=value; see NumericBounds
-	// Zones are the zones' regions, by zone. A process whose settings let regions be lost has to find its own.
+	Bounds  []string `toml:"bounds"` // entries of the form name=value, also comma-separated; see NumericBounds
+	// Zones maps each zone to its region. It must contain this process's zone if Survive.Regions isn't 0.
 	Zones    map[string]string `toml:"zones"`
 	Listen   Listen            `toml:"listen"`
 	Limits   Limits            `toml:"limits"`
 	Survive  Survive           `toml:"survive"`
 	CloudAPI CloudAPI          `toml:"cloud_api"`
 	PeerAuth PeerAuth          `toml:"peer_auth"`
-	// Metrics is where this process tells its figures, of the form PORT/PATH, at IPAddress. Default: nowhere.
+	// Metrics is the port and path of the metrics endpoint at IPAddress, of the form PORT/PATH. Default:
+	// metrics aren't served.
 	Metrics string `toml:"metrics"`
-	// NumericBounds are the bounds that are numbers, by name. Those that end in _s are in seconds.
+	// NumericBounds are the entries of Bounds with numeric values, by name. Names that end in _s are in
+	// seconds.
 	NumericBounds map[string]float64 `toml:"-"`
 }
 
-// Listen holds the addresses for what a process serves; empty: it does not serve that.
+// Listen is the listen address of each interface. An empty address disables the interface.
 type Listen struct {
-	Front   string `toml:"front"`   // for clients
-	Ready   string `toml:"ready"`   // for checks whether clients should come
+	Front   string `toml:"front"`   // for client requests
+	Ready   string `toml:"ready"`   // for readiness checks
 	Control string `toml:"control"` // for operators and servers
 }
 
-// Limits are the machine's. 0: no limit is told.
+// Limits are the resource limits of the machine. 0: the limit is unknown.
 type Limits struct {
-	CPUShare  float64 `toml:"cpu_share"`  // of a core; for the platform, this program uses one at most
-	MemoryMB  int     `toml:"memory_mb"`  // the collector works harder from six tenths of it
-	OpenFiles int     `toml:"open_files"` // descriptors; a third of what is left for connections is for servers
-	DiskMB    int     `toml:"disk_mb"`    // for the platform: the store is much smaller
+	CPUShare  float64 `toml:"cpu_share"`  // in cores; for the platform only, as this program uses at most one core
+	MemoryMB  int     `toml:"memory_mb"`  // the garbage collector works harder above 60% of it
+	OpenFiles int     `toml:"open_files"` // file descriptors; a third of those available for connections is for connections to servers
+	DiskMB    int     `toml:"disk_mb"`    // for the platform only: the store is much smaller
 }
 
-// Survive is what may be lost at once with nothing lost that was acknowledged: so many machines with a disk,
-// or all those of so many zones, or regions. Default: 0 each.
+// Survive is the number of simultaneous failures after which no acknowledged write is lost: of machines with
+// a disk, of entire zones, or of entire regions. Default: 0 each.
 type Survive struct {
 	Machines int `toml:"machines"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"regions"`
 }
 
-// PeerAuth is by what the system's own processes know each other. Default: by nothing, so that whoever
-// reaches the first spare port is a peer.
+// PeerAuth configures how the system's own processes authenticate each other. Default: no authentication, so
+// that anyone who can reach the first spare port is accepted as a peer.
 type PeerAuth struct {
-	// KeyFile is a file of keys, one a line: the first is used, all are accepted. It is read again on SIGHUP.
+	// KeyFile is a file with one key per line: the first key is used to authenticate to peers, and all are
+	// accepted from them. SIGHUP reloads it.
 	KeyFile string `toml:"key_file"`
-	// Optional lets in peers without keys, while keys are given to one process after the other. Default: false.
+	// Optional accepts peers without keys, for the time while keys are rolled out process by process.
+	// Default: false.
 	Optional bool `toml:"optional"`
 }
 
-// CloudAPI is where the platform holds the list of servers.
+// CloudAPI configures access to the platform's list of servers.
 type CloudAPI struct {
 	Address          string  `toml:"address"`
-	AllowedPerSecond float64 `toml:"allowed_per_s"` // calls a second, of all processes together
-	DelaySeconds     float64 `toml:"delay_s"`       // by which the list lags
+	AllowedPerSecond float64 `toml:"allowed_per_s"` // maximum calls per second, summed over all processes
+	DelaySeconds     float64 `toml:"delay_s"`       // delay of the list behind the actual state
 }
 
 var settingsSchema = schema.New("settings", schemaText)
 
-// ReadFile reads a file of settings.
+// ReadFile reads and validates a settings file.
 func ReadFile(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -100,12 +106,12 @@
 	return s, trace.Wrap(err, "settings %s", path)
 }
 
-// Read reads settings. An error names each fault with its key. Fields that this program doesn't know are
-// passed over.
+// Read parses and validates settings in TOML. A validation error names each fault with its key. Unknown fields
+// are ignored.
 func Read(text []byte) (*Settings, error) {
 	var raw map[string]any
 	if err := toml.Unmarshal(text, &raw); err != nil {
-		return nil, trace.BadParameter("not TOML: %v", err)
+		return nil, trace.BadParameter("invalid TOML: %v", err)
 	}
 	b, err := json.Marshal(raw)
 	if err != nil {
@@ -124,19 +130,22 @@
 	return s, s.checkRegion()
 }
 
-// checkRegion holds the settings to telling the region of this process's zone, where regions may be lost.
+// checkRegion returns an error if Survive.Regions is set and Zones either lacks the zone of this process or
+// contradicts Region.
 func (s *Settings) checkRegion() error {
 	switch region, known := s.Zones[s.Zone]; {
 	case s.Survive.Regions == 0:
 	case !known:
-		return trace.BadParameter("zones: no region of zone %q, and survive.regions is %d", s.Zone,
+		return trace.BadParameter("zones: no region for zone %q, but survive.regions is %d", s.Zone,
 			s.Survive.Regions)
 	case s.Region != "" && s.Region != region:
-		return trace.BadParameter("region: %q, and zones has %q for zone %q", s.Region, region, s.Zone)
+		return trace.BadParameter("region: %q conflicts with %q in zones for zone %q", s.Region, region, s.Zone)
 	}
 	return nil
 }
 
+// parseBounds fills NumericBounds from Bounds, and returns an error if neither listen.front nor
+// listen.control is set. Entries whose value isn't a number are ignored.
 func (s *Settings) parseBounds() error {
 	s.NumericBounds = map[string]float64{}
 	for _, line := range s.Bounds {
@@ -148,31 +157,33 @@
 		}
 	}
 	if s.Listen.Front == "" && s.Listen.Control == "" {
-		return trace.BadParameter("listen: neither front nor control")
+		return trace.BadParameter("listen: front or control must be set")
 	}
 	return nil
 }
 
-// Bound is a bound, or the given value where the file has none.
-func (s *Settings) Bound(name string, otherwise float64) float64 {
+// Bound returns the numeric bound of the given name, or defaultValue if the file doesn't contain it.
+func (s *Settings) Bound(name string, defaultValue float64) float64 {
 	if n, ok := s.NumericBounds[name]; ok {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// MetricsEndpoint is the address and the path at which figures are told; ok is false where they are not.
+// MetricsEndpoint returns the address and the path of the metrics endpoint. ok is false if metrics aren't
+// served.
 func (s *Settings) MetricsEndpoint() (addr, path string, ok bool) {
 	port, path, ok := strings.Cut(s.Metrics, "/")
 	return net.JoinHostPort(s.IPAddress, port), "/" + path, ok
 }
 
-// PeerAddr is this process's address for the system's other processes.
+// PeerAddr returns the address of this process for the system's other processes.
 func (s *Settings) PeerAddr() string {
 	return net.JoinHostPort(s.IPAddress, strconv.Itoa(s.SparePorts[0]))
 }
 
-// SeedPeerAddrs are the seeds' addresses for the system's own processes: ports are alike on all machines.
+// SeedPeerAddrs returns the peer addresses of the seed nodes, sorted and without duplicates. All machines use
+// the same spare ports, so the port is this process's own.
 func (s *Settings) SeedPeerAddrs() []string {
 	var list []string
 	for _, seed := range s.SeedNodes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func example(t *testing.T) string {
+func exampleSettings(t *testing.T) string {
 	text, err := os.ReadFile("../../example/cluster/settings.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -14,8 +14,8 @@
 	return string(text)
 }
 
-func TestWhatAProcessIsTold(t *testing.T) {
-	s, err := Read([]byte(example(t) + "\n[later]\nfield = 1\n")) // fields may be added
+func TestReadExampleSettings(t *testing.T) {
+	s, err := Read([]byte(exampleSettings(t) + "\n[later]\nfield = 1\n")) // unknown fields are ignored
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,18 +25,18 @@
 	}
 }
 
-// Given settings that name what may be lost at once, then all of it is read, and regions by the zones' table.
-func TestWhatMayBeLostIsRead(t *testing.T) {
-	s, err := Read([]byte(strings.Replace(example(t), "machines = 0",
+// The survive section and the zones table are read.
+func TestReadSurviveAndZones(t *testing.T) {
+	s, err := Read([]byte(strings.Replace(exampleSettings(t), "machines = 0",
 		"machines = 2\nzones = 1\nregions = 1\n[zones]\nhome = \"home\"\nb = \"away\"", 1)))
 	if err != nil || s.Survive != (Survive{Machines: 2, Zones: 1, Regions: 1}) || s.Zones["b"] != "away" {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
 
-// Given settings with one fault, when they are read, then the error names its key and no path of the machine.
-func TestFaultsAreNamed(t *testing.T) {
-	for _, c := range []struct{ old, fresh, says string }{
+// The error for settings with one fault names the key and contains no file path.
+func TestReadErrorsNameTheKey(t *testing.T) {
+	for _, c := range []struct{ old, replacement, wantErr string }{
 		{`zone = "home"`, `zone = ""`, "zone"},
 		{`spare_ports = [7560, 7575]`, `spare_ports = []`, "spare_ports"},
 		{`address = "127.0.0.1:8382"`, `address = "nowhere"`, "cloud_api"},
@@ -45,12 +45,12 @@
 		{`serves = ["edge", "control"]`, `serves = ["all"]`, "serves"},
 		{`seed_nodes = ["127.0.0.1:8381"]`, ``, "seed_nodes"},
 		{`machines = 0`, `zones = -1`, "survive"},
-		{`machines = 0`, "regions = 1", `no region of zone "home"`},
-		{`machines = 0`, "regions = 1\n[zones]\nhome = \"away\"", `"home", and zones has "away"`},
+		{`machines = 0`, "regions = 1", `no region for zone "home"`},
+		{`machines = 0`, "regions = 1\n[zones]\nhome = \"away\"", `"home" conflicts with "away"`},
 	} {
-		_, err := Read([]byte(strings.Replace(example(t), c.old, c.fresh, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "file:") {
-			t.Errorf("%s: %v, want it to name %q", c.fresh, err, c.says)
+		_, err := Read([]byte(strings.Replace(exampleSettings(t), c.old, c.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.wantErr) || strings.Contains(err.Error(), "file:") {
+			t.Errorf("%s: %v, want it to name %q", c.replacement, err, c.wantErr)
 		}
 	}
 }
