--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,9 +62,9 @@
 
 // Limits are the resource limits of the machine. 0: the limit is unknown.
 type Limits struct {
-	CPUShare  float64 `toml:"cpu_share"`  // in cores; for the platform only, as this program uses at most one core
+	CPUShare  float64 `toml:"cpu_share"`  // in cores; for the platform: this program uses at most one core
 	MemoryMB  int     `toml:"memory_mb"`  // the garbage collector works harder above 60% of it
-	OpenFiles int     `toml:"open_files"` // file descriptors; a third of those available for connections is for connections to servers
+	OpenFiles int     `toml:"open_files"` // a third of those left for connections is for servers
 	DiskMB    int     `toml:"disk_mb"`    // for the platform only: the store is much smaller
 }
 
@@ -106,8 +106,8 @@
 	return s, trace.Wrap(err, "settings %s", path)
 }
 
-// Read parses and validates settings in TOML. A validation error names each fault with its key. Unknown fields
-// are ignored.
+// Read parses and validates settings in TOML. A validation error names each fault with its key. Unknown
+// fields are ignored.
 func Read(text []byte) (*Settings, error) {
 	var raw map[string]any
 	if err := toml.Unmarshal(text, &raw); err != nil {
