--- a/cmd/dunespoke/allocs_test.go
+++ b/cmd/dunespoke/allocs_test.go
@@ -12,19 +12,19 @@
 	"dunespoke/internal/config"
 )
 
-// What the gateway allocates, client, app server and all: 110% of it fails. Measured with go1.26 on amd64.
+// Expected allocations per request, including those of the client and the app server, with go1.26 on amd64.
 const (
-	allocsSmall    = 167
-	allocsMegabyte = 180
+	smallResponseAllocs    = 167
+	megabyteResponseAllocs = 180
 )
 
-func benchmarkBytes(b *testing.B, n int) {
+func benchmarkResponse(b *testing.B, n int) {
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(n))
 		w.Write(make([]byte, n))
 	}))
 	defer app.Close()
-	address := "http://" + gatewayOn(b, app, func(*config.Gateway) {})
+	address := "http://" + startGatewayOnLoopback(b, app, func(*config.Gateway) {})
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -41,19 +41,19 @@
 	}
 }
 
-func BenchmarkGatewaySmall(b *testing.B)    { benchmarkBytes(b, 100) }
-func BenchmarkGatewayMegabyte(b *testing.B) { benchmarkBytes(b, 1<<20) }
+func BenchmarkGatewaySmall(b *testing.B)    { benchmarkResponse(b, 100) }
+func BenchmarkGatewayMegabyte(b *testing.B) { benchmarkResponse(b, 1<<20) }
 
-// A rise of allocations by more than a tenth is a fault.
+// Allocations may not exceed the expected number by more than 10%.
 func TestGatewayAllocations(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		run  func(*testing.B)
-		most int64
-	}{{"a small request", BenchmarkGatewaySmall, allocsSmall},
-		{"a MB", BenchmarkGatewayMegabyte, allocsMegabyte}} {
-		if got := testing.Benchmark(c.run).AllocsPerOp(); got*10 > c.most*11 {
-			t.Errorf("%s: %d allocations, %d before", c.name, got, c.most)
+		want int64
+	}{{"a small request", BenchmarkGatewaySmall, smallResponseAllocs},
+		{"a MB", BenchmarkGatewayMegabyte, megabyteResponseAllocs}} {
+		if got := testing.Benchmark(c.run).AllocsPerOp(); got*10 > c.want*11 {
+			t.Errorf("%s: %d allocations, want about %d", c.name, got, c.want)
 		}
 	}
 }
--- a/cmd/dunespoke/bans.go
+++ b/cmd/dunespoke/bans.go
@@ -10,8 +10,9 @@
 	"strings"
 )
 
-// bansFile is where the app servers banned by an operator are kept for the process that upgrades this one:
-// the temporary directory is the same for both, and so is the clients' address. Nothing else lasts.
+// bansFile returns the path of the file that passes the app servers banned by an operator to the process of
+// an upgrade. The path is derived from the temporary directory and the listen address, which both processes
+// share; nothing else outlasts the process.
 func bansFile(listen string) string {
 	clean := strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '.' {
@@ -22,16 +23,17 @@
 	return filepath.Join(os.TempDir(), "dunespoke-bans-"+clean)
 }
 
-// bansForm is the file's first line: a file of another form, older or newer, is not read.
-const bansForm = "dunespoke bans 1"
+// bansHeader is the first line of the file and contains the version of its format. Files of other versions
+// are rejected.
+const bansHeader = "dunespoke bans 1"
 
-// Bounds on the file, which anyone who can write the directory may have written.
+// Limits on the content of the file: anyone who can write to the directory may have written it.
 const (
-	bansMost    = 4096
-	banNameMost = 256
+	maxBans         = 4096
+	maxBanNameBytes = 256
 )
 
-// readBans reads the bans kept, one name a line; none if there is no file.
+// readBans reads the banned servers, one name per line. It returns none if the file doesn't exist.
 func readBans(path string) ([]string, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -41,8 +43,8 @@
 		return nil, fmt.Errorf("bans: %w", err)
 	}
 	form, rest, _ := strings.Cut(string(text), "\n")
-	if form != bansForm {
-		return nil, fmt.Errorf("bans %s: the file is not of the form %q", path, bansForm)
+	if form != bansHeader {
+		return nil, fmt.Errorf("bans %s: the file does not begin with %q", path, bansHeader)
 	}
 	var names []string
 	for _, line := range strings.Split(rest, "\n") {
@@ -50,16 +52,17 @@
 		if name == "" {
 			continue
 		}
-		if len(name) > banNameMost || strings.ContainsFunc(name, func(r rune) bool { return r < ' ' }) ||
-			len(names) == bansMost {
-			return nil, fmt.Errorf("bans %s: not a list of names", path)
+		if len(name) > maxBanNameBytes || strings.ContainsFunc(name, func(r rune) bool { return r < ' ' }) ||
+			len(names) == maxBans {
+			return nil, fmt.Errorf("bans %s: invalid or too many server names", path)
 		}
 		names = append(names, name)
 	}
 	return names, nil
 }
 
-// writeBans replaces the file whole, so that a process that reads it meanwhile reads the old list or the new.
+// writeBans replaces the file atomically, so that a concurrent reader sees the old list or the new one. If
+// names is empty, it removes the file.
 func writeBans(path string, names []string) error {
 	slices.Sort(names)
 	if len(names) == 0 {
@@ -72,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("bans: %w", err)
 	}
-	_, err = f.WriteString(bansForm + "\n" + strings.Join(names, "\n") + "\n")
+	_, err = f.WriteString(bansHeader + "\n" + strings.Join(names, "\n") + "\n")
 	if cerr := f.Close(); err == nil {
 		err = cerr
 	}
--- a/cmd/dunespoke/bans_test.go
+++ b/cmd/dunespoke/bans_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestBansGoOverToTheNextProcess(t *testing.T) {
+func TestBansFileRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	if names, err := readBans(path); names != nil || err != nil {
 		t.Fatalf("no file: %q, %v", names, err)
@@ -23,14 +23,15 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(path); !os.IsNotExist(err) {
-		t.Errorf("no bans left a file: %v", err)
+		t.Errorf("the file exists after the last ban was removed: %v", err)
 	}
 }
 
-// A file that is not a list of names is refused whole, with an error, and bans nothing.
-func TestAFileOfBansThatIsNoListIsRefused(t *testing.T) {
+// A file that isn't a valid list of names is rejected with an error, and no name is read from it.
+func TestReadBansRejectsInvalidFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
-	for _, text := range []string{bansForm + "\ns1\n\x00\n", bansForm + "\n" + strings.Repeat("x", 300) + "\n",
+	for _, text := range []string{bansHeader + "\ns1\n\x00\n",
+		bansHeader + "\n" + strings.Repeat("x", 300) + "\n",
 		"s1\ns2\n", "dunespoke bans 0\ns1\n"} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if names, err := readBans(path); names != nil || err == nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-func TestBansFilesAreNamedByTheClientsAddress(t *testing.T) {
+func TestBansFileNameDependsOnListenAddress(t *testing.T) {
 	a, b := bansFile("127.0.0.1:8080"), bansFile("[::1]:8080")
 	if a == b || filepath.Dir(a) != os.TempDir() || strings.ContainsAny(filepath.Base(b), "[]:") {
 		t.Errorf("%s, %s", a, b)
--- a/cmd/dunespoke/bodies_test.go
+++ b/cmd/dunespoke/bodies_test.go
@@ -18,10 +18,10 @@
 	"dunespoke/internal/lab/origin"
 )
 
-// Bodies far over what the store and the windows hold come through whole on the platform's front, several at
-// once, with a length and in chunks, and the memory stays within its plan.
-func TestPlatformCarriesLongBodiesInBoundedMemory(t *testing.T) {
-	t.Cleanup(func() { // which the program sets for the whole process
+// The platform front forwards concurrent bodies far larger than its store and windows unchanged, with a
+// Content-Length and chunked, and keeps its memory below a limit.
+func TestPlatformForwardsLongBodiesInBoundedMemory(t *testing.T) {
+	t.Cleanup(func() { // the program sets both for the test process
 		debug.SetMemoryLimit(math.MaxInt64)
 		debug.SetGCPercent(100)
 	})
@@ -29,11 +29,11 @@
 	origin.Pattern(body, 0)
 	var mu sync.Mutex
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n, err := check(r.Body, body)
+		n, err := comparePrefix(r.Body, body)
 		live := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 		mu.Lock()
 		runtime.GC()
-		metrics.Read(live) // what is made after the collection is garbage for the most part, and not in use
+		metrics.Read(live) // allocations after the collection are mostly garbage and aren't counted
 		peak = max(peak, live[0].Value.Uint64())
 		mu.Unlock()
 		if err != nil {
@@ -51,7 +51,7 @@
 	for i := range conf.Settings.Classes {
 		conf.Settings.Classes[i].Aim, conf.Settings.Classes[i].Deadline = time.Minute, time.Minute
 	}
-	addr := onLoopback(t, conf, config.Operator{})
+	addr := startOnLoopback(t, conf, config.Operator{})
 	sizes := []int{65535, 65536, 65537, 300001, 1 << 20, 3<<20 + 1, 12 << 20, 9<<20 + 1}
 	var all sync.WaitGroup
 	for id := range 3 * len(sizes) {
@@ -61,7 +61,7 @@
 		all.Go(func() {
 			var from io.Reader = bytes.NewReader(body[:sizes[(id+id%3*3)%len(sizes)]])
 			if id%2 == 1 {
-				from = io.MultiReader(from) // in chunks
+				from = io.MultiReader(from) // hides the length, so that the body is chunked
 			}
 			q, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/withdrawal?account=0000000000000007", from)
 			q.Header = http.Header{"X-Lane": {"withdrawal"}, "X-Txn": {fmt.Sprintf("%016x", id+1)},
@@ -72,20 +72,20 @@
 				return
 			}
 			defer r.Body.Close()
-			n, err := check(r.Body, body)
+			n, err := comparePrefix(r.Body, body)
 			if want := sizes[(id+id%3*3)%len(sizes)]; err != nil || r.StatusCode != http.StatusOK || n != want {
-				t.Errorf("%d bytes: status %d, %d came, %v", want, r.StatusCode, n, err)
+				t.Errorf("%d bytes: status %d, received %d, %v", want, r.StatusCode, n, err)
 			}
 		})
 	}
 	all.Wait()
 	if most := uint64(len(body) + 14<<20); peak > most {
-		t.Errorf("%d bytes of memory in use, want %d at most", peak, most)
+		t.Errorf("%d bytes of memory in use, want at most %d", peak, most)
 	}
 }
 
-// check reads bytes that are to be the beginning of others.
-func check(r io.Reader, want []byte) (n int, err error) {
+// comparePrefix reads r to its end and checks that its content is a prefix of want. n is the length.
+func comparePrefix(r io.Reader, want []byte) (n int, err error) {
 	buf := make([]byte, 32<<10)
 	for {
 		k, err := r.Read(buf)
--- a/cmd/dunespoke/conform.go
+++ b/cmd/dunespoke/conform.go
@@ -16,21 +16,21 @@
 
 type conformCommand struct {
 	URL        string `help:"The introspection endpoint." required:"" env:"DUNESPOKE_CONFORM_URL"`
-	Issuer     string `help:"Whose metadata is read; else the URL's host." env:"DUNESPOKE_CONFORM_ISSUER"`
-	Client     string `help:"A client with a secret." required:"" env:"DUNESPOKE_CONFORM_CLIENT"`
-	Secret     string `help:"Its secret." env:"DUNESPOKE_CONFORM_SECRET"`
-	Token      string `help:"A token that is active." required:"" env:"DUNESPOKE_CONFORM_TOKEN"`
-	Roots      string `help:"PEM file of roots." type:"existingfile" env:"DUNESPOKE_CONFORM_ROOTS"`
-	CertClient string `help:"A client that authenticates by a certificate." env:"DUNESPOKE_CONFORM_CERT_CLIENT"`
+	Issuer     string `help:"Issuer of the metadata. Default: the URL's host." env:"DUNESPOKE_CONFORM_ISSUER"`
+	Client     string `help:"ID of a client with a secret." required:"" env:"DUNESPOKE_CONFORM_CLIENT"`
+	Secret     string `help:"Secret of the client." env:"DUNESPOKE_CONFORM_SECRET"`
+	Token      string `help:"An active token." required:"" env:"DUNESPOKE_CONFORM_TOKEN"`
+	Roots      string `help:"PEM file of root certificates." type:"existingfile" env:"DUNESPOKE_CONFORM_ROOTS"`
+	CertClient string `help:"ID of a client that uses a certificate." env:"DUNESPOKE_CONFORM_CERT_CLIENT"`
 	Cert       string `help:"PEM file of its certificate." type:"existingfile" env:"DUNESPOKE_CONFORM_CERT"`
-	Key        string `help:"PEM file of its key." type:"existingfile" env:"DUNESPOKE_CONFORM_KEY"`
+	Key        string `help:"PEM file of its private key." type:"existingfile" env:"DUNESPOKE_CONFORM_KEY"`
 	JSON       bool   `help:"Print JSON." env:"DUNESPOKE_CONFORM_JSON"`
 }
 
-// errNotConforming says that a check failed, which has been told.
-var errNotConforming = errors.New("the endpoint does not keep all requirements")
+// errNotConforming is returned if a check failed. The results have been printed.
+var errNotConforming = errors.New("the endpoint does not meet all requirements")
 
-// Run checks the endpoint and prints what was found.
+// Run checks the endpoint and prints the results.
 func (c *conformCommand) Run(out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -43,7 +43,7 @@
 		}
 		roots := x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(text) {
-			return fmt.Errorf("%s: no certificate in it", c.Roots)
+			return fmt.Errorf("%s: the file contains no PEM certificate", c.Roots)
 		}
 		target.TLS = &tls.Config{RootCAs: roots}
 	}
--- a/cmd/dunespoke/fleet.go
+++ b/cmd/dunespoke/fleet.go
@@ -21,77 +21,79 @@
 	"dunespoke/internal/mgmt"
 )
 
-// startFleet takes part in a fleet.
+// startFleet joins the fleet. Name and zone default to those of the platform's configuration.
 func (p *program) startFleet(set *config.Fleet) error {
 	name, zone := set.Name, set.Zone
 	if p.conf != nil {
 		name, zone = cmp.Or(name, p.conf.Name), cmp.Or(zone, p.conf.Settings.Zone)
 	}
 	if name == "" {
-		return errors.New("fleet.name is missing: without the platform nobody else names this ingress")
+		return errors.New("fleet.name is missing; it is required without a platform configuration")
 	}
-	ctx, leave := context.WithCancel(p.work)
+	ctx, cancel := context.WithCancel(p.work)
 	n, err := node.Start(ctx, node.Config{Name: name, Zone: zone, Region: set.Region, Bind: set.BindTo,
 		Advertise: set.AdvertiseAs, Seeds: set.Seeds, Keys: set.Ring, Voters: set.Voters,
 		Lease: time.Duration(set.Lease), Hold: time.Duration(set.Hold), Log: p.log, Traffic: p.traffic()})
 	if err != nil {
-		leave()
+		cancel()
 		return err
 	}
-	p.fleet, p.leave = n, leave
+	p.fleet, p.cancelFleet = n, cancel
 	return nil
 }
 
-// watcher passes on what the core tells of attempts, once the node is there.
-type watcher struct{ atomic.Pointer[node.Node] }
+// fleetWatcher forwards the core's reports on attempts to the fleet node, and drops them until the node is
+// stored. Safe for concurrent use.
+type fleetWatcher struct{ atomic.Pointer[node.Node] }
 
-func (w *watcher) Ended(zone string, failed bool, took time.Duration) {
+func (w *fleetWatcher) Ended(zone string, failed bool, took time.Duration) {
 	if n := w.Load(); n != nil {
 		n.Ended(zone, failed, took)
 	}
 }
 
-func (w *watcher) Hung(zone string, took time.Duration) {
+func (w *fleetWatcher) Hung(zone string, took time.Duration) {
 	if n := w.Load(); n != nil {
 		n.Hung(zone, took)
 	}
 }
 
-// coreWait bounds the wait for the core's goroutine.
-const coreWait = 200 * time.Millisecond
+// coreTimeout limits the wait for a reply of the core's goroutine.
+const coreTimeout = 200 * time.Millisecond
 
-// traffic is what the fleet decides about: nothing without the platform's front.
+// traffic returns the fleet node's access to this ingress's traffic. It is empty without the platform front.
 func (p *program) traffic() node.Traffic {
-	if p.main == nil {
+	if p.platformCore == nil {
 		return node.Traffic{}
 	}
 	return node.Traffic{
 		Servers: func() map[string][]string {
 			all := make(chan map[string][]string, 1)
-			p.main.Zones(all)
+			p.platformCore.Zones(all)
 			select {
 			case z := <-all:
 				return z
-			case <-time.After(coreWait):
+			case <-time.After(coreTimeout):
 				return nil
 			}
 		},
-		Avoid: p.main.Avoid,
-		Leave: p.ill.Store,
+		Avoid: p.platformCore.Avoid,
+		Leave: p.isolated.Store,
 	}
 }
 
-// leaveFleet tells the fleet that this ingress goes, before it ends its answers: the process of an upgrade
-// takes its address.
+// leaveFleet leaves the fleet. It must be called before drain, as the process of an upgrade takes over the
+// fleet address.
 func (p *program) leaveFleet() {
 	if p.fleet != nil {
-		p.leave()
+		p.cancelFleet()
 	}
 }
 
-// dump is the figures of DUMP; with a fleet, its record's as well.
+// dump returns the figures for DUMP, including the generation and epoch of the fleet's record if there is a
+// fleet.
 func (p *program) dump() any {
-	figures := p.main.Stats().Snapshot()
+	figures := p.platformCore.Stats().Snapshot()
 	if p.fleet == nil {
 		return figures
 	}
@@ -103,30 +105,30 @@
 	}{figures, r.Generation, r.Epoch}
 }
 
-// noteKey is the record's key of staff's note.
+// noteKey is the record's key of the operators' note.
 const noteKey = "note"
 
-// fleetCall answers an operator's call about the fleet.
-func (p *program) fleetCall(args []string) mgmt.Answer {
+// handleFleetCall executes a management call about the fleet and returns the reply.
+func (p *program) handleFleetCall(args []string) mgmt.Answer {
 	if p.fleet == nil {
 		return mgmt.Fail("this ingress is in no fleet: its operator's file has no [fleet]")
 	}
-	what := ""
+	verb := ""
 	if len(args) > 0 {
-		what = strings.ToUpper(args[0])
+		verb = strings.ToUpper(args[0])
 	}
 	switch {
-	case what == "STATUS" && len(args) == 1:
+	case verb == "STATUS" && len(args) == 1:
 		s, err := p.fleet.Status()
 		if err != nil {
 			return mgmt.Fail("%v", err)
 		}
-		return report(s)
-	case what == "ZONES" && len(args) == 1:
-		return report(p.fleet.Zones())
-	case what == "RECORD" && len(args) == 1:
-		return report(p.fleet.Record())
-	case what == "NOTE":
+		return jsonReport(s)
+	case verb == "ZONES" && len(args) == 1:
+		return jsonReport(p.fleet.Zones())
+	case verb == "RECORD" && len(args) == 1:
+		return jsonReport(p.fleet.Record())
+	case verb == "NOTE":
 		text, err := json.Marshal(strings.Join(args[1:], " "))
 		if err == nil {
 			err = p.fleet.Put(noteKey, text, "staff's note")
@@ -134,44 +136,44 @@
 		if err != nil {
 			return mgmt.Fail("%v", err)
 		}
-		p.log.Info().Str("code", "mgmt-fleet-note").Msg("told by an operator")
+		p.log.Info().Str("code", "mgmt-fleet-note").Msg("executed an operator's call")
 		return mgmt.Answer{OK: true}
-	case what == "EVACUATE" && len(args) == 3, what == "HOLD" && len(args) == 2,
-		what == "RELEASE" && len(args) < 3:
-		if err := p.fleetOrder(what, args[1:]); err != nil {
+	case verb == "EVACUATE" && len(args) == 3, verb == "HOLD" && len(args) == 2,
+		verb == "RELEASE" && len(args) < 3:
+		if err := p.orderFleet(verb, args[1:]); err != nil {
 			return mgmt.Fail("%v", err)
 		}
-		p.log.Info().Str("code", "mgmt-fleet-order").Strs("order", args).Msg("told by an operator")
+		p.log.Info().Str("code", "mgmt-fleet-order").Strs("order", args).Msg("executed an operator's call")
 		return mgmt.Answer{OK: true}
-	case what == "RECOVER" && len(args) == 1:
+	case verb == "RECOVER" && len(args) == 1:
 		if err := p.fleet.Recover(); err != nil {
 			return mgmt.Fail("%v", err)
 		}
-		p.log.Warn().Str("code", "mgmt-fleet-recover").Msg("told by an operator")
+		p.log.Warn().Str("code", "mgmt-fleet-recover").Msg("executed an operator's call")
 		return mgmt.Answer{OK: true}
 	}
 	return mgmt.Fail("want FLEET STATUS, ZONES, RECORD, NOTE TEXT, EVACUATE ZONE TIME, HOLD TIME, " +
 		"RELEASE [ZONE] or RECOVER")
 }
 
-// orderMost bounds an order: what staff forget must end.
-const orderMost = 24 * time.Hour
+// maxOrderDuration limits the duration of an order, so that an order that operators forget expires.
+const maxOrderDuration = 24 * time.Hour
 
-// fleetOrder has an order of staff's decided in common.
-func (p *program) fleetOrder(what string, args []string) error {
-	if what == "RELEASE" {
+// orderFleet submits an operator's order to the fleet, which decides on it by agreement.
+func (p *program) orderFleet(verb string, args []string) error {
+	if verb == "RELEASE" {
 		zone := strings.Join(args, "")
 		return p.fleet.Order("staff: release "+zone, func(now time.Duration, o *zones.Orders) *zones.Orders {
 			return o.Without(now, zone)
 		})
 	}
-	long, err := time.ParseDuration(args[len(args)-1])
-	if err != nil || long <= 0 || long > orderMost {
-		return fmt.Errorf("%q: want a time as in 30m, up to %v", args[len(args)-1], orderMost)
+	duration, err := time.ParseDuration(args[len(args)-1])
+	if err != nil || duration <= 0 || duration > maxOrderDuration {
+		return fmt.Errorf("%q: want a time as in 30m, up to %v", args[len(args)-1], maxOrderDuration)
 	}
-	if what == "HOLD" {
+	if verb == "HOLD" {
 		return p.fleet.Order("staff: hold", func(now time.Duration, o *zones.Orders) *zones.Orders {
-			return &zones.Orders{Evacuate: o.Evacuate, Hold: (now + long).Milliseconds()}
+			return &zones.Orders{Evacuate: o.Evacuate, Hold: (now + duration).Milliseconds()}
 		})
 	}
 	zone := args[0]
@@ -180,11 +182,12 @@
 		return fmt.Errorf("the list has no server in zone %s, only in %v", zone, slices.Sorted(maps.Keys(known)))
 	}
 	return p.fleet.Order("staff: evacuate "+zone, func(now time.Duration, o *zones.Orders) *zones.Orders {
-		return o.With(now, zone, now+long)
+		return o.With(now, zone, now+duration)
 	})
 }
 
-func report(v any) mgmt.Answer {
+// jsonReport returns a reply with v as a line of JSON, followed by EOT.
+func jsonReport(v any) mgmt.Answer {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return mgmt.Fail("%v", err)
@@ -192,34 +195,35 @@
 	return mgmt.Answer{OK: true, Report: true, Lines: []string{string(text), "EOT"}}
 }
 
-// fleetCommand is for staff. It asks an ingress, by its operators' address.
+// fleetCommand groups the operators' commands. Each of them calls an ingress at its management address.
 type fleetCommand struct {
-	Members  fleetMembers  `cmd:"" help:"Who is in the fleet, as one ingress sees it."`
-	Zones    fleetZones    `cmd:"" help:"Which zones are left alone from where, why, and who is ill."`
-	Record   fleetRecord   `cmd:"" help:"What the fleet has decided in common, as JSON."`
-	Note     fleetNote     `cmd:"" help:"Leave a note for other staff in the common record."`
-	Evacuate fleetEvacuate `cmd:"" help:"Have all leave a zone's servers alone for a while."`
-	Hold     fleetHold     `cmd:"" help:"Have the table of zones stay as it is for a while, whatever fails."`
-	Release  fleetRelease  `cmd:"" help:"Take back what evacuate and hold have ordered."`
-	Recover  fleetRecover  `cmd:"" help:"Have the voters that are left decide without those that are gone."`
+	Members  fleetMembers  `cmd:"" help:"Print the members of the fleet, as one ingress sees them."`
+	Zones    fleetZones    `cmd:"" help:"Print avoided zones with reasons, and unhealthy ingresses."`
+	Record   fleetRecord   `cmd:"" help:"Print the record that the fleet has agreed on, as JSON."`
+	Note     fleetNote     `cmd:"" help:"Store a note for other operators in the fleet's record."`
+	Evacuate fleetEvacuate `cmd:"" help:"Make all ingresses avoid the servers of a zone for a time."`
+	Hold     fleetHold     `cmd:"" help:"Freeze the table of zones for a time, whatever fails."`
+	Release  fleetRelease  `cmd:"" help:"Revoke the orders of evacuate and hold."`
+	Recover  fleetRecover  `cmd:"" help:"Let the remaining voters decide without the lost ones."`
 }
 
-// ingressAt is the ingress that is asked.
-type ingressAt struct {
-	Mgmt string `help:"The operators' address of an ingress." required:"" env:"LB_MGMT" placeholder:"ADDR"`
+// mgmtClient calls the ingress at a management address.
+type mgmtClient struct {
+	Mgmt string `help:"The management address of an ingress." required:"" env:"LB_MGMT" placeholder:"ADDR"`
 }
 
-// callWait is more than an ingress takes for any call.
-const callWait = 3 * time.Second
+// callTimeout limits a management call. It is longer than an ingress needs for any call.
+const callTimeout = 3 * time.Second
 
-// ask calls an ingress, and returns what it says, without the last line of a report.
-func (i ingressAt) ask(call string) (string, error) {
-	c, err := net.DialTimeout("tcp", i.Mgmt, callWait)
+// request sends a management call and returns the reply, without the EOT line that ends a report. A FAILURE
+// reply is returned as an error.
+func (i mgmtClient) request(call string) (string, error) {
+	c, err := net.DialTimeout("tcp", i.Mgmt, callTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(callWait))
+	c.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := fmt.Fprintln(c, call); err != nil {
 		return "", err
 	}
@@ -227,21 +231,21 @@
 	if err != nil {
 		return "", err
 	}
-	said := strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(string(text)), "EOT"))
-	if reason, failed := strings.CutPrefix(said, "FAILURE"); failed {
+	reply := strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(string(text)), "EOT"))
+	if reason, failed := strings.CutPrefix(reply, "FAILURE"); failed {
 		return "", errors.New(strings.TrimSpace(reason))
 	}
-	return said, nil
+	return reply, nil
 }
 
 type fleetMembers struct {
-	ingressAt
-	JSON bool `help:"Print the answer as it came."`
+	mgmtClient
+	JSON bool `help:"Print the reply unchanged, as JSON."`
 }
 
-// Run prints a line a member.
+// Run prints the state of the record, message counts and one line per member.
 func (f *fleetMembers) Run(out io.Writer) error {
-	text, err := f.ask("FLEET STATUS")
+	text, err := f.request("FLEET STATUS")
 	if err != nil {
 		return err
 	}
@@ -253,8 +257,8 @@
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
 		return fmt.Errorf("answer of %s: %w", f.Mgmt, err)
 	}
-	fmt.Fprintf(out, "%s: record %s, epoch %d of generation %d, leader %s, a majority stood behind it "+
-		"%d ms ago\n", s.Name, s.Standing, s.Epoch, s.Generation, cmp.Or(s.Leader, "none"), s.FreshMS)
+	fmt.Fprintf(out, "%s: record %s, epoch %d of generation %d, leader %s, last confirmed by a "+
+		"majority %d ms ago\n", s.Name, s.Standing, s.Epoch, s.Generation, cmp.Or(s.Leader, "none"), s.FreshMS)
 	c := s.Messages
 	fmt.Fprintf(out, "messages in %d, out %d, not sent %d, forged %d, replayed %d, malformed %d\n",
 		c.In, c.Out, c.Unsent, c.Forged, c.Replayed, c.Malformed)
@@ -265,11 +269,11 @@
 	return nil
 }
 
-type fleetZones struct{ ingressAt }
+type fleetZones struct{ mgmtClient }
 
-// Run prints the table, a line a link.
+// Run prints the table of zones, one line per link, the orders in force and the unhealthy ingresses.
 func (f *fleetZones) Run(out io.Writer) error {
-	text, err := f.ask("FLEET ZONES")
+	text, err := f.request("FLEET ZONES")
 	if err != nil {
 		return err
 	}
@@ -277,90 +281,92 @@
 	if err := json.Unmarshal([]byte(text), &z); err != nil {
 		return fmt.Errorf("answer of %s: %w", f.Mgmt, err)
 	}
-	fmt.Fprintf(out, "table of epoch %d, %s; the last change by %s: %s\n", z.Epoch, z.Standing,
-		cmp.Or(z.By, "nobody"), cmp.Or(z.Why, "there was none"))
+	fmt.Fprintf(out, "table of epoch %d, %s; last changed by %s: %s\n", z.Epoch, z.Standing,
+		cmp.Or(z.By, "nobody"), cmp.Or(z.Why, "never changed"))
 	for _, name := range slices.Sorted(maps.Keys(z.Links)) {
 		l, state := z.Links[name], "up"
 		if l.Down {
-			state = "left alone"
+			state = "avoided"
 		}
 		fmt.Fprintf(out, "%-16s %-10s since %s, flaps %d\n", name, state,
 			time.UnixMilli(l.Since).Format(time.RFC3339), l.Flaps)
 	}
 	now := time.Duration(time.Now().UnixNano())
 	for _, zone := range z.Orders.Evacuated(now) {
-		fmt.Fprintf(out, "%-16s evacuated by staff until %s\n", zone,
+		fmt.Fprintf(out, "%-16s evacuated by an operator until %s\n", zone,
 			time.UnixMilli(z.Orders.Evacuate[zone]).Format(time.RFC3339))
 	}
 	if z.Orders.Held(now) {
-		fmt.Fprintf(out, "held by staff until %s\n", time.UnixMilli(z.Orders.Hold).Format(time.RFC3339))
+		fmt.Fprintf(out, "frozen by an operator until %s\n", time.UnixMilli(z.Orders.Hold).Format(time.RFC3339))
 	}
 	for _, name := range z.Ill {
-		fmt.Fprintf(out, "%-16s ill: it takes no clients\n", name)
+		fmt.Fprintf(out, "%-16s unhealthy: it accepts no clients\n", name)
 	}
 	return nil
 }
 
-type fleetRecord struct{ ingressAt }
+type fleetRecord struct{ mgmtClient }
 
-// Run prints the record.
+// Run prints the fleet's record.
 func (f *fleetRecord) Run(out io.Writer) error {
-	return f.say(out, "FLEET RECORD")
+	return f.callAndPrint(out, "FLEET RECORD")
 }
 
 type fleetNote struct {
-	ingressAt
-	Text string `arg:"" help:"One line."`
+	mgmtClient
+	Text string `arg:"" help:"The note, one line."`
 }
 
-// Run leaves the note.
+// Run stores the note.
 func (f *fleetNote) Run(out io.Writer) error {
-	return f.say(out, "FLEET NOTE "+strings.Join(strings.Fields(f.Text), " "))
+	return f.callAndPrint(out, "FLEET NOTE "+strings.Join(strings.Fields(f.Text), " "))
 }
 
-// say gives an order and prints what became of it.
-func (i ingressAt) say(out io.Writer, call string) error {
-	said, err := i.ask(call)
+// callAndPrint sends a management call and prints the reply.
+func (i mgmtClient) callAndPrint(out io.Writer, call string) error {
+	reply, err := i.request(call)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(out, said)
+	_, err = fmt.Fprintln(out, reply)
 	return err
 }
 
 type fleetEvacuate struct {
-	ingressAt
+	mgmtClient
 	Zone string        `arg:""`
-	For  time.Duration `help:"How long, 24 h at the most." required:""`
+	For  time.Duration `help:"Duration, at most 24 h." required:""`
 }
 
 // Run gives the order.
 func (f *fleetEvacuate) Run(out io.Writer) error {
-	return f.say(out, fmt.Sprintf("FLEET EVACUATE %s %v", f.Zone, f.For))
+	return f.callAndPrint(out, fmt.Sprintf("FLEET EVACUATE %s %v", f.Zone, f.For))
 }
 
 type fleetHold struct {
-	ingressAt
-	For time.Duration `help:"How long, 24 h at the most." required:""`
+	mgmtClient
+	For time.Duration `help:"Duration, at most 24 h." required:""`
 }
 
 // Run gives the order.
-func (f *fleetHold) Run(out io.Writer) error { return f.say(out, fmt.Sprintf("FLEET HOLD %v", f.For)) }
+func (f *fleetHold) Run(out io.Writer) error {
+	return f.callAndPrint(out, fmt.Sprintf("FLEET HOLD %v", f.For))
+}
 
 type fleetRelease struct {
-	ingressAt
-	Zone string `arg:"" optional:"" help:"The zone; all orders without it."`
+	mgmtClient
+	Zone string `arg:"" optional:"" help:"The zone to release. Default: revoke all orders."`
 }
 
 // Run gives the order.
-func (f *fleetRelease) Run(out io.Writer) error { return f.say(out, "FLEET RELEASE "+f.Zone) }
+func (f *fleetRelease) Run(out io.Writer) error { return f.callAndPrint(out, "FLEET RELEASE "+f.Zone) }
 
 type fleetRecover struct {
-	ingressAt
-	Gone bool `help:"Whoever does not answer is dead: you have made sure." required:""`
+	mgmtClient
+	Gone bool `help:"Confirms that you have verified that all unreachable voters are dead." required:""`
 }
 
-// Run has one voter found a new group.
+// Run makes the voter that is called found a new group.
 func (f *fleetRecover) Run(out io.Writer) error {
-	return f.say(out, "FLEET RECOVER")
+	return f.callAndPrint(out, "FLEET RECOVER")
 }
--- a/cmd/dunespoke/gateway.go
+++ b/cmd/dunespoke/gateway.go
@@ -23,38 +23,40 @@
 	"dunespoke/internal/net/secure"
 )
 
-// gate is the general HTTP front with all that stands behind it.
-type gate struct {
-	p      *program
-	share  sockets
-	side   *secure.Side // nil: plain text
-	conf   *config.Gateway
-	front  *gateway.Front
-	budget *flow.Budget
-	counts core.Counter // shared by the pools' cores
-	pools  atomic.Pointer[map[string]*pool]
+// gatewayFront is the general HTTP front with its pools of app servers.
+type gatewayFront struct {
+	p       *program
+	share   sockets
+	side    *secure.Side // nil: no TLS
+	conf    *config.Gateway
+	front   *gateway.Front
+	budget  *flow.Budget
+	counter core.Counter // shared by the cores of all pools
+	pools   atomic.Pointer[map[string]*pool]
 }
 
-// pool is the core of a pool of app servers. It may outlive the configuration that it was made for.
+// pool is the core of a pool of app servers. It can outlive the configuration that it was created for: a
+// reload keeps pools whose settings are unchanged, and lets the others finish their requests.
 type pool struct {
 	*core.Core
-	conf config.Pool
-	set  choice.Settings
-	end  context.CancelFunc
+	conf   config.Pool
+	set    choice.Settings
+	cancel context.CancelFunc
 }
 
-// startGateway starts the front for any HTTP traffic, with a core for each pool.
-func (p *program) startGateway(g *config.Gateway, share sockets) (*gate, error) {
+// startGateway starts the general HTTP front, with a core for each pool.
+func (p *program) startGateway(g *config.Gateway, share sockets) (*gatewayFront, error) {
 	if g.MemoryMB > 0 {
 		if bound := g.Bound(share.clients, share.servers); bound > g.MemoryMB<<20 {
-			return nil, fmt.Errorf("gateway.memory_mb: %d, and with %d connections and all transfers it may take %d",
+			return nil, fmt.Errorf("gateway.memory_mb: %d is too low: %d connections and all transfers can need %d",
 				g.MemoryMB, share.clients+share.servers, bound>>20)
 		}
-		if p.conf == nil { // on the platform its limit counts
+		if p.conf == nil { // with the platform, the platform's limit applies
 			debug.SetMemoryLimit(int64(g.MemoryMB) << 20)
 		}
 	}
-	t := &gate{p: p, share: share, budget: flow.NewBudget(g.Transfers.Options()), counts: p.gatewayCounts(g)}
+	t := &gatewayFront{p: p, share: share, budget: flow.NewBudget(g.Transfers.Options()),
+		counter: p.gatewayCounter(g)}
 	if !g.Insecure {
 		var err error
 		if t.side, err = secure.Server(files(g.TLS), p.log); err != nil {
@@ -62,7 +64,7 @@
 		}
 		go t.side.Watch(p.work)
 	}
-	plan, pools, err := t.build(g)
+	plan, pools, err := t.buildPlan(g)
 	if err != nil {
 		return nil, err
 	}
@@ -74,14 +76,14 @@
 	if err != nil {
 		return nil, err
 	}
-	p.take(accept.NewStreams(l, t.front, share.clients, accept.Streams{Head: g.Head, Short: g.Short,
+	p.startServer(accept.NewStreams(l, t.front, share.clients, accept.Streams{Head: g.Head, Short: g.Short,
 		Wait: time.Duration(g.Wait), Idle: time.Duration(g.KeepAlive), Drain: time.Duration(g.Drain)}, p.log),
 		g.Listen, share.clients, t.side)
 	return t, nil
 }
 
-// ready reports whether some pool has a live server: others go on without one that has none.
-func (t *gate) ready() bool {
+// ready reports whether at least one pool has a live server. A pool without one doesn't affect the others.
+func (t *gatewayFront) ready() bool {
 	for _, c := range *t.pools.Load() {
 		if c.Ready() {
 			return true
@@ -90,9 +92,9 @@
 	return false
 }
 
-// build makes the parts of a configuration. Pools that are as those in use are used on. Nothing is changed by
-// it.
-func (t *gate) build(g *config.Gateway) (plan *gateway.Plan, pools map[string]*pool, err error) {
+// buildPlan creates the plan and the pools of a configuration, and reuses the current pools whose settings
+// are unchanged. It doesn't change the running configuration; on an error it stops the pools that it started.
+func (t *gatewayFront) buildPlan(g *config.Gateway) (plan *gateway.Plan, pools map[string]*pool, err error) {
 	pools = map[string]*pool{}
 	defer func() {
 		if err != nil {
@@ -101,7 +103,7 @@
 	}()
 	for i := range g.Pools {
 		name := g.Pools[i].Name
-		if pools[name], err = t.pool(g, &g.Pools[i]); err != nil {
+		if pools[name], err = t.startPool(g, &g.Pools[i]); err != nil {
 			delete(pools, name)
 			return nil, pools, fmt.Errorf("gateway.pool[%s]: %w", name, err)
 		}
@@ -114,8 +116,8 @@
 	if t.side != nil {
 		o.VerifyClient = t.side.Trust
 	}
-	if t.p.questions != nil {
-		o.Guard = t.p.questions.checks()
+	if t.p.introspection != nil {
+		o.Guard = t.p.introspection.gatewayGuard()
 	}
 	if plan, err = gateway.NewPlan(o); err != nil {
 		return nil, pools, fmt.Errorf("gateway: %w", err)
@@ -123,29 +125,31 @@
 	return plan, pools, nil
 }
 
-// take goes by what was built of a configuration read again. Requests under way end at the pools that they
-// began at.
-func (t *gate) take(g *config.Gateway, plan *gateway.Plan, pools map[string]*pool) {
-	if kept := t.conf.Keep(g); len(kept) > 0 {
-		t.p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", kept).Msg("changed, and not taken")
+// apply switches to what buildPlan has created from a reloaded configuration. Requests in flight finish in
+// the pools in which they started.
+func (t *gatewayFront) apply(g *config.Gateway, plan *gateway.Plan, pools map[string]*pool) {
+	if unapplied := t.conf.Keep(g); len(unapplied) > 0 {
+		t.p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", unapplied).
+			Msg("changed settings need a restart; keeping the previous values")
 	}
 	old := t.pools.Swap(&pools)
 	t.front.SetPlan(plan)
 	t.conf = g
-	t.release(*old, &pools, retire)
+	t.release(*old, &pools, retireDelay)
 }
 
-// release ends, after a time, the pools that others have no use for.
-func (t *gate) release(pools map[string]*pool, others *map[string]*pool, after time.Duration) {
+// release stops, after the given delay, the pools that aren't among others.
+func (t *gatewayFront) release(pools map[string]*pool, others *map[string]*pool, after time.Duration) {
 	for name, c := range pools {
 		if others == nil || (*others)[name] != c {
-			time.AfterFunc(after, c.end)
+			time.AfterFunc(after, c.cancel)
 		}
 	}
 }
 
-// gatewayCounts is where the pools' cores count what customers use: at the counter, or here alone.
-func (p *program) gatewayCounts(g *config.Gateway) core.Counter {
+// gatewayCounter returns the counter of the customers' usage: a client of the shared counter at the gateway's
+// or the platform's address, or a counter local to this process if neither is set.
+func (p *program) gatewayCounter(g *config.Gateway) core.Counter {
 	addr := g.Counter
 	if addr == "" && p.conf != nil {
 		addr = p.conf.Counter
@@ -160,32 +164,33 @@
 	return client
 }
 
-// pool starts the core of a pool of app servers, or takes the one that is there.
-func (t *gate) pool(g *config.Gateway, conf *config.Pool) (*pool, error) {
+// startPool starts the core of a pool, or returns the running one if its settings are unchanged.
+func (t *gatewayFront) startPool(g *config.Gateway, conf *config.Pool) (*pool, error) {
 	p, set := t.p, g.Settings(conf)
 	if old := t.pools.Load(); old != nil {
 		if c := (*old)[conf.Name]; c != nil && reflect.DeepEqual(c.conf, *conf) && reflect.DeepEqual(c.set, set) {
 			return c, nil
 		}
 	}
-	work, end := context.WithCancel(p.work)
+	work, cancel := context.WithCancel(p.work)
 	dial := p.dial
 	if !conf.Insecure {
 		side, err := secure.Client(files(conf.TLS), p.log)
 		if err != nil {
-			end()
+			cancel()
 			return nil, err
 		}
 		go side.Watch(work)
 		dial = side.Dial(secure.Dialer(dial))
 	}
 	up := forward.New(forward.Config{Dial: dial, DialTimeout: set.DialTimeout, Log: p.log,
-		KeepAlive: time.Duration(conf.KeepAlive), Connections: max(1, t.share.servers/len(g.Pools)), Stall: stall,
-		Streams: gateway.ClassifyHead(conf.Errors), Limits: http1.Limits{Head: answerHead}})
+		KeepAlive: time.Duration(conf.KeepAlive), Connections: max(1, t.share.servers/len(g.Pools)),
+		Stall: responseStallTimeout, Streams: gateway.ClassifyHead(conf.Errors),
+		Limits: http1.Limits{Head: maxResponseHead}})
 	c, err := core.New(core.Config{Settings: set, Seed: uint64(time.Now().UnixNano()), Upstream: up,
-		Counter: t.counts, Log: p.decision})
+		Counter: t.counter, Log: p.logDecision})
 	if err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
 	go c.Run(work)
@@ -199,8 +204,8 @@
 		}
 		c.Servers(true, servers)
 	}
-	return &pool{c, *conf, set, end}, nil
+	return &pool{c, *conf, set, cancel}, nil
 }
 
-// answerHead bounds the heads of app servers' answers, in bytes.
-const answerHead = 64 << 10
+// maxResponseHead limits the head of an app server's response, in bytes.
+const maxResponseHead = 64 << 10
--- a/cmd/dunespoke/gateway_fuzz_test.go
+++ b/cmd/dunespoke/gateway_fuzz_test.go
@@ -16,8 +16,8 @@
 	"dunespoke/internal/scenario"
 )
 
-// Whatever a client sends, what reaches an app server are requests that can be read, without a line that
-// holds for the client's connection alone; and the program goes on.
+// Whatever a client sends, an app server receives only well-formed requests without hop-by-hop fields, and
+// the program doesn't crash.
 func FuzzGateway(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\nHost: h\r\nX-Account: 1\r\n\r\n",
@@ -40,7 +40,7 @@
 					if err != nil {
 						return
 					}
-					go readAll(t, nc)
+					go serveStrictly(t, nc)
 				}
 			}()
 			p := &program{log: zerolog.Nop(), listen: n.Listen, dial: n.Dial, work: ctx,
@@ -66,24 +66,24 @@
 	})
 }
 
-// readAll plays an app server that is strict about what it gets.
-func readAll(t *testing.T, nc net.Conn) {
+// serveStrictly simulates an app server that reports malformed requests and hop-by-hop fields.
+func serveStrictly(t *testing.T, nc net.Conn) {
 	defer nc.Close()
 	for in := bufio.NewReader(nc); ; {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.ErrClosedPipe) {
-				t.Errorf("an app server got what can't be read: %v", err)
+				t.Errorf("an app server received a malformed request: %v", err)
 			}
 			return
 		}
 		for _, name := range []string{"Keep-Alive", "Proxy-Connection", "Upgrade", "Expect", "X-Real-Ip"} {
 			if r.Header.Get(name) != "" {
-				t.Errorf("an app server got %s: %s", name, r.Header.Get(name))
+				t.Errorf("an app server received %s: %s", name, r.Header.Get(name))
 			}
 		}
 		if r.Host == "" && r.ProtoAtLeast(1, 1) && r.Header.Get("Via") == "" {
-			t.Error("an app server got neither Host nor Via")
+			t.Error("an app server received neither Host nor Via")
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
--- a/cmd/dunespoke/gateway_slow_test.go
+++ b/cmd/dunespoke/gateway_slow_test.go
@@ -20,8 +20,9 @@
 	"dunespoke/internal/scenario"
 )
 
-// before runs a program before an app server of Go's own, both on a network in memory.
-func before(t *testing.T, o config.Operator, app http.HandlerFunc,
+// withGateway runs test against a program in front of a net/http app server, both on an in-memory network
+// with simulated time.
+func withGateway(t *testing.T, o config.Operator, app http.HandlerFunc,
 	test func(p *program, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := scenario.NewNet()
@@ -50,19 +51,19 @@
 	})
 }
 
-// ahead is how far one side may be ahead of the other: the buffers of both connections, and a window.
-const ahead = 40 << 10
+// maxLeadBytes is how far one side may be ahead of the other: the buffers of both connections and a window.
+const maxLeadBytes = 40 << 10
 
-// A client that reads 2 KB a second gets 50 MB, and the server is never far ahead of it.
-func TestGatewayKeepsToTheSlowerReader(t *testing.T) {
+// A client that reads 2 KB/s receives 50 MB, and the server is never far ahead of it.
+func TestGatewayLimitsResponseToClientRate(t *testing.T) {
 	t.Parallel()
 	const total = 50 << 20
-	var wrote atomic.Int64
-	before(t, gatewayConf(), func(w http.ResponseWriter, _ *http.Request) {
+	var sent atomic.Int64
+	withGateway(t, gatewayConf(), func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(total))
 		for range total / 1024 {
 			n, _ := w.Write(make([]byte, 1024))
-			wrote.Add(int64(n))
+			sent.Add(int64(n))
 		}
 	}, func(_ *program, dial func() net.Conn) {
 		nc := dial()
@@ -76,7 +77,7 @@
 		for {
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if lead := wrote.Load() - read; lead > ahead {
+			if lead := sent.Load() - read; lead > maxLeadBytes {
 				t.Fatalf("the server is %d bytes ahead", lead)
 			}
 			n, err := io.ReadFull(r.Body, buf)
@@ -90,19 +91,19 @@
 	})
 }
 
-// A server that reads 2 KB a second gets 60 MB, and the client is never far ahead of it.
-func TestGatewayKeepsToTheSlowerTaker(t *testing.T) {
+// A server that reads 2 KB/s receives 60 MB, and the client is never far ahead of it.
+func TestGatewayLimitsUploadToServerRate(t *testing.T) {
 	t.Parallel()
 	const total = 60 << 20
-	var taken atomic.Int64
-	before(t, gatewayConf(), func(w http.ResponseWriter, r *http.Request) {
+	var received atomic.Int64
+	withGateway(t, gatewayConf(), func(w http.ResponseWriter, r *http.Request) {
 		for buf := make([]byte, 2000); ; time.Sleep(time.Second) {
 			n, err := io.ReadFull(r.Body, buf)
-			if taken.Add(int64(n)); err != nil {
+			if received.Add(int64(n)); err != nil {
 				break
 			}
 		}
-		fmt.Fprint(w, taken.Load())
+		fmt.Fprint(w, received.Load())
 	}, func(_ *program, dial func() net.Conn) {
 		nc := dial()
 		defer nc.Close()
@@ -112,7 +113,7 @@
 			if wrote += int64(n); err != nil {
 				t.Fatal(err)
 			}
-			if lead := wrote - taken.Load(); lead > ahead {
+			if lead := wrote - received.Load(); lead > maxLeadBytes {
 				t.Fatalf("the client is %d bytes ahead", lead)
 			}
 		}
@@ -121,15 +122,15 @@
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(r.Body); string(body) != fmt.Sprint(total) {
-			t.Errorf("the server got %s of %d", body, total)
+			t.Errorf("the server received %s of %d", body, total)
 		}
 	})
 }
 
-// A client that leaves in the midst of its answer, or of its request, frees the server within 100 ms.
-func TestGatewayFreesServersAtOnce(t *testing.T) {
+// If a client disconnects during its response or its request, the server is released within 100 ms.
+func TestGatewayFreesServerWhenClientDisconnects(t *testing.T) {
 	freed := make(chan time.Time, 1)
-	before(t, gatewayConf(), func(w http.ResponseWriter, r *http.Request) {
+	withGateway(t, gatewayConf(), func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.Write(make([]byte, 1024))
 			http.NewResponseController(w).Flush()
@@ -147,25 +148,25 @@
 			nc.Close()
 			left := time.Now()
 			if took := (<-freed).Sub(left); took > 100*time.Millisecond {
-				t.Errorf("freed after %v by a client that had sent %q", took, request)
+				t.Errorf("released after %v by a client that had sent %q", took, request)
 			}
 		}
 	})
 }
 
-// 300 clients that send a byte a second keep nobody from an ordinary answer at once, and are cut in the end.
-func TestGatewayServesBesideManySlowClients(t *testing.T) {
+// 300 clients that send one byte per second don't delay other requests, and are disconnected in the end.
+func TestGatewayServesDespiteManySlowClients(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Transfers.Bytes = 1 << 20
-	before(t, o, func(w http.ResponseWriter, r *http.Request) {
+	withGateway(t, o, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, "money")
 	}, func(p *program, dial func() net.Conn) {
-		var cut atomic.Int64
+		var disconnected atomic.Int64
 		for i := range 300 {
 			nc := dial()
 			fmt.Fprintf(nc, "POST /withdraw HTTP/1.1\r\nHost: h\r\nX-Account: s%d\r\n", i)
-			if i%2 == 0 { // half of them with their heads not even whole
+			if i%2 == 0 { // the other half never completes its head
 				io.WriteString(nc, "Transfer-Encoding: chunked\r\n\r\n")
 			}
 			go io.Copy(io.Discard, nc)
@@ -181,7 +182,7 @@
 					}
 					time.Sleep(time.Second)
 				}
-				cut.Add(1)
+				disconnected.Add(1)
 			}()
 		}
 		for range 10 {
@@ -195,8 +196,8 @@
 			nc.Close()
 		}
 		time.Sleep(5 * time.Second)
-		if n := cut.Load(); n != 150 { // those that never sent a head
-			t.Errorf("%d cut by now", n)
+		if n := disconnected.Load(); n != 150 { // those that never completed a head
+			t.Errorf("%d clients disconnected, want 150", n)
 		}
 		start := time.Now()
 		p.drain()
@@ -207,11 +208,12 @@
 	})
 }
 
-// Bodies of lengths about every bound come through whole, both ways at once, with a length and in chunks.
-func TestGatewayCarriesBodiesOfAnyLength(t *testing.T) {
+// Bodies with lengths around each limit are forwarded unchanged in both directions at once, with a
+// Content-Length and chunked.
+func TestGatewayForwardsBodiesOfAnyLength(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Plans[0].Rate = 0
-	before(t, o, func(w http.ResponseWriter, r *http.Request) {
+	withGateway(t, o, func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
 		if r.ContentLength > 0 {
 			w.Header().Set("Content-Length", fmt.Sprint(r.ContentLength))
@@ -236,7 +238,7 @@
 				got, err := io.ReadAll(r.Body)
 				r.Body.Close()
 				if err != nil || !bytes.Equal(got, body) || r.StatusCode != http.StatusOK {
-					t.Errorf("%d bytes, chunked %v: %d, %d came, %v", size, chunked, r.StatusCode, len(got), err)
+					t.Errorf("%d bytes, chunked %v: status %d, received %d, %v", size, chunked, r.StatusCode, len(got), err)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
--- a/cmd/dunespoke/gateway_test.go
+++ b/cmd/dunespoke/gateway_test.go
@@ -22,7 +22,8 @@
 	"dunespoke/internal/net/direct"
 )
 
-// gatewayConf has one app server at "app" and routes of each class; a withdrawal's body is never held.
+// gatewayConf returns a configuration with one app server at "app" and a route of each class. The body of a
+// withdrawal is never buffered for a retry.
 func gatewayConf() config.Operator {
 	second := config.Duration(time.Second)
 	g := config.Gateway{
@@ -50,7 +51,7 @@
 	return config.Operator{Gateway: g}
 }
 
-var gatewayWords = map[string]string{
+var gatewayMacros = map[string]string{
 	"get":     `GET /a/b?c=d HTTP/1.1\r\nHost: shop.example\r\n$who\r\n`,
 	"who":     `X-Account: 7\r\n`,
 	"post":    `POST /withdraw HTTP/1.1\r\nHost: h\r\n$who`,
@@ -60,17 +61,19 @@
 	"long":    strings.Repeat("0123456789abcdef", 64), // 1 KiB
 }
 
-// through plays a script against the gateway, and returns the log.
-func through(t *testing.T, o config.Operator, script string, hooks ...func(*program)) string {
+// playGateway runs a script against the gateway and returns the program's log.
+func playGateway(t *testing.T, o config.Operator, script string, hooks ...func(*program)) string {
 	t.Helper()
-	for name, text := range gatewayWords {
-		words["g-"+name] = strings.ReplaceAll(text, "$", "$g-")
+	for name, text := range gatewayMacros {
+		macros["g-"+name] = strings.ReplaceAll(text, "$", "$g-")
 	}
 	return play(t, nil, o, script, hooks...)
 }
 
-func TestGatewayPassesWhatBelongsToTheMessage(t *testing.T) {
-	through(t, gatewayConf(), `
+// Hop-by-hop fields and untrusted forwarding fields are removed, and all other fields are forwarded, also in
+// responses without a body and in interim responses.
+func TestGatewayForwardsEndToEndFields(t *testing.T) {
+	playGateway(t, gatewayConf(), `
 		client send GET /a/b?c=d HTTP/1.1\r\nHost: shop.example\r\n$g-who
 		client send Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\n
 		client send X-Forwarded-For: 1.2.3.4\r\nForwarded: for=1.2.3.4\r\n
@@ -102,8 +105,8 @@
 	`)
 }
 
-func TestGatewayStreamsAnswersAsTheyCome(t *testing.T) {
-	through(t, gatewayConf(), `
+func TestGatewayStreamsResponses(t *testing.T) {
+	playGateway(t, gatewayConf(), `
 		client send $g-get
 		app expect GET /a/b
 		app send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n5;ext=1\r\nhello\r\n
@@ -129,9 +132,10 @@
 	`)
 }
 
-// An answer that breaks off is never completed: no last chunk, or less than its length, and a close.
-func TestGatewayCutsAnswersThatBreakOff(t *testing.T) {
-	log := through(t, gatewayConf(), `
+// A response that breaks off at the server is truncated for the client, too: it ends by a close without the
+// last chunk or before its Content-Length.
+func TestGatewayAbortsTruncatedResponses(t *testing.T) {
+	log := playGateway(t, gatewayConf(), `
 		client1 send $g-get
 		app1 expect GET
 		app1 send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n
@@ -152,15 +156,15 @@
 		client3 wait closed
 	`)
 	if n := strings.Count(log, `"code":"answer-cut","waiting":true,"requests":1,"up":0`); n != 3 {
-		t.Errorf("%d answers cut:\n%s", n, log)
+		t.Errorf("%d truncated responses logged, want 3:\n%s", n, log)
 	}
 	if !strings.Contains(log, `"code":"server-stalled"`) {
-		t.Errorf("no server blamed for its silence:\n%s", log)
+		t.Errorf("the stalled server is not in the log:\n%s", log)
 	}
 }
 
 func TestGatewayStreamsUploads(t *testing.T) {
-	through(t, gatewayConf(), `
+	playGateway(t, gatewayConf(), `
 		client send $g-postContent-Length: 2048\r\n\r\n$g-long
 		app expect POST /withdraw HTTP/1.1\r\nHost: h\r\n
 		app expect Content-Length: 2048\r\n\r\n$g-long
@@ -192,8 +196,8 @@
 	`)
 }
 
-// Whatever stops a withdrawal's body on its way, it ends as a failed answer, the server sees it broken off,
-// and it is never sent again.
+// If the transfer of a withdrawal's body fails for any reason, the client gets an error, the server sees the
+// body truncated, and the request is never retried.
 func TestGatewayNeverResendsAWithdrawal(t *testing.T) {
 	for name, stop := range map[string]string{
 		"reset by the server":   "app1 close\nclient expect 502",
@@ -206,7 +210,7 @@
 			client expect 502`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			through(t, gatewayConf(), `
+			playGateway(t, gatewayConf(), `
 				client send $g-post$g-chunked400\r\n$g-long\r\n
 				app1 expect $g-long\r\n
 				`+stop+`
@@ -216,16 +220,16 @@
 	}
 }
 
-// What is held of a safe request's body is sent again, from its beginning. Good answers earn the gate what it
-// spends on further attempts.
-func TestGatewaySendsAgainWhatItHolds(t *testing.T) {
+// The body of a safe request is sent again from its beginning while it fits the replay buffer. The successful
+// requests before add to the retry budget.
+func TestGatewayRetriesBufferedBodies(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Plans[0].Burst = 100
 	good := strings.Repeat(
 		"client send $g-get\napp1 expect GET\napp1 send $g-ok\nclient expect money\nclient wait 10ms\n",
 		40,
 	)
-	through(t, o, good+`
+	playGateway(t, o, good+`
 		client send $g-putContent-Length: 2048\r\n\r\n$g-long
 		app1 expect $g-long
 		app1 close
@@ -246,11 +250,12 @@
 	`)
 }
 
-// An answer that comes before the end of its request is passed on, and the rest is read and dropped.
-func TestGatewayPassesEarlyAnswersOn(t *testing.T) {
+// A response that arrives before the end of its request is forwarded, and the rest of the request is
+// discarded.
+func TestGatewayForwardsEarlyResponses(t *testing.T) {
 	for name, end := range map[string]string{"and closes": "\napp close", "and reads no more": ""} {
 		t.Run(name, func(t *testing.T) {
-			through(t, gatewayConf(), `
+			playGateway(t, gatewayConf(), `
 				client send $g-postContent-Length: 60000\r\n\r\n$g-long
 				app expect $g-long
 				app send HTTP/1.1 413 Too Much\r\nContent-Length: 2\r\n\r\nno`+end+`
@@ -263,10 +268,11 @@
 	}
 }
 
-func TestGatewayAsksForABodyOnlyWhenAnAttemptTakesIt(t *testing.T) {
+// A client that expects 100 Continue receives it during an attempt, but not if its request is rejected.
+func TestGatewaySendsContinueOnlyWithAnAttempt(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Plans[0].Burst = 1
-	through(t, o, `
+	playGateway(t, o, `
 		client1 send $g-postExpect: 100-continue\r\nContent-Length: 5\r\n\r\n
 		app expect Content-Length: 5\r\n\r\n
 		client1 expect HTTP/1.1 100 Continue\r\n\r\n
@@ -284,11 +290,12 @@
 	`)
 }
 
-// When the memory for long bodies is spent, more are refused before any attempt, and short requests go on.
-func TestGatewayRefusesLongBodiesBeyondItsBudget(t *testing.T) {
+// While the memory budget for long bodies is used up, further ones are rejected before any attempt, and short
+// requests are served.
+func TestGatewayRejectsLongBodiesOverBudget(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Transfers.Bytes = 2 << 10 // one transfer
-	log := through(t, o, `
+	log := playGateway(t, o, `
 		client1 send $g-postContent-Length: 2048\r\n\r\n$g-long
 		app1 expect $g-long
 		client2 send $g-postContent-Length: 2048\r\n\r\n
@@ -311,9 +318,9 @@
 	}
 }
 
-// A client that leaves frees the server's connection, whatever it is waiting for.
-func TestGatewayFreesServersOfClientsThatLeave(t *testing.T) {
-	through(t, gatewayConf(), `
+// If a client disconnects, its server connection is closed, before and during the response.
+func TestGatewayClosesServerConnectionOfDisconnectedClient(t *testing.T) {
+	playGateway(t, gatewayConf(), `
 		client1 send $g-get
 		app1 expect GET
 		app1 send HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\nhello
@@ -327,7 +334,8 @@
 	`)
 }
 
-func TestGatewayRefusesWhatCanBeReadInTwoWays(t *testing.T) {
+// Requests that two parsers could read differently are rejected and not forwarded.
+func TestGatewayRejectsAmbiguousRequests(t *testing.T) {
 	for request, status := range map[string]string{
 		`GET /a/../b HTTP/1.1\r\nHost: h\r\n\r\n`:                                                "400",
 		`GET /a HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n`:                                          "400",
@@ -342,13 +350,15 @@
 		`GET /a HTTP/1.1\r\nHost: h\r\n\r\n`:                                                     "400",
 		`GET /a HTTP/1.1\r\nHost: h\r\n$g-who$g-who\r\n`:                                         "400",
 	} {
-		through(t, gatewayConf(), "client send "+request+"\nclient expect HTTP/1.1 "+status+"\napp wait nothing")
+		playGateway(t, gatewayConf(),
+			"client send "+request+"\nclient expect HTTP/1.1 "+status+"\napp wait nothing")
 	}
 }
 
-// Transfers go on for a while after the order to stop, then are cut; new ones are refused.
+// After the start of a drain, transfers in flight continue until the drain timeout and are then cut; new ones
+// are rejected.
 func TestGatewayDrains(t *testing.T) {
-	log := through(t, gatewayConf(), `
+	log := playGateway(t, gatewayConf(), `
 		client1 send $g-postContent-Length: 2048\r\n\r\n$g-long
 		app1 expect $g-long
 		client2 send $g-get
@@ -368,38 +378,38 @@
 		app2 wait closed
 	`, func(p *program) { time.AfterFunc(900*time.Millisecond, func() { go p.drain() }) })
 	if strings.Count(log, `"code":"drain-cut"`) != 1 || !strings.Contains(log, `"down":`) {
-		t.Errorf("what was cut is not in the log:\n%s", log)
+		t.Errorf("the cut transfer is not in the log:\n%s", log)
 	}
 }
 
-// A route may ask for an access token, and count by what that claims.
+// A route can require an access token and apply quotas by one of its claims.
 func TestGatewayCountsByClaims(t *testing.T) {
 	o := testOperator("few")
 	o.Gateway = gatewayConf().Gateway
 	o.Gateway.Plans[0].Burst = 1
 	r := &o.Gateway.Routes[0]
 	r.Token, r.Customer, r.Require.Scopes = true, "claim:sub", []string{"files"}
-	const asks = `GET /a HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer `
-	through(t, o, `
+	const requestHead = `GET /a HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer `
+	playGateway(t, o, `
 		client1 send GET /a HTTP/1.1\r\nHost: h\r\n\r\n
 		client1 expect HTTP/1.1 401
 		client1 expect WWW-Authenticate: Bearer
-		client1 send `+asks+`tok1\r\n\r\n
+		client1 send `+requestHead+`tok1\r\n\r\n
 		idp1 expect token=tok1
 		idp1 send $json41\r\n\r\n{"active":true,"sub":"a","scope":"books"}
 		client1 expect HTTP/1.1 403
-		client1 send `+asks+`tok2\r\n\r\n
+		client1 send `+requestHead+`tok2\r\n\r\n
 		client1 wait 10ms
 		idp1 expect token=tok2
 		idp1 send $json41\r\n\r\n{"active":true,"sub":"a","scope":"files"}
 		app expect GET /a
 		app send $g-ok
 		client1 expect money
-		client2 send `+asks+`tok3\r\n\r\n
+		client2 send `+requestHead+`tok3\r\n\r\n
 		idp1 expect token=tok3
 		idp1 send $json41\r\n\r\n{"active":true,"sub":"a","scope":"files"}
 		client2 expect HTTP/1.1 429
-		client2 send `+asks+`tok4\r\n\r\n
+		client2 send `+requestHead+`tok4\r\n\r\n
 		idp1 expect token=tok4
 		idp1 send $json41\r\n\r\n{"active":true,"sub":"b","scope":"files"}
 		app expect GET /a
@@ -408,8 +418,8 @@
 	`)
 }
 
-// A server that drains gets nothing new, and what runs there goes on.
-func TestGatewayLetsTransfersOfDrainingServersEnd(t *testing.T) {
+// A draining server gets no new requests, and its transfers in flight continue.
+func TestGatewayFinishesTransfersOfDrainingServers(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Pools[0].Servers, o.Gateway.Pools[0].Discovery = nil, "discovery"
 	list := func(lifecycle string, generation int) string {
@@ -417,7 +427,7 @@
 			`"zone":"a","lifecycle":"%s","weight":1}]}`, generation, lifecycle)
 	}
 	line := func(text string) string { return fmt.Sprintf(`%x\r\n%s\n\r\n`, len(text)+1, text) }
-	through(t, o, `
+	playGateway(t, o, `
 		discovery expect GET
 		discovery send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n`+line(list("Ready", 5))+`
 		client1 send $g-get
@@ -433,8 +443,8 @@
 	`)
 }
 
-// A file read again brings new routes and pools, keeps the pools that are as they were, and lets what is
-// under way end; one that can't be used changes nothing.
+// A reload adds routes and pools, keeps unchanged pools and lets requests in flight finish. An invalid file
+// changes nothing.
 func TestGatewayReload(t *testing.T) {
 	other := gatewayConf()
 	g := &other.Gateway
@@ -445,7 +455,7 @@
 		Customer: "address", Units: 1, Spread: 1})
 	bad := gatewayConf()
 	bad.Gateway.Routes = append(bad.Gateway.Routes, bad.Gateway.Routes[0])
-	log := through(t, gatewayConf(), `
+	log := playGateway(t, gatewayConf(), `
 		client1 send $g-get
 		app1 expect GET
 		app1 send HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello
@@ -474,11 +484,11 @@
 	}
 }
 
-// A client that takes its answer too slowly is cut, and told from one whose server is slow.
-func TestGatewayBlamesTheSideThatIsSlow(t *testing.T) {
+// A client that sends too slowly is disconnected, and is distinguished in the log from a slow server.
+func TestGatewayReportsTheSlowSide(t *testing.T) {
 	o := gatewayConf()
 	o.Gateway.Pace = config.Pace{Client: 1000, Server: 1000, Grace: config.Duration(2 * time.Second)}
-	log := through(t, o, `
+	log := playGateway(t, o, `
 		client1 send $g-post$g-chunked5\r\nhello\r\n
 		app1 expect hello
 		client1 wait 3s
@@ -494,19 +504,19 @@
 	`)
 	for _, want := range []string{`"upload-cut"`, `"server-slow"`} {
 		if strings.Count(log, want) != 1 {
-			t.Errorf("%s is not once in the log:\n%s", want, log)
+			t.Errorf("want %s once in the log:\n%s", want, log)
 		}
 	}
 }
 
-func TestGatewayBelievesOnlyTrustedProxies(t *testing.T) {
+func TestGatewayTrustsOnlyConfiguredProxies(t *testing.T) {
 	var got [2]string
 	for i, trusted := range []string{"10.0.0.0/8", "127.0.0.0/8"} {
 		app := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			got[i] = r.Header.Get("X-Forwarded-For") + " " + r.Header.Get("Forwarded")
 		}))
 		defer app.Close()
-		address := gatewayOn(t, app, func(g *config.Gateway) {
+		address := startGatewayOnLoopback(t, app, func(g *config.Gateway) {
 			g.Trust = []netip.Prefix{netip.MustParsePrefix(trusted)}
 		})
 		q, _ := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
@@ -524,19 +534,19 @@
 	}
 }
 
-// gatewayOn runs a gateway before an app server on loopback, and returns its address.
-func gatewayOn(t testing.TB, app *httptest.Server, set func(*config.Gateway)) string {
+// startGatewayOnLoopback runs a gateway in front of an app server on loopback and returns its address.
+func startGatewayOnLoopback(t testing.TB, app *httptest.Server, set func(*config.Gateway)) string {
 	o := gatewayConf()
 	g := &o.Gateway
 	g.Listen, g.Plans[0].Rate = "127.0.0.1:0", 0
 	g.Pools[0].Servers = []string{app.Listener.Addr().String()}
 	g.Transfers.Bytes, g.Transfers.Window = 1<<20, 64<<10
 	set(g)
-	return onLoopback(t, nil, o)
+	return startOnLoopback(t, nil, o)
 }
 
-// onLoopback runs a program with one listener on a free port, and returns that address.
-func onLoopback(t testing.TB, conf *config.Platform, o config.Operator) string {
+// startOnLoopback runs a program with one listener on a free port and returns the listener's address.
+func startOnLoopback(t testing.TB, conf *config.Platform, o config.Operator) string {
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
 	addr := make(chan string, 1)
@@ -554,7 +564,7 @@
 	return <-addr
 }
 
-// By TLS on both sides, a client's certificate says whose quota is used.
+// With TLS on both sides, the client's certificate determines whose quota is used.
 func TestGatewayByTLS(t *testing.T) {
 	authority, err := ca.New(t.TempDir())
 	if err != nil {
@@ -586,7 +596,7 @@
 	app.StartTLS()
 	defer app.Close()
 	files := pairs["files"].Certificate
-	address := gatewayOn(t, app, func(g *config.Gateway) {
+	address := startGatewayOnLoopback(t, app, func(g *config.Gateway) {
 		g.Insecure, g.TLS = false, config.TLS{Cert: string(files[0]), Key: string(files[1]), CA: authority.Root()}
 		g.Pools[0].Insecure, g.Pools[0].TLS = false, config.TLS{CA: authority.Root(), Name: "localhost"}
 		g.Plans[0].Rate, g.Plans[0].Burst = 0.001, 1
--- a/cmd/dunespoke/live_test.go
+++ b/cmd/dunespoke/live_test.go
@@ -31,8 +31,8 @@
 	"dunespoke/internal/net/direct"
 )
 
-// live is a daemon on real sockets before a stand-in authorization server, both with TLS.
-type live struct {
+// liveDaemon is a program on real sockets in front of a simulated authorization server, both with TLS.
+type liveDaemon struct {
 	t       *testing.T
 	dir     string
 	ca      *ca.Authority
@@ -44,8 +44,8 @@
 	client  *http.Client
 }
 
-// free is a loopback address that nobody has.
-func free(t *testing.T) string {
+// freeAddr returns an unused loopback address.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +55,7 @@
 	return l.Addr().String()
 }
 
-func (l *live) issue(name string) ca.Pair {
+func (l *liveDaemon) issue(name string) ca.Pair {
 	l.t.Helper()
 	p, err := l.ca.Issue(name, time.Hour)
 	if err != nil {
@@ -64,15 +64,15 @@
 	return p
 }
 
-func (l *live) signingKey(name string) {
+func (l *liveDaemon) signingKey(name string) {
 	l.t.Helper()
 	if err := ca.WriteKey(filepath.Join(l.dir, name), sign.Key(l.t)); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-// operator writes an operator's file, with whatever is added at its end, and reads it.
-func (l *live) operator(more string) (*config.Operator, error) {
+// operator writes an operator file with more appended, and reads it.
+func (l *liveDaemon) operator(more string) (*config.Operator, error) {
 	l.t.Helper()
 	sum := sha256.Sum256([]byte("s&cret"))
 	names := strings.NewReplacer("DIR", l.dir, "ADDR", l.addr, "IDP", l.idpAddr, "HASH",
@@ -116,9 +116,9 @@
 	return config.ReadOperator(path, func(string) string { return "" })
 }
 
-func newLive(t *testing.T, script string) *live {
+func startLiveDaemon(t *testing.T, script string) *liveDaemon {
 	t.Helper()
-	l := &live{t: t, dir: t.TempDir(), addr: free(t)}
+	l := &liveDaemon{t: t, dir: t.TempDir(), addr: freeAddr(t)}
 	var err error
 	if l.ca, err = ca.New(l.dir); err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	pair := filepath.Join(l.dir, "as.example")
-	expired := l.expired()
+	expired := l.expiredCertificate()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", l.idp.TLS(func() (*tls.Certificate, error) {
 		c, err := tls.LoadX509KeyPair(pair+".pem", pair+".key")
 		return &c, err
@@ -175,8 +175,8 @@
 	return l
 }
 
-// expired is a certificate of the stand-in that is over.
-func (l *live) expired() *tls.Certificate {
+// expiredCertificate returns an expired certificate for the authorization server.
+func (l *liveDaemon) expiredCertificate() *tls.Certificate {
 	l.t.Helper()
 	dir := l.t.TempDir()
 	other, err := ca.New(dir)
@@ -194,8 +194,8 @@
 	return &c
 }
 
-// ask asks about a token and returns the status and the body.
-func (l *live) ask(token string) (int, string, error) {
+// introspect sends an introspection request for a token and returns the status and the body.
+func (l *liveDaemon) introspect(token string) (int, string, error) {
 	r, err := http.NewRequest(http.MethodPost, "https://"+l.addr+"/introspect",
 		strings.NewReader(url.Values{"token": {token}}.Encode()))
 	if err != nil {
@@ -212,9 +212,9 @@
 	return res.StatusCode, string(text), err
 }
 
-// The daemon keeps all requirements that conform knows.
-func TestThisDaemonConforms(t *testing.T) {
-	l := newLive(t, "")
+// The daemon passes all checks of package conform.
+func TestDaemonConforms(t *testing.T) {
+	l := startLiveDaemon(t, "")
 	cert, err := tls.LoadX509KeyPair(filepath.Join(l.dir, "member.example.pem"),
 		filepath.Join(l.dir, "member.example.key"))
 	if err != nil {
@@ -236,19 +236,19 @@
 	}
 }
 
-// While questions are asked without a pause, all certificates and keys are changed and the operator's file
-// is read again, some of it bad: no question fails.
+// Certificates and keys are replaced and the operator file is reloaded, once with an invalid one, under
+// constant load. No request may fail.
 func TestKeysAndCertificatesRotatedUnderLoad(t *testing.T) {
-	l := newLive(t, "")
+	l := startLiveDaemon(t, "")
 	answered, done := make(chan struct{}), make(chan struct{})
 	var wait sync.WaitGroup
 	for worker := range 6 {
 		wait.Go(func() {
 			for i := 0; ; i++ {
-				if i%10 == 0 { // new connections go by the new files
+				if i%10 == 0 { // new connections use the new files
 					l.client.CloseIdleConnections()
 				}
-				status, text, err := l.ask(fmt.Sprintf("tok-%d-%d", worker, i))
+				status, text, err := l.introspect(fmt.Sprintf("tok-%d-%d", worker, i))
 				if status != 200 || !strings.Contains(text, `"active":true`) || err != nil {
 					t.Errorf("%d %s %v", status, text, err)
 					return
@@ -268,7 +268,7 @@
 			select {
 			case <-answered:
 			case <-time.After(20 * time.Second):
-				t.Fatal("no answer for 20 s")
+				t.Fatal("no response for 20 s")
 			}
 		}
 		l.issue("127.0.0.1")
@@ -284,29 +284,29 @@
 	text := l.log.String()
 	for code, times := range map[string]int{`"reloaded"`: 5, `"reload-failed"`: 1} {
 		if n := strings.Count(text, code); n != times {
-			t.Errorf("%s is %d times in the log, want %d", code, n, times)
+			t.Errorf("the log contains %s %d times, want %d", code, n, times)
 		}
 	}
 }
 
-// An authorization server whose certificate has expired is not believed, whatever it would say.
-func TestAnExpiredIssuerIsNotAsked(t *testing.T) {
-	l := newLive(t, "at 0s expired")
+// No request is sent to an authorization server whose certificate has expired.
+func TestExpiredIssuerCertificateIsRejected(t *testing.T) {
+	l := startLiveDaemon(t, "at 0s expired")
 	for i := range 10 {
-		status, text, err := l.ask(fmt.Sprint("tok-", i))
+		status, text, err := l.introspect(fmt.Sprint("tok-", i))
 		if err != nil || status != 503 && status != 429 || strings.Contains(text, "active") {
 			t.Errorf("%d %s %v", status, text, err)
 		}
 	}
 	if l.idp.Asked() != 0 || !strings.Contains(l.log.String(), "expired") {
-		t.Errorf("%d questions reached it; the log:\n%s", l.idp.Asked(), l.log.String())
+		t.Errorf("%d requests reached it; the log:\n%s", l.idp.Asked(), l.log.String())
 	}
 }
 
-// While an authorization server fails its tokens are answered for here, if the operator lets them be, by keys
-// that were read from it.
-func TestFallbackWhileItFails(t *testing.T) {
-	l := newLive(t, "at 0s status 500")
+// While an authorization server fails, its tokens are validated locally with its published keys, if the
+// operator has enabled the fallback.
+func TestFallbackWhileIssuerFails(t *testing.T) {
+	l := startLiveDaemon(t, "at 0s status 500")
 	key, err := l.idp.Key()
 	if err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 		"aud": "api", "sub": "me", "jti": "1", "client_id": "x", "iat": now, "exp": now + 600})
 	refused := 0
 	for end := time.Now().Add(20 * time.Second); ; {
-		status, text, err := l.ask(token)
+		status, text, err := l.introspect(token)
 		if err != nil || strings.Contains(text, `"active":false`) || time.Now().After(end) {
 			t.Fatalf("%d %s %v, after %d refusals; the log:\n%s", status, text, err, refused, l.log.String())
 		}
@@ -329,10 +329,10 @@
 		refused++
 	}
 	if refused < 4 {
-		t.Errorf("%d refusals before, want a question for each failure", refused)
+		t.Errorf("%d refusals before the fallback, want at least 4", refused)
 	}
 	if text := l.log.String(); strings.Contains(text, token) ||
 		!strings.Contains(text, "answered-by-fallback") {
-		t.Error("the token is in the log, or the fallback is not")
+		t.Error("the log contains the token, or lacks the fallback")
 	}
 }
--- a/cmd/dunespoke/main.go
+++ b/cmd/dunespoke/main.go
@@ -1,6 +1,6 @@
-// Command dunespoke is one ingress on real sockets. Without a word it serves: it reads its configuration from
-// the file that LB_CONFIG names, and what an operator adds from the one that DUNESPOKE_OPERATOR names.
-// Its log goes to standard output.
+// Command dunespoke runs one ingress. Without a command it serves: it reads the platform's configuration from
+// the file named by LB_CONFIG, and the operator's settings from the file named by DUNESPOKE_OPERATOR. It logs
+// to standard output.
 package main
 
 import (
@@ -19,26 +19,26 @@
 	"dunespoke/internal/config"
 )
 
-// commands is the command line.
+// commands defines the command line for kong.
 type commands struct {
-	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve until told to stop. The word may be left out."`
-	Check   checkCommand   `cmd:"" help:"Read operator's files, and name each fault with its key."`
+	Serve   serveCommand   `cmd:"" default:"withargs" help:"Serve until SIGTERM or SIGINT (default)."`
+	Check   checkCommand   `cmd:"" help:"Validate operator files and print each fault with its key."`
 	Conform conformCommand `cmd:"" help:"Check an introspection endpoint against the RFCs."`
-	Fleet   fleetCommand   `cmd:"" help:"Ask an ingress about its fleet, and give orders to it."`
-	Version versionCommand `cmd:"" help:"Tell which build this is."`
+	Fleet   fleetCommand   `cmd:"" help:"Query the fleet of an ingress and give it orders."`
+	Version versionCommand `cmd:"" help:"Print the version of this build."`
 }
 
 type serveCommand struct {
-	Platform string `help:"The platform's JSON." env:"LB_CONFIG,DUNESPOKE_PLATFORM" placeholder:"FILE"`
-	Operator string `help:"An operator's file, TOML." env:"DUNESPOKE_OPERATOR" placeholder:"FILE"`
+	Platform string `help:"The platform's file, JSON." env:"LB_CONFIG,DUNESPOKE_PLATFORM" placeholder:"FILE"`
+	Operator string `help:"The operator file, TOML." env:"DUNESPOKE_OPERATOR" placeholder:"FILE"`
 }
 
-// Run serves. What the flags name stands in for the environment's.
+// Run serves until SIGTERM or SIGINT. The flags take precedence over LB_CONFIG and DUNESPOKE_OPERATOR.
 func (s *serveCommand) Run() error {
 	log := zerolog.New(os.Stdout).With().Timestamp().Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return run(ctx, hangups(), func(name string) string {
+	return run(ctx, hangupSignals(), func(name string) string {
 		switch name {
 		case "LB_CONFIG":
 			return s.Platform
@@ -50,13 +50,13 @@
 }
 
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Operator's files, TOML." env:"DUNESPOKE_CHECK"`
+	Files []string `arg:"" name:"file" help:"Operator files, TOML." env:"DUNESPOKE_CHECK"`
 }
 
-// errFaults says that a file checked has faults, which have been told.
-var errFaults = errors.New("there are faults")
+// errFaults is returned by check if a file has faults. They have been printed.
+var errFaults = errors.New("the files have faults")
 
-// Run checks the files.
+// Run validates the files and prints one line per fault, or per valid file.
 func (c *checkCommand) Run(out io.Writer) error {
 	bad := false
 	for _, path := range c.Files {
@@ -80,11 +80,11 @@
 
 type versionCommand struct{}
 
-// Run tells the build's version, and the revision it was made from where the build tool knew it.
+// Run prints the version, the VCS revision if the build recorded one, and the Go version.
 func (versionCommand) Run(out io.Writer) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("this build tells nothing of itself")
+		return errors.New("this binary contains no build information")
 	}
 	revision := ""
 	for _, s := range info.Settings {
@@ -99,7 +99,7 @@
 func main() {
 	var c commands
 	parser := kong.Must(&c, kong.Name("dunespoke"), kong.UsageOnError(),
-		kong.Description("An ingress that holds customers to shared quotas before a fleet of servers."),
+		kong.Description("An ingress that enforces shared customer quotas in front of a fleet of servers."),
 		kong.BindTo(os.Stdout, (*io.Writer)(nil)))
 	line, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
@@ -109,9 +109,9 @@
 	}
 }
 
-// hangups takes SIGHUP from now on: unheeded, it would end the program. One that comes while another waits
-// adds nothing to it.
-func hangups() <-chan os.Signal {
+// hangupSignals returns a channel that receives SIGHUP, which would otherwise terminate the program. Signals
+// that arrive while one is pending are dropped: a single reload covers them all.
+func hangupSignals() <-chan os.Signal {
 	all := make(chan os.Signal, 1)
 	signal.Notify(all, syscall.SIGHUP)
 	return all
--- a/cmd/dunespoke/main_test.go
+++ b/cmd/dunespoke/main_test.go
@@ -12,8 +12,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// parse reads a command line as main does.
-func parse(t *testing.T, out io.Writer, args ...string) (*commands, *kong.Context, error) {
+// parseArgs parses a command line as main does.
+func parseArgs(t *testing.T, out io.Writer, args ...string) (*commands, *kong.Context, error) {
 	t.Helper()
 	c := &commands{}
 	parser, err := kong.New(c, kong.BindTo(out, (*io.Writer)(nil)))
@@ -24,26 +24,26 @@
 	return c, line, err
 }
 
-// The deploy file's run line has no word, and must serve.
-func TestNoWordServes(t *testing.T) {
+// The run line of the deployment file has no command, and must serve.
+func TestServeIsTheDefaultCommand(t *testing.T) {
 	t.Setenv("LB_CONFIG", "platform.json")
 	t.Setenv("DUNESPOKE_OPERATOR", "operator.toml")
 	for _, args := range [][]string{nil, {"serve"}, {"serve", "--platform", "platform.json"}} {
-		c, line, err := parse(t, io.Discard, args...)
+		c, line, err := parseArgs(t, io.Discard, args...)
 		if err != nil || line.Command() != "serve" || c.Serve.Platform != "platform.json" ||
 			c.Serve.Operator != "operator.toml" {
 			t.Errorf("%q: %+v, %v", args, c, err)
 		}
 	}
 	for _, args := range [][]string{{"sreve"}, {"--no-such"}, {"check"}, {"conform"}} {
-		if _, _, err := parse(t, io.Discard, args...); err == nil {
-			t.Errorf("%q is taken", args)
+		if _, _, err := parseArgs(t, io.Discard, args...); err == nil {
+			t.Errorf("%q is accepted", args)
 		}
 	}
 }
 
-// check names each fault with its key, one a line, and fails if there is one.
-func TestCheckNamesEachFault(t *testing.T) {
+// The command check prints each fault with its key, one per line, and fails if there is one.
+func TestCheckPrintsEachFault(t *testing.T) {
 	good, err := os.ReadFile("../../deploy/introspection.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	_, line, err := parse(t, &out, "check", "../../deploy/introspection.toml", bad)
+	_, line, err := parseArgs(t, &out, "check", "../../deploy/introspection.toml", bad)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 
 func TestVersion(t *testing.T) {
 	var out bytes.Buffer
-	_, line, err := parse(t, &out, "version")
+	_, line, err := parseArgs(t, &out, "version")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dunespoke/mgmt.go
+++ b/cmd/dunespoke/mgmt.go
@@ -9,20 +9,20 @@
 	"dunespoke/internal/mgmt"
 )
 
-// mgmt starts where operators call. It is not one of package direct's listeners, since an upgrade gives the
-// new process an address of its own for it, and calls must reach the process they are meant for.
-func (p *program) mgmt(addr string) error {
+// startMgmt starts the management listener. It doesn't use a listener of package direct: in an upgrade the
+// new process has a management address of its own, and each call must reach the process that it is meant for.
+func (p *program) startMgmt(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("listening for operators' calls: %w", err)
+		return fmt.Errorf("listening for management calls: %w", err)
 	}
-	go func() { p.failed <- mgmt.Serve(p.work, l, p.call) }()
-	p.log.Info().Str("code", "started").Str("mgmt", addr).Msg("taking operators' calls")
+	go func() { p.failed <- mgmt.Serve(p.work, l, p.handleCall) }()
+	p.log.Info().Str("code", "started").Str("mgmt", addr).Msg("accepting management calls")
 	return nil
 }
 
-// call answers an operator's call.
-func (p *program) call(verb string, args []string) mgmt.Answer {
+// handleCall executes a management call and returns the reply.
+func (p *program) handleCall(verb string, args []string) mgmt.Answer {
 	if len(args) > 0 && (verb == "HEALTH" || verb == "LEAVE" || verb == "JOIN") {
 		return mgmt.Fail("%s takes no words", verb)
 	}
@@ -31,12 +31,12 @@
 		return p.health()
 	case "LEAVE", "JOIN":
 		leave := verb == "LEAVE"
-		p.leaving.Store(leave)
+		p.leaveOrdered.Store(leave)
 		p.log.Info().Str("code", "mgmt-"+map[bool]string{true: "leave", false: "join"}[leave]).
-			Msg("told by an operator")
+			Msg("executed an operator's call")
 		return mgmt.Answer{OK: true}
 	case "DUMP":
-		if p.main == nil {
+		if p.platformCore == nil {
 			return mgmt.Fail("no platform front")
 		}
 		figures, err := json.Marshal(p.dump())
@@ -45,50 +45,53 @@
 		}
 		return mgmt.Answer{OK: true, Report: true, Lines: []string{string(figures), "EOT"}}
 	case "FLEET":
-		return p.fleetCall(args)
+		return p.handleFleetCall(args)
 	case "OFFLINE", "ONLINE":
 		if len(args) != 1 {
 			return mgmt.Fail("%s takes one app server's id", verb)
 		}
-		return p.ban(args[0], verb == "OFFLINE")
+		return p.setBan(args[0], verb == "OFFLINE")
 	}
 	return mgmt.Fail("unknown call %q", verb)
 }
 
-// banWait bounds the wait for the core's goroutine: a caller waits a second.
-const banWait = 700 * time.Millisecond
+// bansTimeout limits the wait for the core's goroutine. It is below the caller's timeout of 1 s.
+const bansTimeout = 700 * time.Millisecond
 
-// ban takes an app server out of rotation, or puts it back, and keeps the bans for a process that follows.
-func (p *program) ban(name string, on bool) mgmt.Answer {
-	if p.main == nil {
+// setBan takes an app server out of rotation (on) or puts it back, and saves the list of bans for the process
+// of a later upgrade.
+func (p *program) setBan(name string, on bool) mgmt.Answer {
+	if p.platformCore == nil {
 		return mgmt.Fail("no platform front")
 	}
-	if !p.main.Ban(name, on) {
+	if !p.platformCore.Ban(name, on) {
 		return mgmt.Fail("no app server %s has been listed", name)
 	}
 	all := make(chan []string, 1)
-	p.main.Bans(all)
+	p.platformCore.Bans(all)
 	code := map[bool]string{true: "mgmt-offline", false: "mgmt-online"}[on]
-	p.log.Info().Str("code", code).Str("server", name).Msg("told by an operator")
+	p.log.Info().Str("code", code).Str("server", name).Msg("executed an operator's call")
 	select {
 	case list := <-all:
-		p.keepBans(list)
-	case <-time.After(banWait): // the core is slow; the ban goes in the order of its queue
-		go func() { p.keepBans(<-all) }()
+		p.saveBans(list)
+	case <-time.After(bansTimeout): // the core is slow and executes the ban later, in the order of its queue
+		go func() { p.saveBans(<-all) }()
 	}
 	return mgmt.Answer{OK: true}
 }
 
-// keepBans writes the bans where a process that upgrades this one finds them.
-func (p *program) keepBans(list []string) {
+// saveBans writes the list of bans to the file from which the process of an upgrade restores it. A failure is
+// only logged.
+func (p *program) saveBans(list []string) {
 	if err := writeBans(bansFile(p.conf.Listen), list); err != nil {
-		p.log.Warn().Str("code", "bans-unwritten").Err(err).Msg("a process that follows won't know the bans")
+		p.log.Warn().Str("code", "bans-unwritten").Err(err).
+			Msg("cannot save the bans; an upgraded process will not restore them")
 	}
 }
 
-// health is yes once this process takes clients, and no once it is told to stop.
+// health replies OK if all fronts are ready and the process isn't stopping.
 func (p *program) health() mgmt.Answer {
-	if p.stops.Load() {
+	if p.stopping.Load() {
 		return mgmt.Fail("stopping")
 	}
 	for _, ready := range p.ready {
--- a/cmd/dunespoke/questions.go
+++ b/cmd/dunespoke/questions.go
@@ -27,47 +27,53 @@
 	"dunespoke/internal/oauth/assertion"
 )
 
-// questions is the front for token introspection with all that stands behind it.
-type questions struct {
+// introspection is the front for token introspection with its issuers.
+type introspection struct {
 	p       *program
 	share   sockets
 	front   *introspect.Front
-	listen  *secure.Side // nil: plain text
+	listen  *secure.Side // nil: no TLS
 	conf    *config.Introspection
-	counts  core.Counter // shared by the askers' cores
+	counter core.Counter // shared by the admission cores
 	issuers []*issuer
-	bearer  atomic.Pointer[introspect.Bearer] // nil: requests of the platform need no token
+	bearer  atomic.Pointer[introspect.Bearer] // nil: requests need no token
 }
 
-// issuer is one issuer's desk and askers' core. Both may outlive the configuration that they were made for.
+// issuer is the desk of one issuer, which queries its service, and the admission core, which applies the
+// quotas of the clients. Both can outlive the configuration that they
+// were created for: a reload keeps them where their settings are unchanged.
 type issuer struct {
-	conf config.Issuer
-	desk *deskPart
-	asks *asksPart
+	conf      config.Issuer
+	desk      *runningDesk
+	admission *admissionCore
 }
 
-type deskPart struct {
+// runningDesk is a desk with its TLS client and the function that stops both.
+type runningDesk struct {
 	*introspect.Desk
-	tls *secure.Side // nil: plain text
-	end context.CancelFunc
+	tls    *secure.Side // nil: plain text
+	cancel context.CancelFunc
 }
 
-type asksPart struct {
+// admissionCore is a core that admits clients' requests to one desk. cancel stops it.
+type admissionCore struct {
 	*core.Core
-	end context.CancelFunc
+	cancel context.CancelFunc
 }
 
-// lanes is the number of backends that the askers' gate takes a desk for. Each bears a dozen askers to begin
-// with and more while answers are quick, so that hundreds may wait for one answer.
-const lanes = 64
+// admissionBackends is the number of backends as which a desk appears to the gate of its admission core. Each
+// accepts a dozen requests at first and more while responses are fast, so that hundreds of clients can wait
+// for one response.
+const admissionBackends = 64
 
-// retire is how long the cores of an old configuration go on, for those who still wait there: as long as the
-// longest patience that a client may tell.
-const retire = time.Hour
+// retireDelay is how long the cores of an old configuration keep running for the requests that still wait
+// there. It equals the longest timeout that a client can request.
+const retireDelay = time.Hour
 
-// startQuestions starts the front for token introspection.
-func (p *program) startQuestions(n *config.Introspection, share sockets) (*questions, error) {
-	q := &questions{p: p, share: share}
+// startIntrospection starts token introspection. Without a listen address there is no front of its own, and
+// it only checks the tokens of other fronts' requests.
+func (p *program) startIntrospection(n *config.Introspection, share sockets) (*introspection, error) {
+	q := &introspection{p: p, share: share}
 	if n.Listen != "" && !n.Insecure {
 		side, err := secure.Server(files(n.TLS), p.log)
 		if err != nil {
@@ -77,20 +83,20 @@
 		go side.Watch(p.work)
 	}
 	var local core.Counter = localcount.New()
-	if addr := q.counterOf(n); addr != "" {
+	if addr := q.counterAddr(n); addr != "" {
 		client := counter.New(addr, 50*time.Millisecond, p.dial, p.log)
 		if p.conf != nil && addr == p.conf.Counter {
 			p.counters = append(p.counters, client)
 		}
 		local = client
 	}
-	q.counts = local
-	options, list, err := q.build(n)
+	q.counter = local
+	options, list, err := q.buildOptions(n)
 	if err != nil {
 		return nil, err
 	}
 	q.front = introspect.New(options)
-	q.take(n, list)
+	q.apply(n, list)
 	p.ready = append(p.ready, q.front.Ready)
 	if n.Listen == "" {
 		return q, nil
@@ -98,12 +104,15 @@
 	return q, p.serve(n.Listen, q.front, share.clients, q.listen)
 }
 
+// files returns the TLS files of a configuration. A server requests client certificates, which are
+// optional.
 func files(t config.TLS) secure.Files {
 	return secure.Files{Cert: t.Cert, Key: t.Key, CA: t.CA, Name: t.Name, Ask: true}
 }
 
-// told fills in who may ask, and what the front tells of itself.
-func (q *questions) told(n *config.Introspection, o *introspect.Options) error {
+// fillOptions sets the clients that may send requests, the keys that sign responses and the metadata of the
+// protected resource.
+func (q *introspection) fillOptions(n *config.Introspection, o *introspect.Options) error {
 	for _, k := range n.Clients {
 		c := introspect.Client{ID: k.ID, Plan: k.Plan, Method: introspect.Method(k.Auth), SecretHash: k.SecretHash,
 			SharedKey: k.SharedKey, Keys: k.Keys, Certificate: k.Certificate, Claims: k.Claims,
@@ -131,7 +140,8 @@
 	return nil
 }
 
-// credential is what shows an issuer's service who asks.
+// credential returns the credential with which this ingress authenticates to an issuer's service. The
+// default method is Basic, and the credential is nil for it if no client ID is configured.
 func credential(s *config.Issuer) (introspect.Credential, error) {
 	audience := s.Audience
 	if audience == "" {
@@ -158,19 +168,20 @@
 	return introspect.BasicCredential(s.ClientID, s.Secret), nil
 }
 
-func (q *questions) counterOf(n *config.Introspection) string {
+// counterAddr returns the address of the shared counter, which defaults to the platform's; empty: none.
+func (q *introspection) counterAddr(n *config.Introspection) string {
 	if n.Counter == "" && q.p.conf != nil {
 		return q.p.conf.Counter
 	}
 	return n.Counter
 }
 
-// guard checks the platform's requests as long as a plan for that is set.
-func (q *questions) guard() platform.Guard { return (*bearerGuard)(q) }
+// platformGuard returns the guard of the platform front. It checks requests while bearer.plan is set.
+func (q *introspection) platformGuard() platform.Guard { return (*bearerGuard)(q) }
 
-type bearerGuard questions
+type bearerGuard introspection
 
-// Check lets a request on, or sees to it that its token is checked.
+// Check passes a request on at once if no tokens are required, and otherwise after a check of its token.
 func (g *bearerGuard) Check(r *http1.Request, in core.Request, then func(*http1.Answer)) (leave func()) {
 	b := g.bearer.Load()
 	if b == nil {
@@ -180,23 +191,24 @@
 	return b.Check(r, in, then)
 }
 
-// checks are the checks of tokens for the gateway.
-func (q *questions) checks() gateway.Guard { return (*bearerGuard)(q) }
+// gatewayGuard returns the guard of the gateway's routes.
+func (q *introspection) gatewayGuard() gateway.Guard { return (*bearerGuard)(q) }
 
-// Require checks a token by a route's own requirement.
+// Require checks the token of a request against the requirement of its route.
 func (g *bearerGuard) Require(r *http1.Request, in core.Request, required bearer.Requirement,
 	then func(bearer.Claims, *http1.Answer)) (leave func()) {
 	b := g.bearer.Load()
-	if b == nil { // a reload has switched checks off: nothing that needs a token gets through
+	if b == nil { // a reload has disabled the checks: reject requests that need a token
 		then(bearer.Claims{}, http1.Plain(503, "tokens can't be checked now"))
 		return nil
 	}
 	return b.Require(r, in, required, then)
 }
 
-// build makes the parts of a configuration. What it has in common with the one in use is used on: desks with
-// what they know, connections, and quotas. Nothing is changed by it.
-func (q *questions) build(n *config.Introspection) (introspect.Options, []*issuer, error) {
+// buildOptions creates the front's options and the issuers of a configuration. It reuses what is unchanged
+// from the current one: desks with their cached responses, connections and quotas. It doesn't change the
+// running configuration.
+func (q *introspection) buildOptions(n *config.Introspection) (introspect.Options, []*issuer, error) {
 	var o introspect.Options
 	table, err := n.Table()
 	if err != nil {
@@ -206,33 +218,34 @@
 	if q.p.conf != nil {
 		gateways = q.p.conf.Settings.Gateways
 	}
-	gateways *= len(n.Issuers) // to each other the askers' cores are what ingresses are
+	gateways *= len(n.Issuers) // the admission cores share the quotas like separate ingresses
 	o = introspect.Options{Table: table, Path: n.Path, Patience: time.Duration(n.Patience), Gateways: gateways,
 		Draining: q.p.draining, Log: q.p.log, Issuer: n.URL, Audiences: n.Audiences,
 		Callers: introspect.Callers{Plan: n.Callers.Plan, Scope: n.Callers.Scope}}
 	if q.listen != nil {
 		o.Trust = q.listen.Trust
 	}
-	if err := q.told(n, &o); err != nil {
+	if err := q.fillOptions(n, &o); err != nil {
 		return o, nil, err
 	}
 	var list []*issuer
 	for i := range n.Issuers {
-		s, err := q.issuer(n, &n.Issuers[i], gateways)
+		s, err := q.buildIssuer(n, &n.Issuers[i], gateways)
 		if err != nil {
 			q.release(list, q.issuers, 0)
 			return o, nil, fmt.Errorf("introspection.issuer[%s]: %w", n.Issuers[i].Name, err)
 		}
 		list = append(list, s)
-		o.Issuers = append(o.Issuers, &introspect.Issuer{Desk: s.desk.Desk, Asks: s.asks.Core})
+		o.Issuers = append(o.Issuers, &introspect.Issuer{Desk: s.desk.Desk, Asks: s.admission.Core})
 	}
 	return o, list, nil
 }
 
-// issuer makes the parts of one issuer, or takes what is there.
-func (q *questions) issuer(n *config.Introspection, conf *config.Issuer, gateways int) (*issuer, error) {
+// buildIssuer creates the desk and the admission core of an issuer, or reuses the current ones.
+func (q *introspection) buildIssuer(n *config.Introspection, conf *config.Issuer, gateways int) (*issuer,
+	error) {
 	s := &issuer{conf: *conf}
-	old := q.known(conf.Name)
+	old := q.issuerInUse(conf.Name)
 	if old != nil && reflect.DeepEqual(old.conf, *conf) && q.conf.Aim == n.Aim &&
 		q.conf.Freshness() == n.Freshness() && q.conf.Share == n.Share {
 		s.desk = old.desk
@@ -243,49 +256,50 @@
 			return nil, err
 		}
 	}
-	if old != nil && q.sameAsks(n) {
-		s.asks = old.asks
+	if old != nil && q.canReuseAdmission(n) {
+		s.admission = old.admission
 		return s, nil
 	}
-	// The aim is the patience: it is the issuer that answers late, and that is the questions' gate's matter.
-	asks := introspect.Class(time.Duration(n.Patience), time.Duration(n.Patience))
-	work, end := context.WithCancel(q.p.work)
-	c, err := q.core(work, n.Asks(asks, gateways), introspect.Desks{}, q.counts)
+	// The target latency equals the timeout: a late response is the issuer's, and the gate of the desk's own
+	// core reacts to it.
+	admissionClass := introspect.Class(time.Duration(n.Patience), time.Duration(n.Patience))
+	work, cancel := context.WithCancel(q.p.work)
+	c, err := q.startCore(work, n.Asks(admissionClass, gateways), introspect.Desks{}, q.counter)
 	if err != nil {
-		end()
+		cancel()
 		q.release([]*issuer{s}, q.issuers, 0)
 		return nil, err
 	}
-	all := make([]core.Server, lanes)
+	all := make([]core.Server, admissionBackends)
 	for i := range all {
 		all[i] = core.Server{Name: fmt.Sprint("lane-", i), State: choice.Live}
 	}
 	c.Servers(true, all)
-	s.asks = &asksPart{c, end}
+	s.admission = &admissionCore{c, cancel}
 	return s, nil
 }
 
-// sameAsks reports whether the askers' cores in use do for a configuration.
-func (q *questions) sameAsks(n *config.Introspection) bool {
+// canReuseAdmission reports whether the current admission cores fit a configuration.
+func (q *introspection) canReuseAdmission(n *config.Introspection) bool {
 	return len(q.conf.Issuers) == len(n.Issuers) && q.conf.Patience == n.Patience &&
 		q.conf.Gateways == n.Gateways && reflect.DeepEqual(q.conf.Plans, n.Plans)
 }
 
-// newDesk makes an issuer's desk, with the core behind it.
-func (q *questions) newDesk(n *config.Introspection, conf *config.Issuer, class choice.Class) (d *deskPart,
-	err error) {
+// newDesk creates an issuer's desk and starts the core through which it queries the issuer's servers.
+func (q *introspection) newDesk(n *config.Introspection, conf *config.Issuer,
+	class choice.Class) (d *runningDesk, err error) {
 	dial := q.p.dial
-	shown, err := credential(conf)
+	cred, err := credential(conf)
 	if err != nil {
 		return nil, err
 	}
-	work, end := context.WithCancel(q.p.work)
+	work, cancel := context.WithCancel(q.p.work)
 	defer func() {
 		if err != nil {
-			end()
+			cancel()
 		}
 	}()
-	d = &deskPart{end: end}
+	d = &runningDesk{cancel: cancel}
 	if !conf.Insecure {
 		if d.tls, err = secure.Client(files(conf.TLS), q.p.log); err != nil {
 			return nil, err
@@ -297,7 +311,7 @@
 	up := forward.New(forward.Config{Dial: dial, Log: q.p.log, DialTimeout: set.DialTimeout,
 		KeepAlive: time.Duration(conf.KeepAlive), Connections: max(1, q.share.servers/len(n.Issuers)),
 		Judge: introspect.Judge})
-	c, err := q.core(work, set, introspect.Attempts{Upstream: up, Limit: time.Duration(conf.Attempt)}, nil)
+	c, err := q.startCore(work, set, introspect.Attempts{Upstream: up, Limit: time.Duration(conf.Attempt)}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -315,16 +329,17 @@
 			For: time.Duration(b.For), Skew: 5 * time.Second}
 	}
 	d.Desk = introspect.NewDesk(introspect.DeskOptions{Issuer: conf.Name, Questions: c, Fallback: fallback,
-		Service: introspect.Service{Path: conf.Path, Host: conf.Host, Credential: shown},
+		Service: introspect.Service{Path: conf.Path, Host: conf.Host, Credential: cred},
 		Limit:   time.Duration(conf.Limit), Silence: time.Duration(conf.Silence), Alone: !n.Share,
 		Breaker: conf.Options(), Freshness: n.Freshness(), Log: q.p.log})
 	return d, nil
 }
 
-func (q *questions) core(work context.Context, set choice.Settings, up core.Upstream,
+// startCore starts a core that runs until work is canceled.
+func (q *introspection) startCore(work context.Context, set choice.Settings, up core.Upstream,
 	counts core.Counter) (*core.Core, error) {
 	c, err := core.New(core.Config{Settings: set, Seed: uint64(time.Now().UnixNano()), Upstream: up,
-		Counter: counts, Log: q.p.decision})
+		Counter: counts, Log: q.p.logDecision})
 	if err != nil {
 		return nil, err
 	}
@@ -332,8 +347,8 @@
 	return c, nil
 }
 
-// known is the issuer in use by a name.
-func (q *questions) known(name string) *issuer {
+// issuerInUse returns the current issuer of the given name, or nil.
+func (q *introspection) issuerInUse(name string) *issuer {
 	for _, s := range q.issuers {
 		if s.conf.Name == name {
 			return s
@@ -342,9 +357,10 @@
 	return nil
 }
 
-// take notes what is in use now, and ends what no longer is, in its time.
-func (q *questions) take(n *config.Introspection, list []*issuer) {
-	q.release(q.issuers, list, retire)
+// apply makes a configuration the current one, and stops the issuers' parts that it doesn't use after
+// retireDelay.
+func (q *introspection) apply(n *config.Introspection, list []*issuer) {
+	q.release(q.issuers, list, retireDelay)
 	q.conf, q.issuers = n, list
 	if n.Bearer.Plan == "" {
 		q.bearer.Store(nil)
@@ -355,50 +371,51 @@
 			b.Classes[c.Name] = c.Rules()
 		}
 		if old := q.bearer.Load(); old != nil {
-			b.Proofs = old.Proofs // what was shown stays shown
+			b.Proofs = old.Proofs // proofs seen before the reload remain seen
 		}
 		q.bearer.Store(introspect.NewBearer(b))
 	}
 }
 
-// release ends, after a time, the parts of some issuers that others have no use for.
-func (q *questions) release(list, others []*issuer, after time.Duration) {
+// release stops, after the given delay, the desks and admission cores in list that others doesn't use.
+func (q *introspection) release(list, others []*issuer, after time.Duration) {
 	for _, s := range list {
 		used := func(same func(*issuer) bool) bool { return slices.ContainsFunc(others, same) }
 		if s.desk != nil && !used(func(o *issuer) bool { return o.desk == s.desk }) {
-			time.AfterFunc(after, s.desk.end)
+			time.AfterFunc(after, s.desk.cancel)
 		}
-		if s.asks != nil && !used(func(o *issuer) bool { return o.asks == s.asks }) {
-			time.AfterFunc(after, s.asks.end)
+		if s.admission != nil && !used(func(o *issuer) bool { return o.admission == s.admission }) {
+			time.AfterFunc(after, s.admission.cancel)
 		}
 	}
 }
 
-// reload goes on by a configuration read again, or by the one in use if it can't be used.
-func (q *questions) reload(n *config.Introspection) error {
-	var kept []string
+// reload applies a newly read configuration. On an error the current one stays in use.
+func (q *introspection) reload(n *config.Introspection) error {
+	var unapplied []string
 	if n.Listen != q.conf.Listen || n.Insecure != q.conf.Insecure || n.TLS != q.conf.TLS {
-		kept = append(kept, "introspection.listen, insecure and tls")
+		unapplied = append(unapplied, "introspection.listen, insecure and tls")
 	}
 	if n.Counter != q.conf.Counter {
-		kept = append(kept, "introspection.counter")
+		unapplied = append(unapplied, "introspection.counter")
 	}
 	if (n.Bearer.Plan != "") && q.p.conf != nil && !q.p.guarded {
-		kept = append(kept, "introspection.bearer.plan")
+		unapplied = append(unapplied, "introspection.bearer.plan")
 	}
 	if !n.On() {
-		return fmt.Errorf("introspection is switched off in it: that needs a restart")
+		return fmt.Errorf("the file disables introspection, which needs a restart")
 	}
-	options, list, err := q.build(n)
+	options, list, err := q.buildOptions(n)
 	if err != nil {
 		return err
 	}
-	if len(kept) > 0 {
-		q.p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", kept).Msg("changed, and not taken")
+	if len(unapplied) > 0 {
+		q.p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", unapplied).
+			Msg("changed settings need a restart; keeping the previous values")
 	}
 	n.Listen, n.Insecure, n.TLS, n.Counter = q.conf.Listen, q.conf.Insecure, q.conf.TLS, q.conf.Counter
 	q.front.Use(options)
-	q.take(n, list)
+	q.apply(n, list)
 	if q.listen != nil {
 		q.listen.Reload()
 	}
--- a/cmd/dunespoke/scenario_test.go
+++ b/cmd/dunespoke/scenario_test.go
@@ -21,7 +21,8 @@
 	"dunespoke/internal/scenario"
 )
 
-// testConf is an ingress with one app server at "app", and one customer plan. Its quota is 12 at once.
+// testConf returns the configuration of an ingress with one app server at "app" and one customer plan with a
+// burst of 12.
 func testConf(counter bool) *config.Platform {
 	return &config.Platform{Name: "n0", Listen: "ingress", Discovery: "discovery", Counter: "counter", Seed: 1,
 		Limits:    config.Limits{MemoryMB: 32},
@@ -38,7 +39,8 @@
 			Plans: []choice.Plan{{Name: "basic", Rate: 0.1, Burst: 12, Price: 1, ExcessCost: 1}}}}
 }
 
-// testOperator sets up introspection before a service at "idp", and checks of bearer tokens if wanted.
+// testOperator returns an operator file with introspection by a service at "idp". If bearer isn't empty, it
+// is the plan for checks of bearer tokens, and there is no front for introspection.
 func testOperator(bearer string) config.Operator {
 	var o config.Operator
 	n := &o.Introspection
@@ -55,14 +57,14 @@
 	return o
 }
 
-// testIssuer is an issuer with one server.
+// testIssuer returns an issuer with one server.
 func testIssuer(name, server string) config.Issuer {
 	return config.Issuer{Name: name, Servers: []string{server}, Path: "/ask", Insecure: true,
 		KeepAlive: config.Duration(10 * time.Second), Limit: config.Duration(3 * time.Second),
 		Silence: config.Duration(500 * time.Millisecond), ClientID: "dunespoke", Secret: "s3cret"}
 }
 
-var words = map[string]string{
+var macros = map[string]string{
 	"get": `GET /enquiry?account=0000000000000007 HTTP/1.1\r\nHost: h\r\nX-Lane: enquiry\r\n$head`,
 	"post": `POST /withdrawal?account=0000000000000007 HTTP/1.1\r\nHost: h\r\nX-Lane: withdrawal\r\n` +
 		`Content-Length: 2\r\n$head`,
@@ -78,9 +80,8 @@
 	"json":  `HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: `,
 }
 
-// play runs a program in a bubble, with all its parties on a network in memory, and a script against it. It
-// returns the program's log.
-// A hook may act on the program before the script begins.
+// play runs a program in a synctest bubble, with all its peers on an in-memory network, and runs a script
+// against it. The hooks are called before the script begins. It returns the program's log.
 func play(t *testing.T, conf *config.Platform, o config.Operator, script string,
 	hooks ...func(*program)) string {
 	t.Helper()
@@ -100,11 +101,11 @@
 		for _, hook := range hooks {
 			hook(p)
 		}
-		scenario.Play(t, n, words, script)
+		scenario.Play(t, n, macros, script)
 		p.drain()
 		end()
 		n.Close()
-		time.Sleep(time.Minute) // whatever still waits runs into its limit
+		time.Sleep(time.Minute) // lets the remaining timers expire
 	})
 	return log.String()
 }
@@ -126,17 +127,17 @@
 	return b.Buffer.Write(p)
 }
 
-// served is one enquiry, from its client to the app server and back.
-const served = `
+// servedEnquiry is one successful enquiry.
+const servedEnquiry = `
 		client send $get\r\n
 		app expect GET
 		app send $ok
 		client expect money
 `
 
-// scenarios of the platform's front, without a counter.
-var scenarios = map[string]string{
-	"served, and the connection kept": `
+// platformScripts test the platform front without a counter.
+var platformScripts = map[string]string{
+	"served, and the connection is reused": `
 		client send $get\r\n
 		app expect GET /enquiry?account=0000000000000007 HTTP/1.1
 		app expect X-Remaining: 1.9
@@ -149,20 +150,20 @@
 		app expect hi
 		app send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n
 		client expect abcde`,
-	"a reset withdrawal fails and is not sent again": `
+	"a reset withdrawal fails and is not retried": `
 		client send $post\r\nhi
 		app expect hi
 		app close
 		client expect HTTP/1.1 502
 		app2 wait nothing`,
-	"a reset enquiry is sent again, as far as the budget for that goes": strings.Repeat(served, 4) + `
+	"a reset enquiry is retried within the retry budget": strings.Repeat(servedEnquiry, 4) + `
 		client send $get\r\n
 		app expect GET
 		app close
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"what a server sends beyond its answer is nobody's answer": `
+	"data after a response is discarded with its connection": `
 		client send $get\r\n
 		app expect GET
 		app send $okHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
@@ -171,19 +172,19 @@
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"a cut answer is a reset, and not passed on": `
+	"a truncated response is a reset, and not forwarded": `
 		client send $post\r\nhi
 		app expect hi
 		app send HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nmon
 		app close
 		client expect HTTP/1.1 502`,
-	"noise with an empty line in it is a reset at once": `
+	"a malformed response head is a reset at once": `
 		client send $post\r\nhi
 		app expect hi
 		app send \x93noise\r\n\r\n
 		client expect HTTP/1.1 502
 		app wait closed`,
-	"an answer that stops half way is a reset, and holds up nobody": strings.Repeat(served, 4) + `
+	"a stalled response is a reset, and delays no one": strings.Repeat(servedEnquiry, 4) + `
 		app expect \r\n\r\n
 		client send $get\r\n
 		app expect 00000000000000aa\r\n\r\n
@@ -199,7 +200,7 @@
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"one answer may have others ahead of it, but not without end": served + `
+	"interim responses are limited in number": servedEnquiry + `
 		client send $post\r\nhi
 		app expect hi
 		app send HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n$ok
@@ -209,7 +210,7 @@
 		app send $interims
 		client expect HTTP/1.1 502
 		app wait closed`,
-	"a new server at the address of one that has gone has connections of its own": `
+	"a new server at the address of a removed one gets new connections": `
 		client send $get\r\n
 		app expect GET
 		app send $ok
@@ -231,7 +232,7 @@
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"a long answer goes on as it comes, however slowly": `
+	"a long response is streamed, however slow": `
 		client send $get\r\n
 		app expect GET
 		app send HTTP/1.1 200 OK\r\nContent-Length: 262145\r\nX-Own: 1\r\nConnection: keep-alive\r\n\r\n
@@ -245,7 +246,7 @@
 		app expect hi
 		app send $ok
 		client expect money`,
-	"a long answer that breaks off never looks whole": `
+	"a long response that breaks off never looks complete": `
 		client send $get\r\n
 		app expect GET
 		app send HTTP/1.1 200 OK\r\nContent-Length: 262145\r\n\r\n$large
@@ -253,7 +254,7 @@
 		app close
 		client wait closed
 		client wait nothing`,
-	"a short answer that breaks off is asked for again": strings.Repeat(served, 4) + `
+	"a short response that breaks off is retried": strings.Repeat(servedEnquiry, 4) + `
 		client send $get\r\n
 		app expect GET
 		app send HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\npart
@@ -261,13 +262,13 @@
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"no answer that is too long to hold is passed on but a good one": `
+	"a long response is forwarded only on success": `
 		client send $post\r\nhi
 		app expect hi
 		app send HTTP/1.1 500 Oops\r\nContent-Length: 262145\r\n\r\n
 		client expect HTTP/1.1 502
 		app wait closed`,
-	"a long body is held until it is whole, however slowly it comes": `
+	"a long body is stored until it is complete, however slow": `
 		client send $body\r\n
 		client send $large
 		client wait 4s
@@ -279,7 +280,7 @@
 		client expect money
 		client send $post\r\nhi
 		app expect hi`,
-	"a long body in chunks is asked for, and sent again whole if it never ran": strings.Repeat(served, 4) + `
+	"a long chunked body gets 100 Continue, and is retried if it never ran": strings.Repeat(servedEnquiry, 4) + `
 		client send $parts
 		client expect HTTP/1.1 100 Continue\r\n\r\n
 		client send 40000\r\n$large\r\n1\r\n!\r\n0\r\nX-Sum: 1\r\n\r\n
@@ -289,7 +290,7 @@
 		app expect the end!
 		app send $ok
 		client expect money`,
-	"a body beyond the store flows, and ends at the server when its client leaves": `
+	"a body beyond the store is streamed, and cut when its client disconnects": `
 		client send $vast
 		app expect Content-Length: 9000000\r\n\r\n
 		client send $large
@@ -299,7 +300,7 @@
 		app expect the end
 		client close
 		app wait closed`,
-	"a body that flows and is turned away is refused, since it never ran": `
+	"a streamed body whose server closes is rejected, since it never ran": `
 		client send $vast
 		app expect Content-Length: 9000000\r\n\r\n
 		client send $large
@@ -308,7 +309,7 @@
 		client expect HTTP/1.1 429
 		client expect Connection: close
 		client wait closed`,
-	"what must not run twice avoids kept connections once one has broken": strings.Repeat(served, 4) + `
+	"unsafe requests avoid idle connections after one has failed": strings.Repeat(servedEnquiry, 4) + `
 		client send $get\r\n
 		app expect GET
 		app close
@@ -324,14 +325,14 @@
 		app3 expect GET
 		app3 send $ok
 		client expect money`,
-	"turned away unseen, a withdrawal goes out again": `
+	"a withdrawal that the server rejected unprocessed is retried": `
 		client send $post\r\nhi
 		app expect hi
 		app send HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n
 		app expect hi
 		app send $ok
 		client expect money`,
-	"silence ends in time and closes the attempt": `
+	"an unanswered attempt ends in time and is closed": `
 		client send $post\r\nhi
 		app expect hi
 		app wait closed
@@ -339,12 +340,12 @@
 		client expect failed\n
 		client wait 3s
 		client wait nothing`,
-	"what a client leaves is cancelled": `
+	"the attempt of a disconnected client is canceled": `
 		client send $get\r\n
 		app expect GET
 		client close
 		app wait closed`,
-	"an idle connection that has ended is not used": `
+	"a closed idle connection is not reused": `
 		client send $post\r\nhi
 		app expect hi
 		app send $ok
@@ -363,12 +364,12 @@
 		app wait nothing
 		client wait 300ms
 		app wait closed`,
-	"beyond the quota is refused, with advice": strings.Repeat(served, 12) + `
+	"requests over quota are rejected with Retry-After": strings.Repeat(servedEnquiry, 12) + `
 		client send $get\r\n
 		client expect HTTP/1.1 429
 		client expect Retry-After: 2.000
 		client expect refused`,
-	"the list of servers is followed": `
+	"updates of the server list are applied": `
 		discovery expect since=4
 		discovery send HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n
 		discovery send 83\r\n{"generation":5,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"app",
@@ -381,7 +382,7 @@
 		discovery wait 8s
 		discovery wait closed
 		discovery2 expect since=5`,
-	"the id of a request that is being answered is taken": `
+	"the ID of a request in flight is rejected": `
 		client send $get\r\n
 		app expect 00000000000000aa\r\n\r\n
 		client2 send $get\r\n
@@ -397,7 +398,7 @@
 		app2 expect GET
 		app2 send $ok
 		client expect money`,
-	"bad input is told and not sent on": `
+	"invalid requests are rejected and not forwarded": `
 		client send GET /nosuch HTTP/1.1\r\nHost: h\r\n\r\n
 		client expect HTTP/1.1 404
 		client send POST /enquiry HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n
@@ -421,17 +422,17 @@
 		client4 wait closed`,
 }
 
-func TestScenarios(t *testing.T) {
-	words["interims"] = strings.Repeat(`HTTP/1.1 103 Early Hints\r\n\r\n`, 17)
-	words["large"] = strings.Repeat("x", 262144-len("the end")) + "the end"
-	words["long"] = `X-Long: ` + strings.Repeat("x", 17<<10)
-	for name, script := range scenarios {
+func TestPlatform(t *testing.T) {
+	macros["interims"] = strings.Repeat(`HTTP/1.1 103 Early Hints\r\n\r\n`, 17)
+	macros["large"] = strings.Repeat("x", 262144-len("the end")) + "the end"
+	macros["long"] = `X-Long: ` + strings.Repeat("x", 17<<10)
+	for name, script := range platformScripts {
 		t.Run(name, func(t *testing.T) { play(t, testConf(false), config.Operator{}, script) })
 	}
 }
 
-// The counter: calls in a row on one connection, and silence that must not hold up clients.
-func TestCounterScenarios(t *testing.T) {
+// Calls to the counter share one connection, and a counter that doesn't respond must not delay clients.
+func TestCounter(t *testing.T) {
 	log := play(t, testConf(true), config.Operator{}, `
 		client send $get\r\n
 		counter expect POST /v1/count/u7.
@@ -448,11 +449,11 @@
 		app send $ok
 		client expect money`)
 	if !strings.Contains(log, `"side":"counter"`) {
-		t.Errorf("no line about the counter's connection:\n%s", log)
+		t.Errorf("the counter's connection is not in the log:\n%s", log)
 	}
 }
 
-// Balancers are told by agent-check lines, if the operator's file says so.
+// The agent-check listener reports the state to load balancers if the operator file enables it.
 func TestAgentCheck(t *testing.T) {
 	conf := testConf(false)
 	conf.Listen = "front"
@@ -466,7 +467,7 @@
 		client2 wait closed`)
 }
 
-// Each connection that ends leaves one line with its code.
+// Each closed connection is logged once, with its code.
 func TestLogLines(t *testing.T) {
 	log := play(t, testConf(false), config.Operator{}, `
 		client send $get\r\n
@@ -485,9 +486,9 @@
 	}
 }
 
-// A new configuration moves the watch and the calls to the counter to other addresses. A request under way,
-// the client's connection, the server's and the quota's state go on; the servers that the new list still
-// names too.
+// A reload moves the discovery watch and the calls to the counter to new addresses. It doesn't affect the
+// request in flight, the connections to the client and the server, the state of quotas, and the servers that
+// are also on the new list.
 func TestReload(t *testing.T) {
 	moved := *testConf(true)
 	moved.Discovery, moved.Counter = "newdiscovery", "newcounter"
@@ -515,9 +516,9 @@
 		discovery2 wait nothing
 		counter2 wait nothing`, func(p *program) {
 		time.AfterFunc(500*time.Millisecond, func() {
-			p.reload(nil, errors.New("a bad file"))
-			p.reload(&moved, nil)
-			p.reload(&moved, nil)
+			p.reloadPlatform(nil, errors.New("a bad file"))
+			p.reloadPlatform(&moved, nil)
+			p.reloadPlatform(&moved, nil)
 		})
 	})
 	for want, times := range map[string]int{"reload-failed": 1, `"code":"reloaded"`: 2, "watch-left": 2,
@@ -528,9 +529,9 @@
 	}
 }
 
-// Unheeded, this signal ends the program.
-func TestHangupsAreHeeded(t *testing.T) {
-	all := hangups()
+// SIGHUP would otherwise terminate the program.
+func TestHangupSignalIsCaught(t *testing.T) {
+	all := hangupSignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dunespoke/wiring.go
+++ b/cmd/dunespoke/wiring.go
@@ -31,41 +31,41 @@
 	"dunespoke/internal/net/secure"
 )
 
-// program is the parts of a running ingress.
+// program is a running ingress with all its components.
 type program struct {
-	log     zerolog.Logger
-	listen  func(network, addr string) (net.Listener, error)
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	work    context.Context // ends when all that was taken is answered
-	servers []*accept.Server
-	ready   []func() bool // of each front
-	failed  chan error
-	stops   atomic.Bool // told to stop
-	ill     atomic.Bool // the fleet says that this ingress reaches nothing
-	leaving atomic.Bool // told to leave by an operator, until told to join
-
-	conf     *config.Platform // as last read; nil without the platform
-	main     *core.Core       // the platform's; nil without it
-	watcher  *discovery.Watcher
-	counters []mover // of the platform's counter
-
-	questions *questions   // nil without the front for token introspection
-	gate      *gate        // nil without the general HTTP front
-	watch     core.Watcher // of attempts, for the fleet; nil without one
-
-	fleet   *node.Node // nil without a fleet
-	leave   func()     // the fleet
-	guarded bool       // the platform's requests pass a guard that may ask for tokens
+	log          zerolog.Logger
+	listen       func(network, addr string) (net.Listener, error)
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
+	work         context.Context // canceled when all accepted requests are answered
+	servers      []*accept.Server
+	ready        []func() bool // readiness of each front
+	failed       chan error
+	stopping     atomic.Bool // the process is stopping
+	isolated     atomic.Bool // set by the fleet while this ingress reaches no server
+	leaveOrdered atomic.Bool // set by the call LEAVE, cleared by JOIN
+
+	conf             *config.Platform // the platform's configuration in use; nil without the platform
+	platformCore     *core.Core       // core of the platform front; nil without the platform
+	discoveryWatcher *discovery.Watcher
+	counters         []mover // clients of the platform's counter
+
+	introspection  *introspection // nil without the front for token introspection
+	gatewayFront   *gatewayFront  // nil without the general HTTP front
+	attemptWatcher core.Watcher   // observes attempts for the fleet; nil without a fleet
+
+	fleet       *node.Node // nil without a fleet
+	cancelFleet func()     // leaves the fleet; nil without one
+	guarded     bool       // the platform front has a guard that can check bearer tokens
 }
 
-// mover is what goes by an address that a new configuration may change.
+// mover is a component whose remote address a configuration reload can change.
 type mover interface{ Move(addr string) }
 
-// run serves until the context ends and what was taken is answered. On each reload it reads the platform's
-// configuration again.
+// run serves until ctx is canceled and all accepted requests are answered, or until a component fails. On
+// each signal from reload it reads the platform's configuration and the operator file again.
 func run(ctx context.Context, reload <-chan os.Signal, getenv func(string) string, log zerolog.Logger) error {
-	work, end := context.WithCancel(context.Background())
-	defer end()
+	work, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	p := &program{log: log, listen: direct.Listen, dial: direct.Dial, work: work,
 		failed: make(chan error, 4)}
 	var operator config.Operator
@@ -96,66 +96,69 @@
 		case <-ctx.Done():
 		}
 	}
-	p.log.Info().Str("code", "draining").Msg("told to stop")
+	p.log.Info().Str("code", "draining").Msg("stopping; waiting for accepted requests")
 	p.leaveFleet()
 	p.drain()
-	p.log.Info().Str("code", "stopped").Msg("all that was taken is answered")
+	p.log.Info().Str("code", "stopped").Msg("all accepted requests are answered")
 	return nil
 }
 
-// reloadAll reads again what the program was started with.
+// reloadAll reloads the configuration files that the program was started with.
 func (p *program) reloadAll(getenv func(string) string) {
 	if p.conf != nil {
-		p.reload(config.ReadPlatform(getenv))
+		p.reloadPlatform(config.ReadPlatform(getenv))
 	}
 	if path := getenv("DUNESPOKE_OPERATOR"); path != "" {
 		p.reloadOperator(config.ReadOperator(path, getenv))
 	}
 }
 
-// reloadOperator takes an operator's file as read again, whole or not at all; or the error of that.
+// reloadOperator applies a newly read operator file and logs the result. err is the error of reading the
+// file; if it is set, nothing changes.
 func (p *program) reloadOperator(o *config.Operator, err error) {
 	if err == nil {
-		err = p.retake(o)
+		err = p.applyOperator(o)
 	}
 	switch {
 	case err != nil:
-		p.log.Warn().Str("code", "reload-failed").Err(err).Msg("the operator's settings stay as they were")
-	case p.questions == nil && p.gate == nil && p.fleet == nil:
-		p.log.Warn().Str("code", "reload-needs-restart").Msg("nothing of the operator's file that is on can change")
+		p.log.Warn().Str("code", "reload-failed").Err(err).
+			Msg("cannot apply the operator file; keeping the previous settings")
+	case p.introspection == nil && p.gatewayFront == nil && p.fleet == nil:
+		p.log.Warn().Str("code", "reload-needs-restart").Msg("no active part of the operator file can be reloaded")
 	default:
 		p.log.Info().Str("code", "reloaded").Int("issuers", len(o.Introspection.Issuers)).
 			Int("clients", len(o.Introspection.Clients)).Int("routes", len(o.Gateway.Routes)).
-			Msg("operator's file read again")
+			Msg("operator file reloaded")
 	}
 }
 
-// errOff is the error of a file without a front that runs.
-var errOff = errors.New("gateway is switched off in it: that needs a restart")
+// errGatewayOff is returned for a reloaded operator file that disables the running gateway.
+var errGatewayOff = errors.New("the file disables the running gateway, which needs a restart")
 
-// retake goes by an operator's file read again: all of it, or nothing.
-func (p *program) retake(o *config.Operator) error {
+// applyOperator applies a reloaded operator file. If the gateway or introspection part is invalid, it changes
+// nothing.
+func (p *program) applyOperator(o *config.Operator) error {
 	var plan *gateway.Plan
 	var pools map[string]*pool
-	if t := p.gate; t != nil {
+	if t := p.gatewayFront; t != nil {
 		if !o.Gateway.On() {
-			return errOff
+			return errGatewayOff
 		}
 		var err error
-		if plan, pools, err = t.build(&o.Gateway); err != nil {
+		if plan, pools, err = t.buildPlan(&o.Gateway); err != nil {
 			return err
 		}
 	}
-	if p.questions != nil {
-		if err := p.questions.reload(&o.Introspection); err != nil {
-			if p.gate != nil {
-				p.gate.release(pools, p.gate.pools.Load(), 0)
+	if p.introspection != nil {
+		if err := p.introspection.reload(&o.Introspection); err != nil {
+			if p.gatewayFront != nil {
+				p.gatewayFront.release(pools, p.gatewayFront.pools.Load(), 0)
 			}
 			return err
 		}
 	}
-	if p.gate != nil {
-		p.gate.take(&o.Gateway, plan, pools)
+	if p.gatewayFront != nil {
+		p.gatewayFront.apply(&o.Gateway, plan, pools)
 	}
 	if p.fleet != nil && o.Fleet.On() {
 		return p.fleet.Keys(o.Fleet.Ring)
@@ -163,63 +166,65 @@
 	return nil
 }
 
-// reload takes the platform's configuration as read again, or the error of that, and goes on at the addresses
-// of discovery and the counter that it names. A file that can't be used changes nothing. All that is kept or
-// under way stays as it is.
-func (p *program) reload(conf *config.Platform, err error) {
+// reloadPlatform applies the addresses of discovery and the counter from a newly read platform configuration;
+// other changes need a restart. If err, the error of reading it, is set, nothing changes. Kept state and
+// requests in flight aren't affected.
+func (p *program) reloadPlatform(conf *config.Platform, err error) {
 	if err != nil {
-		p.log.Warn().Str("code", "reload-failed").Err(err).Msg("the configuration stays as it was")
+		p.log.Warn().Str("code", "reload-failed").Err(err).
+			Msg("cannot read the configuration; keeping the previous one")
 		return
 	}
-	if kept := p.conf.Kept(conf); len(kept) > 0 {
-		p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", kept).Msg("changed, and not taken")
+	if unapplied := p.conf.Kept(conf); len(unapplied) > 0 {
+		p.log.Warn().Str("code", "reload-needs-restart").Strs("settings", unapplied).
+			Msg("changed settings need a restart; keeping the previous values")
 	}
 	p.conf.Discovery, p.conf.Counter = conf.Discovery, conf.Counter
-	p.watcher.Move(conf.Discovery)
+	p.discoveryWatcher.Move(conf.Discovery)
 	for _, c := range p.counters {
 		if conf.Counter != "" {
 			c.Move(conf.Counter)
 		}
 	}
 	p.log.Info().Str("code", "reloaded").Str("discovery", conf.Discovery).Str("counter", conf.Counter).
-		Msg("configuration read again")
+		Msg("configuration reloaded")
 }
 
-// start sets all parts going.
+// start starts all components. conf is nil without the platform.
 func (p *program) start(conf *config.Platform, operator config.Operator) error {
 	p.conf = conf
 	var limits config.Limits
 	if conf != nil {
 		limits = conf.Limits
 	}
-	asks := operator.Introspection.On()
+	introspects := operator.Introspection.On()
 	if conf == nil && operator.Gateway.On() {
 		limits.Sockets = operator.Gateway.Sockets
 	}
 	fronts := 0
-	for _, on := range []bool{conf != nil, asks, operator.Gateway.On()} {
+	for _, on := range []bool{conf != nil, introspects, operator.Gateway.On()} {
 		if on {
 			fronts++
 		}
 	}
-	share := bound(limits, max(1, fronts))
+	share := applyLimits(limits, max(1, fronts))
 	var guard platform.Guard
-	if asks {
-		q, err := p.startQuestions(&operator.Introspection, share)
+	if introspects {
+		q, err := p.startIntrospection(&operator.Introspection, share)
 		if err != nil {
 			return err
 		}
-		p.questions = q
+		p.introspection = q
 		if conf != nil {
-			guard, p.guarded = q.guard(), true
+			guard, p.guarded = q.platformGuard(), true
 		}
 	}
-	heard := &watcher{}
+	fleetAttempts := &fleetWatcher{}
 	if operator.Fleet.On() {
-		p.watch = heard
+		p.attemptWatcher = fleetAttempts
 	}
 	if conf != nil {
-		if err := p.platform(conf, guard, share); err != nil {
+		if err := p.startPlatform(conf, guard, share); err != nil {
 			return err
 		}
 	}
@@ -228,69 +233,70 @@
 		if err != nil {
 			return err
 		}
-		p.gate = t
+		p.gatewayFront = t
 	}
-	if err := p.agent(operator.Agent); err != nil {
+	if err := p.startHealthEndpoints(operator.Agent); err != nil {
 		return err
 	}
 	if operator.Fleet.On() {
 		if err := p.startFleet(&operator.Fleet); err != nil {
 			return err
 		}
-		heard.Store(p.fleet)
+		fleetAttempts.Store(p.fleet)
 	}
 	if conf != nil && conf.Mgmt != "" {
-		return p.mgmt(conf.Mgmt)
+		return p.startMgmt(conf.Mgmt)
 	}
 	return nil
 }
 
-// stall is how long an app server's answer may stand still once it has begun. Slow lines bring one in many
-// pieces; one of which nothing more comes would hold its request until the deadline, for nothing.
-const stall = 500 * time.Millisecond
+// responseStallTimeout limits the pause within an app server's response once it has begun. Slow connections
+// deliver a response in many pieces; without the limit a response that has stopped would keep its request
+// until the deadline in vain.
+const responseStallTimeout = 500 * time.Millisecond
 
-// holdMost is how much of an app server's answer is held until it is whole: one that breaks off before can be
-// asked for again. Longer ones are passed on as they come.
-const holdMost = 64 << 10
+// maxBufferedResponse is the maximum length in bytes of an app server's response that is buffered until it is
+// complete, so that the request can be retried if the response breaks off. Longer responses are streamed.
+const maxBufferedResponse = 64 << 10
 
-// The parts of the memory that bodies may take on the platform's front: those held until they are whole, and
-// those passed on as they come, in both directions.
+// Shares of the memory limit for bodies on the platform front: for bodies that are stored until they are
+// complete, and for streamed bodies in both directions.
 const (
-	storePart     = 0.25
-	transfersPart = 0.125
+	bodyStoreShare = 0.25
+	transfersShare = 0.125
 )
 
-// memory is what the platform's front may use in all, in bytes.
-func memory(l config.Limits) float64 {
+// memoryBytes returns the memory limit in bytes, which is 256 MiB if none is configured.
+func memoryBytes(l config.Limits) float64 {
 	if l.MemoryMB <= 0 {
 		return 256 << 20
 	}
 	return float64(l.MemoryMB << 20)
 }
 
-// The platform kills a process that it has told to stop after the longest deadline, counted as 3 s at most,
-// and 0.7 s. What is left of that is for a signal that comes late.
+// After SIGTERM the platform waits for the longest deadline, counted as 3 s at most, plus 0.7 s, and then
+// kills the process. killDelay leaves 0.1 s of that for a signal that arrives late.
 const (
-	deadlineMost = 3 * time.Second
-	killAfter    = 600 * time.Millisecond
+	maxDeadline = 3 * time.Second
+	killDelay   = 600 * time.Millisecond
 )
 
-// life is how long the process lives once it is told to stop.
-func life(set choice.Settings) time.Duration {
+// drainLifetime returns how long the process can run after the signal to stop.
+func drainLifetime(set choice.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, deadlineMost) + killAfter
+	return min(longest, maxDeadline) + killDelay
 }
 
-// transfers bound the memory of long bodies.
-func transfers(l config.Limits) flow.Options {
-	return flow.Options{Bytes: int(transfersPart * memory(l)), Window: 128 << 10, MinWindow: 16 << 10}
+// transferOptions limits the memory of streamed bodies.
+func transferOptions(l config.Limits) flow.Options {
+	return flow.Options{Bytes: int(transfersShare * memoryBytes(l)), Window: 128 << 10, MinWindow: 16 << 10}
 }
 
-// platform starts the platform's front and all that stands behind it.
-func (p *program) platform(conf *config.Platform, guard platform.Guard, share sockets) error {
+// startPlatform starts the platform front with its core and the discovery watcher.
+func (p *program) startPlatform(conf *config.Platform, guard platform.Guard, share sockets) error {
 	var known discovery.List
 	if len(conf.Known) > 0 {
 		if err := json.Unmarshal(conf.Known, &known); err != nil {
@@ -298,49 +304,50 @@
 		}
 	}
 	judge := platform.ResponseClassifier{LoadFields: conf.Reports, MaxUnits: conf.Settings.MaxUnits}
-	c, err := p.core(conf.Settings, uint64(conf.Seed), conf.Counter, forward.Config{
+	c, err := p.startCore(conf.Settings, uint64(conf.Seed), conf.Counter, forward.Config{
 		DialTimeout: conf.Settings.DialTimeout, KeepAlive: conf.KeepAlive, Connections: share.servers,
-		Stall: stall, Judge: judge.Complete, Streams: judge.Head, Hold: holdMost})
+		Stall: responseStallTimeout, Judge: judge.Complete, Streams: judge.Head, Hold: maxBufferedResponse})
 	if err != nil {
 		return err
 	}
-	p.main = c
+	p.platformCore = c
 	if names, err := readBans(bansFile(conf.Listen)); err != nil {
-		p.log.Warn().Str("code", "bans-unread").Err(err).Msg("no app server is kept out by an earlier word")
+		p.log.Warn().Str("code", "bans-unread").Err(err).Msg("cannot read the saved bans; no app server is banned")
 	} else if len(names) > 0 {
 		c.RestoreBans(names)
-		p.log.Info().Str("code", "bans-kept").Strs("servers", names).Msg("kept out since before this process")
+		p.log.Info().Str("code", "bans-kept").Strs("servers", names).
+			Msg("restored the bans of the previous process")
 	}
-	p.watcher = discovery.NewWatcher(conf.Discovery, uint64(conf.Seed), conf.Settings.Gateways, c.Servers,
-		p.dial, p.log)
-	go p.watcher.Run(p.work, known)
+	p.discoveryWatcher = discovery.NewWatcher(conf.Discovery, uint64(conf.Seed), conf.Settings.Gateways,
+		c.Servers, p.dial, p.log)
+	go p.discoveryWatcher.Run(p.work, known)
 	p.ready = append(p.ready, c.Ready)
-	front := platform.New(c, conf.Settings, p.draining, guard, flow.NewBudget(transfers(conf.Limits)))
+	front := platform.New(c, conf.Settings, p.draining, guard, flow.NewBudget(transferOptions(conf.Limits)))
 	l, err := p.listener(conf.Listen, nil)
 	if err != nil {
 		return err
 	}
 	streams := accept.Platform
-	streams.Life = life(conf.Settings)
-	streams.Store = flow.NewStore(int(storePart * memory(conf.Limits)))
-	p.take(accept.NewStreams(l, front, share.clients, streams, p.log), conf.Listen, share.clients, nil)
+	streams.Life = drainLifetime(conf.Settings)
+	streams.Store = flow.NewStore(int(bodyStoreShare * memoryBytes(conf.Limits)))
+	p.startServer(accept.NewStreams(l, front, share.clients, streams, p.log), conf.Listen, share.clients, nil)
 	return nil
 }
 
-// core starts a core with its upstream and its counter.
-func (p *program) core(set choice.Settings, seed uint64, quota string, up forward.Config) (*core.Core,
-	error) {
+// startCore starts a core with its upstream. counterAddr is the address of its counter; empty: no counter.
+func (p *program) startCore(set choice.Settings, seed uint64, counterAddr string,
+	up forward.Config) (*core.Core, error) {
 	var count core.Counter
-	if quota != "" {
-		client := counter.New(quota, set.CounterTimeout, p.dial, p.log)
-		if p.conf != nil && quota == p.conf.Counter {
+	if counterAddr != "" {
+		client := counter.New(counterAddr, set.CounterTimeout, p.dial, p.log)
+		if p.conf != nil && counterAddr == p.conf.Counter {
 			p.counters = append(p.counters, client)
 		}
 		count = client
 	}
 	up.Dial, up.Log = p.dial, p.log
 	c, err := core.New(core.Config{Settings: set, Seed: seed, Upstream: forward.New(up), Counter: count,
-		Log: p.decision, Watch: p.watch})
+		Log: p.logDecision, Watch: p.attemptWatcher})
 	if err != nil {
 		return nil, err
 	}
@@ -348,16 +355,16 @@
 	return c, nil
 }
 
-// decision takes the lines of a gate for on-call staff.
-func (p *program) decision(line string) { p.log.Warn().Str("code", "decision").Msg(line) }
+// logDecision logs a line in which a gate explains a decision to on-call operators.
+func (p *program) logDecision(line string) { p.log.Warn().Str("code", "decision").Msg(line) }
 
-// serve takes a front's clients, by TLS if there is a side for it.
+// serve starts a front on addr, with TLS if side isn't nil.
 func (p *program) serve(addr string, h accept.Handler, clients int, side *secure.Side) error {
 	l, err := p.listener(addr, side)
 	if err != nil {
 		return err
 	}
-	p.take(accept.New(l, h, clients, p.log), addr, clients, side)
+	p.startServer(accept.New(l, h, clients, p.log), addr, clients, side)
 	return nil
 }
 
@@ -372,23 +379,23 @@
 	return l, nil
 }
 
-// take starts a server of clients.
-func (p *program) take(s *accept.Server, addr string, clients int, side *secure.Side) {
+// startServer starts s, which stops the program if it fails.
+func (p *program) startServer(s *accept.Server, addr string, clients int, side *secure.Side) {
 	p.servers = append(p.servers, s)
-	s.DrainWhile(p.leaves)
+	s.DrainWhile(p.withdrawn)
 	go func() { p.failed <- s.Serve() }()
 	p.log.Info().Str("code", "started").Str("listen", addr).Bool("tls", side != nil).Int("clients", clients).
 		Msg("serving")
 }
 
-// agent starts what balancers ask.
-func (p *program) agent(a config.Agent) error {
+// startHealthEndpoints starts the agent-check and HTTP health listeners for load balancers, if configured.
+func (p *program) startHealthEndpoints(a config.Agent) error {
 	if a.Listen != "" {
 		l, err := p.listen("tcp", a.Listen)
 		if err != nil {
 			return fmt.Errorf("listening for agent checks: %w", err)
 		}
-		go func() { p.failed <- agentcheck.Serve(p.work, l, p.report) }()
+		go func() { p.failed <- agentcheck.Serve(p.work, l, p.healthReport) }()
 	}
 	if a.Health != "" {
 		l, err := p.listen("tcp", a.Health)
@@ -396,9 +403,9 @@
 			return fmt.Errorf("listening for health checks: %w", err)
 		}
 		mux := http.NewServeMux()
-		mux.Handle("/health", agentcheck.Health(p.report))
-		mux.Handle("/ready", agentcheck.Ready(p.report))
-		s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second} // a side door, not the data path
+		mux.Handle("/health", agentcheck.Health(p.healthReport))
+		mux.Handle("/ready", agentcheck.Ready(p.healthReport))
+		s := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second} // not on the data path, so net/http will do
 		go func() {
 			if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				p.failed <- fmt.Errorf("health checks: %w", err)
@@ -409,8 +416,9 @@
 	return nil
 }
 
-// report is what balancers are told. The weight is the part of the connections that is free.
-func (p *program) report() agentcheck.Report {
+// healthReport returns the state for load balancers. The weight is the percentage of client connections that
+// are free, the lowest of all fronts.
+func (p *program) healthReport() agentcheck.Report {
 	if p.draining() {
 		return agentcheck.Report{State: agentcheck.Draining}
 	}
@@ -426,14 +434,14 @@
 	return agentcheck.Report{State: agentcheck.Up, Weight: weight}
 }
 
-func (p *program) draining() bool { return p.stops.Load() || p.leaves() }
+func (p *program) draining() bool { return p.stopping.Load() || p.withdrawn() }
 
-// leaves reports that no clients are wanted for now, by an operator's word or the fleet's.
-func (p *program) leaves() bool { return p.leaving.Load() || p.ill.Load() }
+// withdrawn reports whether an operator or the fleet has ordered that this ingress gets no new clients.
+func (p *program) withdrawn() bool { return p.leaveOrdered.Load() || p.isolated.Load() }
 
-// drain ends all fronts at once and waits for the last answer.
+// drain drains all fronts concurrently and waits until they have answered their last requests.
 func (p *program) drain() {
-	p.stops.Store(true)
+	p.stopping.Store(true)
 	done := make(chan struct{})
 	for _, s := range p.servers {
 		go func() {
@@ -446,30 +454,31 @@
 	}
 }
 
-// Of the sockets an ingress may hold, some are set aside for the counter, discovery, listeners, checks and
-// the runtime, and a part of the rest is for connections to servers.
+// reservedSockets of the socket limit are reserved for the counter, discovery, listeners, health checks and
+// the runtime. serverSocketShare is the share of the others for connections to servers.
 const (
-	setAside    = 48
-	serversPart = 0.3
+	reservedSockets   = 48
+	serverSocketShare = 0.3
 )
 
-// sockets is how many connections each front may hold to either side.
+// sockets is the maximum number of connections of one front to clients and to servers.
 type sockets struct{ clients, servers int }
 
-// bound keeps the program within its limits, and splits the sockets between the fronts.
-func bound(l config.Limits, fronts int) sockets {
+// applyLimits sets the memory and CPU limits of the runtime and splits the sockets evenly between the fronts.
+// Without a socket limit it assumes 1024.
+func applyLimits(l config.Limits, fronts int) sockets {
 	if l.MemoryMB > 0 {
 		debug.SetMemoryLimit(l.MemoryMB << 20 * 3 / 4)
-		debug.SetGCPercent(400) // collect seldom while far under the limit
+		debug.SetGCPercent(400) // collect rarely while far below the memory limit
 	}
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(l.Cores)))
 	}
-	free := 1024 - setAside
+	free := 1024 - reservedSockets
 	if l.Sockets > 0 {
-		free = l.Sockets - setAside
+		free = l.Sockets - reservedSockets
 	}
 	free /= fronts
-	servers := max(1, int(serversPart*float64(free)))
+	servers := max(1, int(serverSocketShare*float64(free)))
 	return sockets{max(1, free-servers), servers}
 }
