--- a/internal/config/clients.go
+++ b/internal/config/clients.go
@@ -8,22 +8,22 @@
 	"github.com/go-jose/go-jose/v4"
 )
 
-// Client may ask about tokens.
+// Client is a caller that may introspect tokens.
 type Client struct {
 	ID           string   `toml:"id"`
 	Plan         string   `toml:"plan"`
-	Auth         string   `toml:"auth"`               // a method's name; empty: client_secret_basic or _post
-	SecretSHA256 string   `toml:"secret_sha256"`      // of its secret, in hex
-	SecretEnv    string   `toml:"secret_env"`         // client_secret_jwt: the variable that holds its secret
-	KeysFile     string   `toml:"jwks_file"`          // its public keys
-	CertSHA256   string   `toml:"certificate_sha256"` // self_signed_tls_client_auth: of the DER, in hex
-	Subject      string   `toml:"tls_subject"`        // tls_client_auth: one of these five
+	Auth         string   `toml:"auth"`               // method; empty: client_secret_basic or _post
+	SecretSHA256 string   `toml:"secret_sha256"`      // SHA-256 of its secret, in hex
+	SecretEnv    string   `toml:"secret_env"`         // client_secret_jwt: environment variable with its secret
+	KeysFile     string   `toml:"jwks_file"`          // JWKS file with its public keys
+	CertSHA256   string   `toml:"certificate_sha256"` // self_signed_tls_client_auth: SHA-256 of the DER, in hex
+	Subject      string   `toml:"tls_subject"`        // tls_client_auth: exactly one of these five is set
 	DNS          string   `toml:"tls_dns"`
 	URI          string   `toml:"tls_uri"`
 	IP           string   `toml:"tls_ip"`
 	Email        string   `toml:"tls_email"`
-	Claims       []string `toml:"claims"`      // that it is told beside "active"; none named: all
-	EncryptAlg   string   `toml:"encrypt_alg"` // of signed answers, to a key of jwks_file with use "enc"
+	Claims       []string `toml:"claims"`      // returned besides "active"; empty: all
+	EncryptAlg   string   `toml:"encrypt_alg"` // for signed responses; uses the key of jwks_file with use "enc"
 	EncryptEnc   string   `toml:"encrypt_enc"`
 
 	SecretHash  [sha256.Size]byte `toml:"-"`
@@ -33,16 +33,17 @@
 	EncryptKey  jose.JSONWebKey   `toml:"-"`
 }
 
-// Algorithms that encrypt answers.
+// Supported algorithms for encrypted responses.
 var (
 	encryptAlgs = []string{"RSA-OAEP-256", "ECDH-ES", "ECDH-ES+A256KW"}
 	encryptEncs = []string{"A128GCM", "A256GCM", "A128CBC-HS256"}
 )
 
-// sharedKeyLeast is the length in bytes of a secret that signs: RFC 7518, 3.2 asks for that of the hash.
-const sharedKeyLeast = 32
+// minSharedKeyBytes is the minimum length of a secret that signs with HMAC. RFC 7518, 3.2 requires at least
+// the size of the hash output.
+const minSharedKeyBytes = 32
 
-// check names what is wrong with a client, and reads its secrets and keys.
+// check validates a client's credentials, and loads its secrets and keys.
 func (c *Client) check(f *faults, key string, getenv func(string) string) {
 	switch c.Auth {
 	case "", "client_secret_basic", "client_secret_post":
@@ -50,22 +51,23 @@
 			f.add(key+".secret_sha256", "%w", err)
 		}
 	case "client_secret_jwt":
-		if c.SharedKey = []byte(getenv(c.SecretEnv)); len(c.SharedKey) < sharedKeyLeast {
-			f.add(key+".secret_env", "%q is not set, or under %d bytes", c.SecretEnv, sharedKeyLeast)
+		if c.SharedKey = []byte(getenv(c.SecretEnv)); len(c.SharedKey) < minSharedKeyBytes {
+			f.add(key+".secret_env", "environment variable %q is not set or shorter than %d bytes",
+				c.SecretEnv, minSharedKeyBytes)
 		}
 	case "private_key_jwt":
 		if c.KeysFile == "" {
-			f.add(key+".jwks_file", "it is needed for private_key_jwt")
+			f.add(key+".jwks_file", "required for private_key_jwt")
 		}
 	case "tls_client_auth":
-		named := 0
+		subjects := 0
 		for _, n := range []string{c.Subject, c.DNS, c.URI, c.IP, c.Email} {
 			if n != "" {
-				named++
+				subjects++
 			}
 		}
-		if named != 1 {
-			f.add(key+".tls_subject", "want one of tls_subject, tls_dns, tls_uri, tls_ip and tls_email")
+		if subjects != 1 {
+			f.add(key+".tls_subject", "want exactly one of tls_subject, tls_dns, tls_uri, tls_ip and tls_email")
 		}
 	case "self_signed_tls_client_auth":
 		if err := decodeHash(c.CertSHA256, c.Certificate[:]); err != nil {
@@ -84,20 +86,22 @@
 	c.checkEncryption(f, key)
 }
 
+// checkEncryption validates the algorithms for encrypted responses, and selects the client's encryption key.
 func (c *Client) checkEncryption(f *faults, key string) {
 	if c.EncryptAlg == "" && c.EncryptEnc == "" {
 		return
 	}
 	if c.EncryptEnc == "" {
-		c.EncryptEnc = "A128CBC-HS256" // RFC 9701, 6: the one that is meant where none is named
+		c.EncryptEnc = "A128CBC-HS256" // the default of RFC 9701, 6
 	}
 	if !slices.Contains(encryptAlgs, c.EncryptAlg) || !slices.Contains(encryptEncs, c.EncryptEnc) {
-		f.add(key+".encrypt_alg", "want one of %v with one of %v", encryptAlgs, encryptEncs)
+		f.add(key+".encrypt_alg", "want encrypt_alg to be one of %v and encrypt_enc one of %v",
+			encryptAlgs, encryptEncs)
 		return
 	}
 	i := slices.IndexFunc(c.Keys, func(k jose.JSONWebKey) bool { return k.Use == "enc" })
 	if i < 0 {
-		f.add(key+".jwks_file", "it has no key with use \"enc\" to encrypt to")
+		f.add(key+".jwks_file", "the key set has no key with use \"enc\", which encrypted responses require")
 		return
 	}
 	c.EncryptKey = c.Keys[i]
@@ -108,7 +112,7 @@
 	}
 }
 
-// checkClients names what is wrong with the clients.
+// checkClients validates all clients. at is the prefix of their keys in the file.
 func (n *Introspection) checkClients(
 	f *faults,
 	at string,
@@ -120,23 +124,23 @@
 		c := &n.Clients[i]
 		key := fmt.Sprintf("%sclient[%d]", at, i)
 		if c.ID == "" || seen[c.ID] {
-			f.add(key+".id", "%q is empty or another client's", c.ID)
+			f.add(key+".id", "%q is empty or used by another client", c.ID)
 		}
 		seen[c.ID] = true
 		if !plans[c.Plan] {
 			f.add(key+".plan", "no plan %q", c.Plan)
 		}
 		if (c.Auth == "tls_client_auth" || c.Auth == "self_signed_tls_client_auth") && n.Insecure {
-			f.add(key+".auth", "%s needs TLS", c.Auth)
+			f.add(key+".auth", "%s requires TLS", c.Auth)
 		}
 		if c.Auth == "tls_client_auth" && n.TLS.CA == "" {
-			f.add(at+"tls.ca_file", "client %q needs roots for its certificate", c.ID)
+			f.add(at+"tls.ca_file", "required to verify the certificate of client %q", c.ID)
 		}
 		if (c.Auth == "private_key_jwt" || c.Auth == "client_secret_jwt") && n.URL == "" && len(n.Audiences) == 0 {
-			f.add(at+"url", "client %q needs it, or audiences, to name in its assertions", c.ID)
+			f.add(at+"url", "client %q requires url or audiences as the audience of its assertions", c.ID)
 		}
 		if c.Auth == "bearer" && n.Callers.Plan == "" {
-			f.add(at+"callers.plan", "client %q needs it", c.ID)
+			f.add(at+"callers.plan", "required by client %q", c.ID)
 		}
 		c.check(f, key, getenv)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 
 func env(m map[string]string) func(string) string { return func(k string) string { return m[k] } }
 
-// The files that the repository shows to newcomers must be good ones.
-func TestShownFilesAreGood(t *testing.T) {
+// The example files of the repository must be valid.
+func TestExampleFilesAreValid(t *testing.T) {
 	p, err := ReadPlatform(env(map[string]string{"LB_CONFIG": "../../example/config.json"}))
 	if err != nil {
 		t.Fatal(err)
@@ -31,12 +31,12 @@
 		t.Errorf("%+v, %v", o, err)
 	}
 	if bound := o.Gateway.Bound(684, 292); bound > o.Gateway.MemoryMB<<20 {
-		t.Errorf("the shown file's connections may take %d bytes", bound)
+		t.Errorf("the example file's connections may use %d bytes, over its memory_mb", bound)
 	}
 }
 
-func TestBadSettingsAreNamed(t *testing.T) {
-	good, err := os.ReadFile("../../example/config.json")
+func TestPlatformErrorsNameTheKey(t *testing.T) {
+	valid, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 		{`"sockets": 1024`, `"sockets": 3`}:          "limits.sockets",
 		{`"seed": "8c`, `"seed": "xx`}:               "xx",
 		{`"most_at_once": 4,`, ``}:                   `plan "basic"`,
-		{`"repeat": "free"`, `"repeat": "sometime"`}: "unknown repeat",
+		{`"repeat": "free"`, `"repeat": "sometime"`}: "unknown repeat value",
 		{`"n_instances": 1,`, ``}:                    "n_instances is missing",
 		{`"name"`, `name`}:                           "invalid character",
 	} {
-		text := strings.Replace(string(good), change[0], change[1], 1)
+		text := strings.Replace(string(valid), change[0], change[1], 1)
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -66,9 +66,9 @@
 	}
 }
 
-func TestBadOperatorsFilesAreNamed(t *testing.T) {
+func TestOperatorErrorsNameTheKey(t *testing.T) {
 	wantFaults(t, "../../deploy/introspection.toml", map[[2]string]string{
-		{`servers = ["127.0.0.1:8801"]`, `servers = []`}:  "nobody to ask",
+		{`servers = ["127.0.0.1:8801"]`, `servers = []`}:  "at least one server is required",
 		{`plan = ""  `, `plan = "gold"`}:                  `no plan "gold"`,
 		{`plan = "member"`, `plan = "silver"`}:            `no plan "silver"`,
 		{`secret_sha256 = "4b`, `secret_sha256 = "`}:      "want a SHA-256",
@@ -81,43 +81,44 @@
 		{`bind = "127.0.0.1:7946"`, `bind = "here"`}:         "fleet.bind",
 		{`seeds = ["127`, `seeds = ["x`}:                     "fleet.seeds",
 		{`keys = ["gp`, `keys = ["g`}:                        "key 1 is not base64",
-		{`keys_env = ""`, `keys_env = "NOT_SET"`}:            "want at least one",
-		{`voters = ["n0"]`, `voters = ["n0", "n0"]`}:         "there twice",
+		{`keys_env = ""`, `keys_env = "NOT_SET"`}:            "want at least one key",
+		{`voters = ["n0"]`, `voters = ["n0", "n0"]`}:         "listed twice",
 		{`voters = ["n0"]`, `voters = []`}:                   "fleet.voters",
 		{`lease = "2s"`, `lease = "1s"`}:                     "fleet.lease",
 		{`bind = "127.0.0.1:7946"`, `bind = ""`}:             "",
 	})
 	wantFaults(t, "../../deploy/gateway.toml", map[[2]string]string{
-		{`insecure = true`, ``}:                                   "cert_file and key_file are needed",
+		{`insecure = true`, ``}:                                   "cert_file and key_file are required",
 		{`trusted = []`, `trusted = ["10.0.0.1"]`}:                "gateway.trusted",
 		{`least = 4096`, `least = 0`}:                             "gateway.transfers",
 		{`client = 0.0`, "client = -1.0"}:                         "gateway.pace: rates",
-		{`servers = ["127.0.0.1:8811"]`, ``}:                      "gateway.pool[apps]: want servers",
+		{`servers = ["127.0.0.1:8811"]`, ``}:                      "gateway.pool[apps]: want either servers",
 		{`errors = [503]`, `errors = [404]`}:                      "gateway.pool[apps].errors",
 		{`repeat = "safe" `, `repeat = "often"`}:                  "gateway.class[read]",
 		{`rate = 50.0`, `rate = -1.0`}:                            "gateway.plan[member]",
-		{`name = "member"`, `name = "guest"`}:                     `plan "member" is not there`,
+		{`name = "member"`, `name = "guest"`}:                     `plan "member" is not defined`,
 		{`customer = "address"`, `customer = "path:id"`}:          "the path has no {id}",
-		{`customer = "address"`, `customer = "claim:sub"`}:        "a claim needs token = true",
-		{`customer = "address"`, `customer = "certificate"`}:      "needs gateway.tls",
+		{`customer = "address"`, `customer = "claim:sub"`}:        "a claim requires token = true",
+		{`customer = "address"`, `customer = "certificate"`}:      "requires ca_file in gateway.tls",
 		{`customer = "address"`, `customer = "name"`}:             "want address, certificate",
 		{`path = "/up"`, `path = "/down"` + "\n" + `long = true`}: "",
 		{`methods = ["PUT", "POST"]`, `methods = ["put"]`}:        "a method is capital letters",
 		{`path = "/down"`, `path = "/{rest...}"`}:                 "can't be told from route 1",
 		{`units = 5.0`, "replay = 100000"}:                        "replay",
-		{`units = 5.0`, "token = true"}:                           "nobody checks tokens",
+		{`units = 5.0`, "token = true"}:                           "tokens cannot be checked",
 	})
 }
 
-// wantFaults changes a good file, and wants each change to be named; none where nothing is wanted.
+// wantFaults applies each change to a valid file, and checks that the error contains the wanted text. An
+// empty text means that the file must stay valid.
 func wantFaults(t *testing.T, file string, changes map[[2]string]string) {
 	t.Helper()
-	good, err := os.ReadFile(file)
+	valid, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for change, want := range changes {
-		text := strings.Replace(string(good), change[0], change[1], 1)
+		text := strings.Replace(string(valid), change[0], change[1], 1)
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/config/introspection.go
+++ b/internal/config/introspection.go
@@ -17,47 +17,47 @@
 	"dunespoke/internal/issuers"
 )
 
-// Introspection sets up the front for OAuth 2 token introspection. An empty Listen leaves it off, and an
-// empty Bearer.Plan leaves checks of the platform's requests off.
+// Introspection configures the front for OAuth 2 token introspection. An empty Listen disables it, and an
+// empty Bearer.Plan disables token checks of the platform's requests.
 type Introspection struct {
 	Listen        string   `toml:"listen"`
-	Insecure      bool     `toml:"insecure"` // plain text, on a loopback address
+	Insecure      bool     `toml:"insecure"` // plain text; only on a loopback address
 	TLS           TLS      `toml:"tls"`
 	Path          string   `toml:"path"`
-	Patience      Duration `toml:"patience"`       // of clients that don't tell theirs
-	Aim           Duration `toml:"aim"`            // answers over a part of this count as late
-	CacheFor      Duration `toml:"cache_for"`      // revocation bound: how long "active" may be told again
-	CacheInactive Duration `toml:"cache_inactive"` // and how long "inactive"
-	CacheMost     int      `toml:"cache_most"`     // answers kept for each issuer
-	Share         bool     `toml:"share"`          // one question for many who ask the same at once
-	Counter       string   `toml:"counter"`        // of quotas; empty: the platform's, if there is one
+	Patience      Duration `toml:"patience"`       // deadline for clients that send none
+	Aim           Duration `toml:"aim"`            // target time; responses over a part of it count as late
+	CacheFor      Duration `toml:"cache_for"`      // how long "active" may be cached, unaware of a revocation
+	CacheInactive Duration `toml:"cache_inactive"` // how long "inactive" may be cached
+	CacheMost     int      `toml:"cache_most"`     // maximum cached responses per issuer
+	Share         bool     `toml:"share"`          // coalesce concurrent identical requests
+	Counter       string   `toml:"counter"`        // address of the quota counter; empty: the platform's, if set
 	Gateways      int      `toml:"gateways"`
-	Service       Issuer   `toml:"service"` // the only issuer, or else:
+	Service       Issuer   `toml:"service"` // the only issuer; otherwise use issuer
 	Issuers       []Issuer `toml:"issuer"`
 	Clients       []Client `toml:"client"`
 	Plans         []Plan   `toml:"plan"`
 	Bearer        Bearer   `toml:"bearer"`
-	Callers       struct { // clients that ask by an access token of their own
-		Plan  string `toml:"plan"`  // under which those tokens are asked about; empty: nobody may
-		Scope string `toml:"scope"` // that they must have; empty: any
+	Callers       struct { // clients that authenticate with an access token
+		Plan  string `toml:"plan"`  // plan for introspecting those tokens; empty: not allowed
+		Scope string `toml:"scope"` // required scope; empty: any
 	} `toml:"callers"`
-	URL       string    `toml:"url"`       // this front's own name, as its clients know it
-	Audiences []string  `toml:"audiences"` // beside it, that clients' assertions may name
-	Signing   []Key     `toml:"signing"`   // keys of signed answers: the first signs, all are told
+	URL       string    `toml:"url"`       // this front's URL, as its clients use it
+	Audiences []string  `toml:"audiences"` // accepted in clients' assertions besides URL
+	Signing   []Key     `toml:"signing"`   // keys for signed responses: the first signs, all are published
 	Resource  *Resource `toml:"resource"`
 }
 
-// Bearer sets up checks of the platform's requests.
+// Bearer configures token checks of the platform's requests.
 type Bearer struct {
-	Plan    string        `toml:"plan"` // under which they are counted; empty: none are made
-	Base    string        `toml:"base"` // of the URLs that DPoP proofs name; empty: as asked
+	Plan    string        `toml:"plan"` // plan that counts them; empty: tokens are not checked
+	Base    string        `toml:"base"` // base of the URLs in DPoP proofs; empty: the request's
 	Others  Requirement   `toml:"others"`
 	Classes []Requirement `toml:"class"`
 }
 
-// Requirement is what the tokens of a class of requests must have.
+// Requirement configures what tokens must satisfy for a class of requests.
 type Requirement struct {
-	Name      string   `toml:"name"` // of the class
+	Name      string   `toml:"name"` // name of the class
 	Scopes    []string `toml:"scopes"`
 	Audiences []string `toml:"audiences"`
 	Issuers   []string `toml:"issuers"`
@@ -68,19 +68,19 @@
 	Realm     string   `toml:"realm"`
 }
 
-// Rules are the requirement as package bearer has it.
+// Rules converts the requirement to the type of package bearer.
 func (r Requirement) Rules() bearer.Requirement {
 	return bearer.Requirement{Scopes: r.Scopes, Audiences: r.Audiences, Issuers: r.Issuers, Bound: r.Bound,
 		DPoP: r.DPoP, ACR: r.ACR, MaxAge: time.Duration(r.MaxAge), Realm: r.Realm}
 }
 
-// check names what is wrong with the checks.
+// check validates the settings. at is the prefix of their keys in the file.
 func (b *Bearer) check(f *faults, at string) {
 	seen := map[string]bool{}
 	for i, c := range b.Classes {
 		key := fmt.Sprintf("%sbearer.class[%d]", at, i)
 		if c.Name == "" || seen[c.Name] {
-			f.add(key+".name", "%q is empty or another class's", c.Name)
+			f.add(key+".name", "%q is empty or used by another class", c.Name)
 		}
 		seen[c.Name] = true
 	}
@@ -89,7 +89,7 @@
 		if strings.ContainsAny(strings.Join(texts, ""), "\"\\\r\n") {
 			f.add(
 				fmt.Sprintf("%sbearer.class[%d]", at, i-1),
-				"quotes, backslashes and line ends can't be told to clients",
+				"scopes, acr and realm must not contain quotes, backslashes or line breaks",
 			)
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// Resource is what is told of the resource that bearer tokens are for (RFC 9728).
+// Resource is the published metadata of the protected resource (RFC 9728).
 type Resource struct {
 	Resource string   `toml:"resource"`
 	Servers  []string `toml:"authorization_servers"`
@@ -107,62 +107,62 @@
 	Docs     string   `toml:"documentation"`
 }
 
-// TLS names files of one side of a connection.
+// TLS configures the certificate files of one side of a connection.
 type TLS struct {
-	Cert string `toml:"cert_file"` // PEM, this program's own, with those between it and the root
+	Cert string `toml:"cert_file"` // PEM, own certificate with its intermediates
 	Key  string `toml:"key_file"`  // PEM
-	CA   string `toml:"ca_file"`   // PEM, the roots that the other side's must come from; empty: the system's
-	Name string `toml:"name"`      // what the other side's certificate must name; empty: the host asked
+	CA   string `toml:"ca_file"`   // PEM, roots to verify the peer; empty: the system's
+	Name string `toml:"name"`      // name that the peer's certificate must have; empty: the requested host
 }
 
-// Issuer sets up one issuer's service.
+// Issuer configures the introspection service of one issuer.
 type Issuer struct {
 	Name      string   `toml:"name"`
-	Iss       string   `toml:"iss"`      // of its JWTs
-	Prefixes  []string `toml:"prefixes"` // of its tokens
-	Rest      bool     `toml:"rest"`     // it is asked about the rest, as one with neither is
+	Iss       string   `toml:"iss"`      // iss claim of its JWTs
+	Prefixes  []string `toml:"prefixes"` // prefixes of its tokens
+	Rest      bool     `toml:"rest"`     // gets unmatched tokens, as one without iss and prefixes does
 	Servers   []string `toml:"servers"`
-	Insecure  bool     `toml:"insecure"` // plain text, to loopback addresses
+	Insecure  bool     `toml:"insecure"` // plain text; only to loopback addresses
 	TLS       TLS      `toml:"tls"`
 	Path      string   `toml:"path"`
-	Host      string   `toml:"host"`       // for the Host header; empty: the server's address
-	Auth      string   `toml:"auth"`       // how this program shows who asks; empty: client_secret_basic
-	ClientID  string   `toml:"client_id"`  // what it is known as there; empty: it asks without credentials
-	SecretEnv string   `toml:"secret_env"` // the variable that holds its secret, or its token
+	Host      string   `toml:"host"`       // value of the Host header; empty: the server's address
+	Auth      string   `toml:"auth"`       // how this process authenticates; empty: client_secret_basic
+	ClientID  string   `toml:"client_id"`  // client ID at the issuer; empty: no credentials are sent
+	SecretEnv string   `toml:"secret_env"` // environment variable with the secret or token
 	Key       Key      `toml:"key"`        // private_key_jwt
-	Audience  string   `toml:"audience"`   // of its assertions; empty: the URL that is asked
+	Audience  string   `toml:"audience"`   // audience of assertions; empty: the requested URL
 	KeepAlive Duration `toml:"keep_alive"`
-	Limit     Duration `toml:"limit"`   // for one question over all its attempts
-	Attempt   Duration `toml:"attempt"` // for one attempt; 0: the question's limit
-	Silence   Duration `toml:"silence"` // without an answer that count as a failure
-	MostOut   int      `toml:"most_out"`
-	Breaker   *bool    `toml:"breaker"` // whether it is left alone while it fails; true where not said
+	Limit     Duration `toml:"limit"`    // time limit for a request with all its attempts
+	Attempt   Duration `toml:"attempt"`  // time limit for one attempt; 0: that of the request
+	Silence   Duration `toml:"silence"`  // time without a response that counts as a failure
+	MostOut   int      `toml:"most_out"` // maximum requests in flight
+	Breaker   *bool    `toml:"breaker"`  // whether the circuit breaker is enabled; default true
 	Failures  int      `toml:"failures"`
 	FirstRest Duration `toml:"first_rest"`
 	MostRest  Duration `toml:"most_rest"`
 	Fallback  struct {
-		For       Duration `toml:"for"`       // how long its JWTs are checked here meanwhile; 0: not at all
-		Path      string   `toml:"jwks_path"` // of its public keys, at the first of its servers
-		Audiences []string `toml:"audiences"` // one of them must be in the token
-		Every     Duration `toml:"every"`     // between readings of the keys
+		For       Duration `toml:"for"`       // how long to verify JWTs locally in an outage; 0: disabled
+		Path      string   `toml:"jwks_path"` // path of its JWKS, at its first server
+		Audiences []string `toml:"audiences"` // a token must have one of them
+		Every     Duration `toml:"every"`     // interval of fetching the keys
 	} `toml:"fallback"`
 
 	Secret string `toml:"-"`
 }
 
-// Plan is a quota for each client, or for each customer whose bearer tokens are checked.
+// Plan is a quota per client, or per customer whose bearer tokens are checked.
 type Plan struct {
 	Name  string  `toml:"name"`
-	Rate  float64 `toml:"rate"`  // questions a second
-	Burst float64 `toml:"burst"` // questions at once
+	Rate  float64 `toml:"rate"`  // requests per second
+	Burst float64 `toml:"burst"` // maximum burst, in requests
 }
 
-// On reports whether introspection is set up at all.
+// On reports whether the introspection front or token checks are enabled.
 func (n *Introspection) On() bool { return n.Listen != "" || n.Bearer.Plan != "" }
 
-// one makes the service that a file names the only issuer, and fills in what issuers leave out.
-func (n *Introspection) one(service bool) {
-	if service {
+// resolveIssuers adds the service to the issuers if the file defines one, and sets the issuers' defaults.
+func (n *Introspection) resolveIssuers(hasService bool) {
+	if hasService {
 		n.Service.Name = cmp.Or(n.Service.Name, "service")
 		n.Issuers = append([]Issuer{n.Service}, n.Issuers...)
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-// check names what is wrong, and reads secrets from the environment.
+// check validates the settings, and reads secrets from the environment.
 func (n *Introspection) check(f *faults, getenv func(string) string) {
 	if !n.On() {
 		return
@@ -187,24 +187,24 @@
 	for i, p := range n.Plans {
 		key := fmt.Sprintf("%splan[%d]", at, i)
 		if p.Name == "" || plans[p.Name] {
-			f.add(key+".name", "%q is empty or another plan's", p.Name)
+			f.add(key+".name", "%q is empty or used by another plan", p.Name)
 		}
 		plans[p.Name] = true
 		if !(p.Rate >= 0 && p.Rate < 1e9) || !(p.Burst >= 0 && p.Burst < 1e9) || p.Rate > 0 && p.Burst < 1 {
-			f.add(key, "rate and burst must not be negative, and a rate needs a burst of 1 or more")
+			f.add(key, "rate and burst must not be negative, and a rate requires a burst of at least 1")
 		}
 	}
 	if n.Bearer.Plan != "" && !plans[n.Bearer.Plan] {
 		f.add(at+"bearer.plan", "no plan %q", n.Bearer.Plan)
 	}
 	if n.Aim == 0 || n.Patience == 0 {
-		f.add(at+"aim", "aim and patience must be above 0")
+		f.add(at+"aim", "aim and patience must be greater than 0")
 	}
 	if n.Gateways < 1 || n.Gateways > 1000 {
 		f.add(at+"gateways", "%d, want 1 to 1000", n.Gateways)
 	}
 	if !strings.HasPrefix(n.Path, "/") {
-		f.add(at+"path", "%q does not begin with /", n.Path)
+		f.add(at+"path", "%q does not start with /", n.Path)
 	}
 	if n.CacheMost < 0 || n.CacheMost > 1<<20 {
 		f.add(at+"cache_most", "%d, want 0 to 1048576", n.CacheMost)
@@ -224,24 +224,24 @@
 	n.checkClients(f, at, plans, getenv)
 }
 
-// checkSigning reads the keys that sign answers.
+// checkSigning validates the URL, and loads the keys that sign responses.
 func (n *Introspection) checkSigning(f *faults, at string) {
 	if n.URL != "" {
 		u, err := url.Parse(n.URL)
 		if err != nil || u.Host == "" || u.RawQuery != "" || u.Fragment != "" ||
 			u.Scheme != "https" && !(n.Insecure && u.Scheme == "http") {
-			f.add(at+"url", "%q: want an https URL without query and fragment", n.URL)
+			f.add(at+"url", "%q: want an https URL without query or fragment", n.URL)
 		}
 	}
 	if len(n.Signing) > 0 && n.URL == "" {
-		f.add(at+"url", "it is needed to sign answers")
+		f.add(at+"url", "required to sign responses")
 	}
 	seen := map[string]bool{}
 	for i := range n.Signing {
 		k := &n.Signing[i]
 		key := fmt.Sprintf("%ssigning[%d]", at, i)
 		if k.ID == "" || seen[k.ID] {
-			f.add(key+".id", "%q is empty or another key's", k.ID)
+			f.add(key+".id", "%q is empty or used by another key", k.ID)
 		}
 		seen[k.ID] = true
 		if err := k.read(); err != nil {
@@ -255,31 +255,33 @@
 	}
 }
 
-// checkListen sees to it that questions, which hold tokens and secrets, don't go over a network in plain text
+// checkListen checks that requests, which contain tokens and secrets, do not cross a network in plain text
 // (RFC 7662, 4).
 func (n *Introspection) checkListen(f *faults, at string) {
 	switch {
 	case n.Insecure && (n.TLS != TLS{}):
-		f.add(at+"insecure", "there are tls files: say one or the other")
+		f.add(at+"insecure", "insecure excludes the tls settings; remove one of them")
 	case n.Insecure && !loopback(n.Listen):
-		f.add(at+"insecure", "%s is not a loopback address: plain text would show tokens to the network", n.Listen)
+		f.add(at+"insecure", "%s is not a loopback address: plain text would expose tokens on the network",
+			n.Listen)
 	case !n.Insecure && (n.TLS.Cert == "" || n.TLS.Key == ""):
-		f.add(at+"tls", "cert_file and key_file are needed, or insecure = true on a loopback address")
+		f.add(at+"tls", "cert_file and key_file are required unless insecure = true on a loopback address")
 	}
 }
 
+// checkIssuers validates all issuers. at is the prefix of their keys in the file.
 func (n *Introspection) checkIssuers(f *faults, at string, getenv func(string) string) {
 	if len(n.Issuers) == 0 {
-		f.add(at+"issuer", "there is none: nobody to ask")
+		f.add(at+"issuer", "at least one issuer is required")
 	}
-	if len(n.Issuers) > mostIssuers {
-		f.add(at+"issuer", "%d issuers, %d at most", len(n.Issuers), mostIssuers)
+	if len(n.Issuers) > maxIssuers {
+		f.add(at+"issuer", "%d issuers, want at most %d", len(n.Issuers), maxIssuers)
 	}
 	for i := range n.Issuers {
 		s := &n.Issuers[i]
 		key := fmt.Sprintf("%sissuer[%s]", at, s.Name)
 		if len(s.Servers) == 0 {
-			f.add(key+".servers", "there is none: nobody to ask")
+			f.add(key+".servers", "at least one server is required")
 		}
 		for _, addr := range s.Servers {
 			if !hostPort(addr) {
@@ -288,24 +290,25 @@
 		}
 		switch {
 		case s.Insecure && (s.TLS != TLS{}):
-			f.add(key+".insecure", "there are tls settings: say one or the other")
+			f.add(key+".insecure", "insecure excludes the tls settings; remove one of them")
 		case s.Insecure && !allLoopback(s.Servers):
-			f.add(key+".insecure", "not all servers have loopback addresses: plain text would show tokens")
+			f.add(key+".insecure", "not all servers have loopback addresses: plain text would expose tokens")
 		case (s.TLS.Cert == "") != (s.TLS.Key == ""):
-			f.add(key+".tls", "cert_file and key_file go together")
+			f.add(key+".tls", "cert_file and key_file must be set together")
 		}
 		if !strings.HasPrefix(s.Path, "/") || strings.ContainsAny(s.Path+s.Host, " \r\n") {
-			f.add(key+".path", "%q with host %q: want a path that begins with /, and no blanks", s.Path, s.Host)
+			f.add(key+".path", "%q with host %q: want a path that starts with /, and no space or line break in either",
+				s.Path, s.Host)
 		}
 		if err := s.Options().Validate(); err != nil {
 			f.add(key, "%w", err)
 		}
 		s.checkAuth(f, key, getenv)
 		if b := s.Fallback; b.For > 0 && (s.Iss == "" || !strings.HasPrefix(b.Path, "/") || len(b.Audiences) == 0) {
-			f.add(key+".fallback", "it needs iss, jwks_path and audiences")
+			f.add(key+".fallback", "iss, jwks_path and audiences are required")
 		}
-		if time.Duration(s.Fallback.For) > mostFallback {
-			f.add(key+".fallback.for", "%v at most: revocations are not seen meanwhile", mostFallback)
+		if time.Duration(s.Fallback.For) > maxFallback {
+			f.add(key+".fallback.for", "want at most %v: revocations are not seen during a fallback", maxFallback)
 		}
 	}
 	if _, err := n.Table(); err != nil {
@@ -313,7 +316,7 @@
 	}
 }
 
-// checkAuth reads what shows a service who asks.
+// checkAuth validates how this process authenticates at the issuer, and loads the credentials.
 func (s *Issuer) checkAuth(f *faults, key string, getenv func(string) string) {
 	if s.SecretEnv != "" {
 		if s.Secret = getenv(s.SecretEnv); s.Secret == "" {
@@ -321,17 +324,17 @@
 		}
 	}
 	if s.Auth != "" && s.Auth != "bearer" && s.ClientID == "" {
-		f.add(key+".client_id", "%s needs it", s.Auth)
+		f.add(key+".client_id", "required for %s", s.Auth)
 	}
 	switch s.Auth {
 	case "", "client_secret_basic", "client_secret_post":
 	case "bearer":
 		if s.SecretEnv == "" {
-			f.add(key+".secret_env", "bearer needs a token from it")
+			f.add(key+".secret_env", "required for bearer: the variable contains the token")
 		}
 	case "client_secret_jwt":
-		if len(s.Secret) < sharedKeyLeast {
-			f.add(key+".secret_env", "client_secret_jwt needs a secret of %d bytes or more", sharedKeyLeast)
+		if len(s.Secret) < minSharedKeyBytes {
+			f.add(key+".secret_env", "client_secret_jwt requires a secret of at least %d bytes", minSharedKeyBytes)
 		}
 	case "private_key_jwt":
 		if err := s.Key.read(); err != nil {
@@ -339,20 +342,20 @@
 		}
 	case "tls_client_auth", "self_signed_tls_client_auth":
 		if s.TLS.Cert == "" {
-			f.add(key+".tls.cert_file", "%s needs it", s.Auth)
+			f.add(key+".tls.cert_file", "required for %s", s.Auth)
 		}
 	default:
 		f.add(key+".auth", "unknown method %q", s.Auth)
 	}
 }
 
-// mostFallback bounds how long tokens are believed by their signatures alone.
-const mostFallback = time.Hour
+// maxFallback limits how long tokens are accepted by their signatures only, without asking the issuer.
+const maxFallback = time.Hour
 
-// mostIssuers bounds the cores that run: each issuer has two.
-const mostIssuers = 64
+// maxIssuers limits the number of running cores: each issuer has two.
+const maxIssuers = 64
 
-// Table chooses issuers by their tokens.
+// Table returns the table that selects the issuer of a token.
 func (n *Introspection) Table() (*issuers.Table, error) {
 	rules := make([]issuers.Rule, len(n.Issuers))
 	for i, s := range n.Issuers {
@@ -361,22 +364,23 @@
 	return issuers.New(rules)
 }
 
-// Options are those of the issuer's breaker.
+// Options returns the options of the issuer's circuit breaker.
 func (s *Issuer) Options() breaker.Options {
-	o := breaker.Options{MaxInFlight: s.MostOut, Failures: s.Failures, InitialBackoff: time.Duration(s.FirstRest),
-		MaxBackoff: time.Duration(s.MostRest)}
+	o := breaker.Options{MaxInFlight: s.MostOut, Failures: s.Failures,
+		InitialBackoff: time.Duration(s.FirstRest),
+		MaxBackoff:     time.Duration(s.MostRest)}
 	o.NeverOpen = s.Breaker != nil && !*s.Breaker
 	return o
 }
 
-// Freshness are the bounds on using answers again.
+// Freshness returns the limits on reusing cached responses.
 func (n *Introspection) Freshness() freshness.Options {
 	return freshness.Options{Positive: time.Duration(n.CacheFor), Negative: time.Duration(n.CacheInactive),
 		Most: n.CacheMost}
 }
 
-// Asks are the settings of an askers' gate, one of several that the issuers have. The class and the lanes are
-// the front's own.
+// Asks returns the settings of the gate that admits clients' requests, one of several as each issuer has its
+// own. The front supplies the class and the number of gateways.
 func (n *Introspection) Asks(class choice.Class, gateways int) choice.Settings {
 	s := n.settings(class)
 	s.Gateways, s.Counter = gateways, true
@@ -386,13 +390,14 @@
 	return s
 }
 
-// Questions are the settings of the gate that puts questions to an issuer's servers.
+// Questions returns the settings of the gate that sends requests to an issuer's servers.
 func (n *Introspection) Questions(class choice.Class, plan choice.Plan) choice.Settings {
 	s := n.settings(class)
 	s.Gateways, s.MaxAttempts, s.Plans = 1, 3, []choice.Plan{plan}
 	return s
 }
 
+// settings returns what the settings of both gates have in common.
 func (n *Introspection) settings(class choice.Class) choice.Settings {
 	return choice.Settings{Classes: []choice.Class{class}, MaxUnits: 1, CounterTimeout: 50 * time.Millisecond,
 		MaxAttempts: 1, DialTimeout: 250 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Cancel: true,
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -20,19 +20,19 @@
 type Key struct {
 	File string `toml:"file"` // PEM, PKCS #8
 	ID   string `toml:"id"`   // kid
-	Alg  string `toml:"alg"`  // empty: the usual one of its kind
+	Alg  string `toml:"alg"`  // signature algorithm; empty: the default for the type of key
 
 	JWK jose.JSONWebKey `toml:"-"`
 }
 
-// What may be wrong with a key.
+// Errors of private keys.
 var (
-	errNoPEM   = errors.New("no PEM block in it")
-	errKind    = errors.New("a kind of key that is not used here")
-	errWeakRSA = errors.New("an RSA key of less than 2048 bits")
+	errNoPEM   = errors.New("the file has no PEM block")
+	errKeyType = errors.New("unsupported type of key")
+	errWeakRSA = errors.New("the RSA key has fewer than 2048 bits")
 )
 
-// read reads the key.
+// read loads the private key from the file and stores it in JWK.
 func (k *Key) read() error {
 	text, err := os.ReadFile(k.File)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
-	alg, err := usual(private)
+	alg, err := defaultAlgorithm(private)
 	if err != nil {
 		return fmt.Errorf("%s: %w", k.File, err)
 	}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// usual is the signature algorithm that goes with a kind of key.
-func usual(key crypto.PrivateKey) (string, error) {
+// defaultAlgorithm returns the signature algorithm for a type of key.
+func defaultAlgorithm(key crypto.PrivateKey) (string, error) {
 	switch key := key.(type) {
 	case *ecdsa.PrivateKey:
 		switch key.Curve.Params().BitSize {
@@ -77,10 +77,10 @@
 	case ed25519.PrivateKey:
 		return string(jose.EdDSA), nil
 	}
-	return "", errKind
+	return "", errKeyType
 }
 
-// readKeySet reads a file with a JWKS of public keys.
+// readKeySet reads a JWKS file of public keys.
 func readKeySet(path string) ([]jose.JSONWebKey, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -12,7 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is an operator's file: what the platform does not tell. Without one, all of this is off.
+// Operator is the operator's file: settings that are not part of the platform's configuration. Without a
+// file, everything in it is disabled.
 type Operator struct {
 	Introspection Introspection `toml:"introspection"`
 	Agent         Agent         `toml:"agent"`
@@ -20,32 +21,33 @@
 	Fleet         Fleet         `toml:"fleet"`
 }
 
-// Agent sets up the agent check and HTTP health for balancers. An empty address leaves either off.
+// Agent configures the agent check and the HTTP health checks for load balancers. An empty address disables
+// the one that it belongs to.
 type Agent struct {
 	Listen string `toml:"listen"` // for agent-check lines
 	Health string `toml:"health"` // for GET /health and GET /ready
 }
 
-// Duration is a time.Duration written as in "1.5s".
+// Duration is a time.Duration that is written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration.
+// UnmarshalText parses a duration. Negative durations are an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err == nil && v < 0 {
-		err = fmt.Errorf("%s: a time must not be negative", text)
+		err = fmt.Errorf("%s: a duration must not be negative", text)
 	}
 	*d = Duration(v)
 	return err
 }
 
-// Faults are all that is wrong with a file, each with its key.
+// Faults is the error for an invalid file. It lists every fault with its key.
 type Faults struct {
 	File string
 	All  []error
 }
 
-// Error tells all faults in one line.
+// Error returns all faults on one line.
 func (f *Faults) Error() string {
 	texts := make([]string, len(f.All))
 	for i, err := range f.All {
@@ -54,17 +56,19 @@
 	return fmt.Sprintf("operator's file %s: %s", f.File, strings.Join(texts, "; "))
 }
 
-// Unwrap returns the faults one by one.
+// Unwrap returns the individual faults.
 func (f *Faults) Unwrap() []error { return f.All }
 
-// faults gathers what is wrong, by key.
+// faults collects validation errors.
 type faults struct{ all []error }
 
+// add records an error for a key.
 func (f *faults) add(key, format string, args ...any) {
 	f.all = append(f.all, fmt.Errorf("%s: %w", key, fmt.Errorf(format, args...)))
 }
 
-// ReadOperator reads an operator's file. The error is a *Faults that names each fault with its key.
+// ReadOperator reads and validates an operator's file. The error is a *Faults that lists each fault with its
+// key.
 func ReadOperator(path string, getenv func(string) string) (*Operator, error) {
 	o := &Operator{}
 	n := &o.Introspection
@@ -80,7 +84,7 @@
 	for _, key := range meta.Undecoded() {
 		f.add(key.String(), "unknown key")
 	}
-	n.one(meta.IsDefined("introspection", "service"))
+	n.resolveIssuers(meta.IsDefined("introspection", "service"))
 	n.check(f, getenv)
 	o.Gateway.check(f, n.Bearer.Plan != "")
 	o.Fleet.check(f, getenv)
@@ -90,11 +94,11 @@
 	return o, nil
 }
 
-// decodeHash reads a SHA-256 in hex.
+// decodeHash decodes a SHA-256 in hex into a slice of the hash's length.
 func decodeHash(text string, into []byte) error {
 	sum, err := hex.DecodeString(text)
 	if err == nil && len(sum) != len(into) {
-		err = errors.New("not of 32 bytes")
+		err = errors.New("the length is not 32 bytes")
 	}
 	if err != nil {
 		return fmt.Errorf("want a SHA-256 in hex: %w", err)
@@ -103,7 +107,7 @@
 	return nil
 }
 
-// loopback reports whether an address is one that only this machine reaches.
+// loopback reports whether the host of an address is a loopback address.
 func loopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -113,12 +117,13 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// hostPort reports whether an address names a host and a port.
+// hostPort reports whether an address has both a host and a port.
 func hostPort(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	return err == nil && host != "" && port != ""
 }
 
+// allLoopback reports whether all addresses are loopback addresses.
 func allLoopback(addrs []string) bool {
 	return !slices.ContainsFunc(addrs, func(a string) bool { return !loopback(a) })
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,5 @@
-// Package config reads what an ingress is told at its start: the platform's JSON, the settings object that
-// the platform shares with the simulator, and an operator's file.
+// Package config reads the configuration of an ingress: the platform's JSON, the settings object that the
+// platform shares with the simulator, and the operator's file.
 package config
 
 import (
@@ -15,7 +15,7 @@
 	"dunespoke/choice"
 )
 
-// Limits are what the platform grants an ingress.
+// Limits are the resource limits that the platform sets for an ingress.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
@@ -30,31 +30,31 @@
 	Seed      Seed            `json:"seed"`
 	Limits    Limits          `json:"limits"`
 	Counter   string          `json:"counter"`
-	Mgmt      string          `json:"mgmt"`  // where operators call; none without it
-	Known     json.RawMessage `json:"known"` // in discovery's form
+	Mgmt      string          `json:"mgmt"`  // address of the management endpoint; empty: none
+	Known     json.RawMessage `json:"known"` // initially known servers, in the format of the discovery service
 	Raw       json.RawMessage `json:"settings"`
 
 	Settings  choice.Settings `json:"-"`
-	Reports   []string        `json:"-"` // fields of load reports in answers; none: they hold none
-	KeepAlive time.Duration   `json:"-"` // for which app servers keep idle connections
+	Reports   []string        `json:"-"` // fields of load reports in responses; empty: responses have none
+	KeepAlive time.Duration   `json:"-"` // how long app servers keep idle connections open
 }
 
-// Seed is a number for random choices, written as up to 16 hex digits.
+// Seed is a random seed, written as up to 16 hex digits.
 type Seed uint64
 
-// UnmarshalText reads a seed.
+// UnmarshalText parses a seed.
 func (s *Seed) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	*s = Seed(n)
 	return err
 }
 
-// ReadPlatform reads the file that LB_CONFIG names. LB_NAME, LB_LISTEN and LB_DISCOVERY stand in for what the
-// file leaves out.
+// ReadPlatform reads the file that the variable LB_CONFIG names. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT
+// provide the values that the file omits.
 func ReadPlatform(getenv func(string) string) (*Platform, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
-		return nil, errors.New("LB_CONFIG is not set: it names the ingress's configuration file")
+		return nil, errors.New("LB_CONFIG is not set: it must name the ingress's configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return p, nil
 }
 
-// Kept names what a newer configuration says otherwise and only a restart would take.
+// Kept returns the keys that differ in a newer configuration but only take effect after a restart.
 func (p *Platform) Kept(newer *Platform) []string {
 	var kept []string
 	if newer.Name != p.Name {
@@ -85,6 +85,7 @@
 	return kept
 }
 
+// decodePlatform decodes and validates the platform's configuration, and sets defaults.
 func decodePlatform(text []byte, getenv func(string) string) (*Platform, error) {
 	p := &Platform{}
 	if err := json.Unmarshal(text, p); err != nil {
@@ -98,15 +99,15 @@
 	}
 	switch {
 	case p.Listen == "":
-		return nil, errors.New("listen is missing: the address for clients")
+		return nil, errors.New("listen is missing: the address to accept clients on")
 	case p.Discovery == "":
-		return nil, errors.New("discovery is missing: the address of the list of servers")
+		return nil, errors.New("discovery is missing: the address of the server list")
 	case len(p.Raw) == 0:
 		return nil, errors.New("settings are missing")
 	case p.Limits.Sockets != 0 && p.Limits.Sockets < 64:
 		return nil, fmt.Errorf("limits.sockets: %d, want 64 or more", p.Limits.Sockets)
 	case p.Limits.MemoryMB < 0 || p.Limits.Cores < 0:
-		return nil, errors.New("limits: figures must not be negative")
+		return nil, errors.New("limits: memory_mb and cores must not be negative")
 	}
 	for key, addr := range map[string]string{"discovery": p.Discovery, "counter": p.Counter, "mgmt": p.Mgmt} {
 		if _, _, err := net.SplitHostPort(addr); err != nil && addr != "" {
@@ -120,14 +121,14 @@
 	if err := p.Settings.Validate(); err != nil {
 		return nil, err
 	}
-	var w wireSettings
-	if err := json.Unmarshal(p.Raw, &w); err != nil {
+	var wire wireSettings
+	if err := json.Unmarshal(p.Raw, &wire); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if w.Report.Via == "inline" {
-		p.Reports = w.Report.Fields
+	if wire.Report.Via == "inline" {
+		p.Reports = wire.Report.Fields
 	}
-	p.KeepAlive = dur(w.Limits.KeepAlive)
+	p.KeepAlive = milliseconds(wire.Limits.KeepAlive)
 	if p.KeepAlive <= 0 {
 		p.KeepAlive = 10 * time.Second
 	}
@@ -135,7 +136,7 @@
 		p.Settings.DialTimeout = 250 * time.Millisecond
 	}
 	if p.Settings.Counter && p.Counter == "" {
-		return nil, errors.New("counter is missing: the settings use one")
+		return nil, errors.New("counter is missing: the settings require a quota counter")
 	}
 	return p, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 	"dunespoke/choice"
 )
 
-// wireSettings is the part of the start-up settings that the gate uses.
+// wireSettings is the part of the settings object that the ingress uses. Durations are in milliseconds.
 type wireSettings struct {
 	Az      string `json:"az"`
 	N       int    `json:"n_instances"`
@@ -63,57 +63,58 @@
 	} `json:"invariants"`
 }
 
-func dur(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// milliseconds converts a number of milliseconds to a duration.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// DecodeSettings reads the settings object that the simulator and the platform share; unknown keys are
-// skipped, needed ones are not guessed.
+// DecodeSettings decodes the settings object that the simulator and the platform share. Unknown keys are
+// ignored; a missing required key is an error.
 func DecodeSettings(text []byte) (choice.Settings, error) {
 	var keys map[string]json.RawMessage
-	var w wireSettings
+	var wire wireSettings
 	if err := json.Unmarshal(text, &keys); err != nil {
 		return choice.Settings{}, err
 	}
-	needed := []string{"az", "n_instances", "profiles", "tariffs", "family_info", "limits", "invariants"}
-	for _, key := range needed {
+	required := []string{"az", "n_instances", "profiles", "tariffs", "family_info", "limits", "invariants"}
+	for _, key := range required {
 		if keys[key] == nil {
 			return choice.Settings{}, fmt.Errorf("setting %s is missing", key)
 		}
 	}
-	if err := json.Unmarshal(text, &w); err != nil {
+	if err := json.Unmarshal(text, &wire); err != nil {
 		return choice.Settings{}, err
 	}
 	s := choice.Settings{
-		Zone: w.Az, Gateways: w.N, MaxUnits: w.Info.UnitsTop,
-		Counter: w.Info.Counter, CounterTimeout: dur(w.Info.CountLimit),
-		MaxAttempts: w.Limits.MaxAttempts, DialTimeout: dur(w.Limits.DialTimeout),
-		MaxRetryAfter: dur(w.Limits.MaxRetryAfter), Cancel: w.Limits.Cancelling,
-		CrossZoneCost: w.Prices.CrossZone,
-		ColdCapacity:  w.Invariants.StartCapacity, ColdTime: dur(w.Invariants.Cold),
-		FallMultiple: w.Invariants.FallMultiple, FallTime: dur(w.Invariants.Fall),
+		Zone: wire.Az, Gateways: wire.N, MaxUnits: wire.Info.UnitsTop,
+		Counter: wire.Info.Counter, CounterTimeout: milliseconds(wire.Info.CountLimit),
+		MaxAttempts: wire.Limits.MaxAttempts, DialTimeout: milliseconds(wire.Limits.DialTimeout),
+		MaxRetryAfter: milliseconds(wire.Limits.MaxRetryAfter), Cancel: wire.Limits.Cancelling,
+		CrossZoneCost: wire.Prices.CrossZone,
+		ColdCapacity:  wire.Invariants.StartCapacity, ColdTime: milliseconds(wire.Invariants.Cold),
+		FallMultiple: wire.Invariants.FallMultiple, FallTime: milliseconds(wire.Invariants.Fall),
 		QueueField: -1,
 	}
-	if w.Me != nil {
-		s.Number = *w.Me + 1
+	if wire.Me != nil {
+		s.Number = *wire.Me + 1
 	}
-	if w.Report.Via == "inline" {
-		s.QueueField = slices.Index(w.Report.Fields, "backlog")
+	if wire.Report.Via == "inline" {
+		s.QueueField = slices.Index(wire.Report.Fields, "backlog")
 	}
-	for _, c := range w.Classes {
-		repeat, ok1 := map[string]choice.Repeat{
+	for _, c := range wire.Classes {
+		repeat, repeatKnown := map[string]choice.Repeat{
 			"free": choice.Safe, "guarded": choice.Keyed, "single_shot": choice.Unsafe}[c.Repeat]
-		group, ok2 := map[string]choice.Group{
+		group, groupKnown := map[string]choice.Group{
 			"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell}[c.Group]
-		if !ok1 {
-			return s, fmt.Errorf("profiles: %s: unknown repeat %.40q", c.Name, c.Repeat)
+		if !repeatKnown {
+			return s, fmt.Errorf("profiles: %s: unknown repeat value %.40q", c.Name, c.Repeat)
 		}
-		if !ok2 {
-			return s, fmt.Errorf("profiles: %s: unknown group %.40q", c.Name, c.Group)
+		if !groupKnown {
+			return s, fmt.Errorf("profiles: %s: unknown group value %.40q", c.Name, c.Group)
 		}
 		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Repeat: repeat, Group: group,
-			Window: dur(c.Window), Aim: dur(c.Aim), Deadline: dur(c.GiveUp),
+			Window: milliseconds(c.Window), Aim: milliseconds(c.Aim), Deadline: milliseconds(c.GiveUp),
 			Worth: c.Worth, LateShare: c.LateShare})
 	}
-	for _, p := range w.Plans {
+	for _, p := range wire.Plans {
 		s.Plans = append(s.Plans, choice.Plan{Name: p.Name, Rate: p.Refill, Burst: p.MostAtOnce, Open: p.Parallel,
 			CeilingRate: p.CapRate, CeilingBurst: p.HardBurst, CeilingSlack: p.Slack,
 			Price: p.Price, BeyondEarns: p.BeyondEarns, ExcessCost: p.ExcessCost})
