--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -102,8 +102,8 @@
 		{`customer = "address"`, `customer = "certificate"`}:      "requires ca_file in gateway.tls",
 		{`customer = "address"`, `customer = "name"`}:             "want address, certificate",
 		{`path = "/up"`, `path = "/down"` + "\n" + `long = true`}: "",
-		{`methods = ["PUT", "POST"]`, `methods = ["put"]`}:        "a method is capital letters",
-		{`path = "/down"`, `path = "/{rest...}"`}:                 "can't be told from route 1",
+		{`methods = ["PUT", "POST"]`, `methods = ["put"]`}:        "a method must be in capital letters",
+		{`path = "/down"`, `path = "/{rest...}"`}:                 "conflicts with route 1",
 		{`units = 5.0`, "replay = 100000"}:                        "replay",
 		{`units = 5.0`, "token = true"}:                           "tokens cannot be checked",
 	})
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,12 +1,12 @@
-// Package routes decides which route a request takes, by its host, path and method. It knows no clock and no
-// wire, and does not change once it is made.
+// Package routes selects the route of a request by its host, path and method. It uses neither a clock nor the
+// network, and a table is immutable once created.
 //
-// A host is exact, "*.example" for one or more labels before it, or empty for any. A path is a list of
-// segments, each of which is literal, "{name}" for any one segment, or, at the end, "{name...}" for all that
-// follows, also nothing. Of the routes that fit, the one with the more specific host wins; then, segment by
-// segment from the left, a literal beats a name, and a name beats the rest; then one that names the method
-// beats one that takes any. Two routes that can't be told apart so are an error when the table is made,
-// never a matter of their order.
+// A host is exact, "*.example" for one or more labels before ".example", or empty for any host. A path is a
+// list of segments, each of which is literal, "{name}" for any one segment, or, at the end, "{name...}" for
+// the remaining path, which may be empty. Of the routes that match, the one with the more specific host wins;
+// then, segment by segment from the left, a literal takes precedence over a variable, and a variable over the
+// remaining path; then a route that lists the method takes precedence over one for any method. Two routes
+// that these rules cannot order are an error when the table is created; the order in the list never matters.
 package routes
 
 import (
@@ -17,110 +17,111 @@
 	"strings"
 )
 
-// Route says which requests take it. Its index in the table's list is what Match returns.
+// Route is the pattern of the requests that match it. Match returns its index in the table's list.
 type Route struct {
 	Host    string
-	Path    string   // begins with /
-	Methods []string // none named: any
+	Path    string   // starts with /
+	Methods []string // empty: any
 }
 
-// Table finds routes. It is safe for concurrent use.
+// Table matches requests to routes. It is safe for concurrent use.
 type Table struct {
-	exact map[string]*node // by host
-	wild  []wildHost       // the longest first
-	any   *node
-	count int
+	exact     map[string]*node // by host
+	wildcards []wildcardHost   // longest suffix first once the table is complete
+	anyHost   *node
+	count     int
 }
 
-type wildHost struct {
-	suffix string // with its leading dot
+type wildcardHost struct {
+	suffix string // includes the leading dot
 	root   *node
 }
 
-// node is a place in a path. Its routes are those whose path ends here.
+// node is a path prefix in the tree of one host's paths.
 type node struct {
-	literal map[string]*node
-	name    *node
-	rest    *leaf // of routes that end in {name...}
-	end     *leaf
+	literal  map[string]*node
+	variable *node // child for {name}
+	rest     *leaf // routes that continue with {name...}
+	end      *leaf // routes whose path ends here
 }
 
-// leaf holds the routes of one path, by method; "" is any.
+// leaf contains the routes of one path by method; "" stands for any method.
 type leaf struct {
 	byMethod map[string]target
 }
 
 type target struct {
-	route int
-	names []string // of the path's variables, in their order
+	route    int
+	varNames []string // the path's variables, in order
 }
 
-// Result is where a request goes.
+// Result is the route that a request matches.
 type Result struct {
-	Route int
-	Vars  map[string]string // of the path, unescaped
+	Route int               // index in the list given to New
+	Vars  map[string]string // values of the path's variables, unescaped
 }
 
-// Bounds on what is looked into.
+// Limits of paths and tables.
 const (
-	mostPath     = 8 << 10 // bytes
-	mostSegments = 128
-	mostRoutes   = 4096
+	maxPathBytes = 8 << 10
+	maxSegments  = 128
+	maxRoutes    = 4096
 )
 
-// What may be wrong with a request's path, or keep it from a route.
+// Errors of Match.
 var (
-	ErrPath   = errors.New("the path is not one that leads anywhere by one reading alone")
+	ErrPath   = errors.New("the path is invalid, ambiguous or too long")
 	ErrNone   = errors.New("no route")
 	ErrMethod = errors.New("no route for this method")
 )
 
-// MethodError says which methods a path takes. It is an ErrMethod.
+// MethodError is the ErrMethod of a path that has routes for other methods only.
 type MethodError struct{ Allow []string }
 
-// Error names the methods.
+// Error lists the allowed methods.
 func (e *MethodError) Error() string {
-	return fmt.Sprintf("%v, but for %s", ErrMethod, strings.Join(e.Allow, ", "))
+	return fmt.Sprintf("%v; allowed methods: %s", ErrMethod, strings.Join(e.Allow, ", "))
 }
 
 // Is reports whether the error is an ErrMethod.
 func (e *MethodError) Is(target error) bool { return target == ErrMethod }
 
-// New makes a table, or names the first route that makes no sense or can't be told from another.
+// New creates a table. The error names the first route that is invalid or conflicts with another.
 func New(list []Route) (*Table, error) {
-	if len(list) > mostRoutes {
-		return nil, fmt.Errorf("%d routes, %d at most", len(list), mostRoutes)
+	if len(list) > maxRoutes {
+		return nil, fmt.Errorf("%d routes, want at most %d", len(list), maxRoutes)
 	}
-	t := &Table{exact: map[string]*node{}, any: &node{}, count: len(list)}
+	t := &Table{exact: map[string]*node{}, anyHost: &node{}, count: len(list)}
 	for i, r := range list {
 		if err := t.add(i, r); err != nil {
 			return nil, fmt.Errorf("route %d, %s%s: %w", i+1, r.Host, r.Path, err)
 		}
 	}
-	slices.SortFunc(t.wild, func(a, b wildHost) int { return len(b.suffix) - len(a.suffix) })
+	slices.SortFunc(t.wildcards, func(a, b wildcardHost) int { return len(b.suffix) - len(a.suffix) })
 	return t, nil
 }
 
-// What may be wrong with a route.
+// Errors of a route.
 var (
-	errHost    = errors.New("a host is labels with dots between, perhaps with *. before them")
+	errHost    = errors.New("a host must consist of labels separated by dots, after an optional \"*.\" prefix")
 	errPattern = errors.New(
-		"a path begins with /, and its segments are literal, {name}, or {name...} at the end",
+		"a path must start with /, and its segments must be literal, {name}, or {name...} at the end",
 	)
-	errName     = errors.New("a name comes twice, or is no identifier")
-	errMethod   = errors.New("a method is capital letters, and named once")
-	errConflict = errors.New("it can't be told from route")
+	errName     = errors.New("a variable name must be an identifier and unique in its path")
+	errMethod   = errors.New("a method must be in capital letters and listed once")
+	errConflict = errors.New("it conflicts with route")
 )
 
+// add inserts the route with an index in the list.
 func (t *Table) add(index int, r Route) error {
 	root, err := t.host(strings.ToLower(r.Host))
 	if err != nil {
 		return err
 	}
-	if !strings.HasPrefix(r.Path, "/") || len(r.Path) > mostPath {
+	if !strings.HasPrefix(r.Path, "/") || len(r.Path) > maxPathBytes {
 		return errPattern
 	}
-	at, names, rest := root, []string(nil), false
+	current, varNames, rest := root, []string(nil), false
 	segments := strings.Split(r.Path[1:], "/")
 	for i, s := range segments {
 		last := i == len(segments)-1
@@ -130,15 +131,15 @@
 			if name, rest = strings.CutSuffix(name, "..."); rest && !last {
 				return errPattern
 			}
-			if !identifier(name) || slices.Contains(names, name) {
+			if !isIdentifier(name) || slices.Contains(varNames, name) {
 				return errName
 			}
-			names = append(names, name)
+			varNames = append(varNames, name)
 			if !rest {
-				if at.name == nil {
-					at.name = &node{}
+				if current.variable == nil {
+					current.variable = &node{}
 				}
-				at = at.name
+				current = current.variable
 			}
 		case strings.ContainsAny(s, "{}") || s == "" && !last || s == "." || s == "..":
 			return errPattern
@@ -147,25 +148,26 @@
 			if err != nil || strings.Contains(literal, "/") {
 				return errPattern
 			}
-			if at.literal == nil {
-				at.literal = map[string]*node{}
+			if current.literal == nil {
+				current.literal = map[string]*node{}
 			}
-			if at.literal[literal] == nil {
-				at.literal[literal] = &node{}
+			if current.literal[literal] == nil {
+				current.literal[literal] = &node{}
 			}
-			at = at.literal[literal]
+			current = current.literal[literal]
 		}
 	}
-	place := &at.end
+	slot := &current.end
 	if rest {
-		place = &at.rest
+		slot = &current.rest
 	}
-	if *place == nil {
-		*place = &leaf{byMethod: map[string]target{}}
+	if *slot == nil {
+		*slot = &leaf{byMethod: map[string]target{}}
 	}
-	return (*place).add(r.Methods, target{index, names})
+	return (*slot).add(r.Methods, target{index, varNames})
 }
 
+// add stores a target for each method, or for any method if there are none.
 func (l *leaf) add(methods []string, to target) error {
 	if len(methods) == 0 {
 		methods = []string{""}
@@ -174,7 +176,7 @@
 		if strings.ContainsFunc(m, func(r rune) bool { return r < 'A' || r > 'Z' }) {
 			return errMethod
 		}
-		if other, taken := l.byMethod[m]; taken {
+		if other, exists := l.byMethod[m]; exists {
 			return fmt.Errorf("%w %d", errConflict, other.route+1)
 		}
 		l.byMethod[m] = to
@@ -182,16 +184,17 @@
 	return nil
 }
 
-func identifier(name string) bool {
+// isIdentifier reports whether a name consists of ASCII letters, digits and underscores.
+func isIdentifier(name string) bool {
 	return name != "" && !strings.ContainsFunc(name, func(r rune) bool {
 		return r != '_' && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9')
 	})
 }
 
-// host returns the root of a host's paths, made if need be.
+// host returns the root node of a host, and creates it if it doesn't exist. host must be in lower case.
 func (t *Table) host(host string) (*node, error) {
 	if host == "" {
-		return t.any, nil
+		return t.anyHost, nil
 	}
 	suffix, wild := strings.CutPrefix(host, "*")
 	labels := strings.TrimPrefix(suffix, ".")
@@ -206,18 +209,18 @@
 		}
 		return t.exact[host], nil
 	}
-	for _, w := range t.wild {
+	for _, w := range t.wildcards {
 		if w.suffix == suffix {
 			return w.root, nil
 		}
 	}
-	t.wild = append(t.wild, wildHost{suffix, &node{}})
-	return t.wild[len(t.wild)-1].root, nil
+	t.wildcards = append(t.wildcards, wildcardHost{suffix, &node{}})
+	return t.wildcards[len(t.wildcards)-1].root, nil
 }
 
-// Match finds the route of a request by its host, with or without a port, its path as it came, still
-// escaped, and its method. A path that two readers could take for different ones is refused: with empty or
-// dot segments, or with an escaped slash or zero byte in it.
+// Match finds the route of a request by its host, with or without a port, its path in escaped form as
+// received, and its method. It rejects paths that two parsers could interpret differently: those with empty
+// or dot segments, a backslash, or an escaped slash or zero byte.
 func (t *Table) Match(host, path, method string) (Result, error) {
 	segments, err := split(path)
 	if err != nil {
@@ -228,8 +231,8 @@
 	for _, root := range t.roots(host) {
 		m := matcher{segments: segments, method: method, values: make([]string, 0, 4)}
 		if to, ok := m.walk(root, 0); ok {
-			vars := make(map[string]string, len(to.names))
-			for i, name := range to.names {
+			vars := make(map[string]string, len(to.varNames))
+			for i, name := range to.varNames {
 				vars[name] = m.values[i]
 			}
 			return Result{to.route, vars}, nil
@@ -243,21 +246,21 @@
 	return Result{}, ErrNone
 }
 
-// roots are the hosts' paths to look at, the most specific host first.
+// roots returns the root nodes that match a host, the most specific first.
 func (t *Table) roots(host string) []*node {
 	roots := make([]*node, 0, 3)
 	if n := t.exact[host]; n != nil {
 		roots = append(roots, n)
 	}
-	for _, w := range t.wild {
+	for _, w := range t.wildcards {
 		if strings.HasSuffix(host, w.suffix) && len(host) > len(w.suffix) {
 			roots = append(roots, w.root)
 		}
 	}
-	return append(roots, t.any)
+	return append(roots, t.anyHost)
 }
 
-// canonical is a host in small letters, without a port and a last dot.
+// canonical returns a host in lower case, without a port or a trailing dot.
 func canonical(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -265,42 +268,43 @@
 	return strings.TrimSuffix(strings.ToLower(host), ".")
 }
 
-// split cuts an escaped path into unescaped segments.
+// split splits an escaped path into unescaped segments. It rejects ambiguous paths.
 func split(path string) ([]string, error) {
-	if !strings.HasPrefix(path, "/") || len(path) > mostPath || strings.Count(path, "/") > mostSegments {
+	if !strings.HasPrefix(path, "/") || len(path) > maxPathBytes || strings.Count(path, "/") > maxSegments {
 		return nil, ErrPath
 	}
 	segments := strings.Split(path[1:], "/")
 	for i, s := range segments {
-		plain := s
+		unescaped := s
 		if strings.Contains(s, "%") {
 			var err error
-			if plain, err = url.PathUnescape(s); err != nil {
+			if unescaped, err = url.PathUnescape(s); err != nil {
 				return nil, ErrPath
 			}
 		}
-		if plain == "." || plain == ".." || plain == "" && i < len(segments)-1 ||
-			strings.ContainsAny(plain, "/\\\x00") {
+		if unescaped == "." || unescaped == ".." || unescaped == "" && i < len(segments)-1 ||
+			strings.ContainsAny(unescaped, "/\\\x00") {
 			return nil, ErrPath
 		}
-		segments[i] = plain
+		segments[i] = unescaped
 	}
 	return segments, nil
 }
 
-// matcher walks the nodes of one host, the most specific way first. Each segment is tried in two ways at
-// most at each node, so that hostile tables could make it walk long; operators write tables, and requests
-// can't.
+// matcher walks the nodes of one host, the most specific branch first, and backtracks. It tries each segment
+// in at most two ways at each node, so a malicious table could make the walk take long; but tables come from
+// operators, never from requests.
 type matcher struct {
 	segments []string
 	method   string
-	values   []string
-	allow    []string
+	values   []string // of the variables on the way to the current node
+	allow    []string // methods of matching paths whose method differs
 }
 
+// walk matches the segments from index i on below a node.
 func (m *matcher) walk(n *node, i int) (target, bool) {
 	if i == len(m.segments) {
-		if to, ok := m.at(n.end); ok {
+		if to, ok := m.targetOf(n.end); ok {
 			return to, true
 		}
 		return target{}, false
@@ -311,15 +315,15 @@
 			return to, true
 		}
 	}
-	if n.name != nil && s != "" {
+	if n.variable != nil && s != "" {
 		m.values = append(m.values, s)
-		if to, ok := m.walk(n.name, i+1); ok {
+		if to, ok := m.walk(n.variable, i+1); ok {
 			return to, true
 		}
 		m.values = m.values[:len(m.values)-1]
 	}
 	if n.rest != nil {
-		if to, ok := m.at(n.rest); ok {
+		if to, ok := m.targetOf(n.rest); ok {
 			m.values = append(m.values, strings.Join(m.segments[i:], "/"))
 			return to, true
 		}
@@ -327,8 +331,9 @@
 	return target{}, false
 }
 
-// at looks whether a leaf takes the method.
-func (m *matcher) at(l *leaf) (target, bool) {
+// targetOf returns the leaf's target for the request's method. If there is none, it records the leaf's
+// methods as allowed. The leaf may be nil.
+func (m *matcher) targetOf(l *leaf) (target, bool) {
 	if l == nil {
 		return target{}, false
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -37,13 +37,13 @@
 		{"h", "/accounts/7", "GET", 1, map[string]string{"id": "7"}},
 		{"h", "/accounts/new", "GET", 2, nil},
 		{"h", "/accounts/7", "DELETE", 3, map[string]string{"id": "7"}},
-		{"API.example:8443", "/accounts/new", "GET", 4, map[string]string{"id": "new"}}, // the host goes first
+		{"API.example:8443", "/accounts/new", "GET", 4, map[string]string{"id": "new"}}, // the host comes first
 		{"other.example.", "/accounts/new", "GET", 5, nil},
 		{"a.b.eu.example", "/", "GET", 6, nil},
-		{"eu.example", "/", "GET", 0, map[string]string{"rest": ""}}, // *. is one label at the least
+		{"eu.example", "/", "GET", 0, map[string]string{"rest": ""}}, // *. matches at least one label
 		{"h", "/accounts/7/statements", "GET", 7, map[string]string{"id": "7"}},
 		{"h", "/accounts/7/other", "GET", 0, map[string]string{"rest": "accounts/7/other"}},
-		{"h", "/accounts/", "GET", 0, map[string]string{"rest": "accounts/"}}, // a name is never nothing
+		{"h", "/accounts/", "GET", 0, map[string]string{"rest": "accounts/"}}, // a variable is never empty
 		{"h", "/files/a/b", "PUT", 8, map[string]string{"path": "a/b"}},
 		{"h", "/files/", "POST", 9, nil},
 		{"h", "/files/a", "POST", 0, map[string]string{"rest": "files/a"}},
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestWhatLeadsNowhere(t *testing.T) {
+func TestMatchErrors(t *testing.T) {
 	table, err := New(
 		[]Route{{Path: "/a/{id}", Methods: []string{"GET", "PUT"}}, {Path: "/a/{x...}", Methods: []string{"POST"}},
 			{Host: "h", Path: "/a/b", Methods: []string{"PATCH"}}},
@@ -72,25 +72,25 @@
 		"a":   ErrPath,
 		"//a": ErrPath, "/a//b": ErrPath, "/a/../b": ErrPath, "/a/%2e%2E/b": ErrPath, "/a/./b": ErrPath,
 		"/a/b%2fc": ErrPath, "/a/b%00": ErrPath, "/a/%zz": ErrPath, `/a\b`: ErrPath, "/a/%5c": ErrPath,
-		"/" + strings.Repeat("a", mostPath): ErrPath, strings.Repeat("/a", mostSegments+1): ErrPath} {
+		"/" + strings.Repeat("a", maxPathBytes): ErrPath, strings.Repeat("/a", maxSegments+1): ErrPath} {
 		if _, err := table.Match("h", path, "DELETE"); !errors.Is(err, want) {
 			t.Errorf("%.40s: %v, want %v", path, err, want)
 		}
 	}
 	_, err = table.Match("h", "/a/b", "DELETE")
-	var allowed *MethodError
-	if !errors.As(err, &allowed) || !slices.Equal(allowed.Allow, []string{"GET", "PATCH", "POST", "PUT"}) {
+	var methodErr *MethodError
+	if !errors.As(err, &methodErr) || !slices.Equal(methodErr.Allow, []string{"GET", "PATCH", "POST", "PUT"}) {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestRoutesThatMakeNoSense(t *testing.T) {
+func TestInvalidRoutes(t *testing.T) {
 	for name, list := range map[string][]Route{
 		"no slash":      {{Path: "a"}},
 		"empty segment": {{Path: "/a//b"}},
 		"dots":          {{Path: "/a/../b"}},
 		"rest inside":   {{Path: "/{a...}/b"}},
-		"half a name":   {{Path: "/{a"}},
+		"unclosed name": {{Path: "/{a"}},
 		"name in text":  {{Path: "/a{b}"}},
 		"no name":       {{Path: "/{}"}},
 		"name twice":    {{Path: "/{a}/{a}"}},
@@ -99,21 +99,22 @@
 		"method":        {{Path: "/", Methods: []string{"get"}}},
 		"method twice":  {{Path: "/", Methods: []string{"GET", "GET"}}},
 		"star inside":   {{Host: "a.*.b", Path: "/"}},
-		"star alone":    {{Host: "*", Path: "/"}},
+		"only a star":   {{Host: "*", Path: "/"}},
 		"a port":        {{Host: "a:80", Path: "/"}},
 		"empty label":   {{Host: "a..b", Path: "/"}},
-		"the same":      {{Path: "/a"}, {Path: "/a"}},
+		"duplicate":     {{Path: "/a"}, {Path: "/a"}},
 		"other names":   {{Path: "/{a}/b"}, {Path: "/{c}/b"}},
 		"other case":    {{Host: "A.b", Path: "/"}, {Host: "a.B", Path: "/"}},
-		"one method":    {{Path: "/a", Methods: []string{"GET", "PUT"}}, {Path: "/a", Methods: []string{"PUT"}}},
+		"shared method": {{Path: "/a", Methods: []string{"GET", "PUT"}}, {Path: "/a", Methods: []string{"PUT"}}},
 	} {
 		if _, err := New(list); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Whatever path is asked, it is matched as it reads once unescaped, or refused; a name never holds a slash.
+// Every path is either rejected or matched in its unescaped form, and a {name} variable never contains a
+// slash.
 func FuzzMatch(f *testing.F) {
 	f.Add("a.example", "/accounts/1%20/x", "GET")
 	f.Add("h", "/%2e%2e/", "PUT")
@@ -135,7 +136,7 @@
 		}
 		if got.Route == 2 && !strings.Contains(strings.ToLower(host), ".example") ||
 			got.Route == 1 && method != "GET" {
-			t.Fatalf("%s %q%q takes route %d", method, host, path, got.Route)
+			t.Fatalf("%s %q%q matches route %d", method, host, path, got.Route)
 		}
 	})
 }
