--- a/internal/conform/checks.go
+++ b/internal/conform/checks.go
@@ -23,14 +23,14 @@
 	"github.com/go-jose/go-jose/v4/jwt"
 )
 
-// checks are all requirements, by RFC and section.
+// checks contains all checks, ordered by RFC and section.
 var checks = []check{
-	{"7662-1", "RFC 7662, 2.1", "a question by POST and form is answered with 200", asked},
+	{"7662-1", "RFC 7662, 2.1", "a question by POST and form is answered with 200", activeToken},
 	{"7662-2", "RFC 7662, 2.1", "the endpoint requires authorization", authorization},
 	{"7662-3", "RFC 7662, 2.1", "token is required", tokenRequired},
 	{"7662-4", "RFC 7662, 2.1", "a token_type_hint that does not fit is no obstacle", wrongHint},
 	{"7662-5", "RFC 7662, 2.1", "parameters that are not known are ignored", unknownParameter},
-	{"7662-6", "RFC 7662, 2.1", "a question by GET is not answered", byGet},
+	{"7662-6", "RFC 7662, 2.1", "a question by GET is not answered", getRejected},
 	{"7662-7", "RFC 7662, 2.2", "an answer is JSON, and says so", isJSON},
 	{"7662-8", "RFC 7662, 2.2", "active is there, and a boolean", activeIsBoolean},
 	{"7662-9", "RFC 7662, 2.2", "members of an active token have the types that are defined", memberTypes},
@@ -41,11 +41,11 @@
 	{"6749-1", "RFC 6749, 5.2", "a wrong secret is 401 with invalid_client", wrongSecret},
 	{"6749-2", "RFC 6749, 5.2", "a client that used Basic is challenged by it", challenged},
 	{"6749-3", "RFC 6749, 5.2", "an error is JSON, and says so", errorIsJSON},
-	{"6749-4", "RFC 6749, 5.2", "a parameter that comes twice is invalid_request", twice},
-	{"6749-5", "RFC 6749, 2.3", "two ways of client authentication are invalid_request", twoWays},
+	{"6749-4", "RFC 6749, 5.2", "a parameter that comes twice is invalid_request", duplicateParameter},
+	{"6749-5", "RFC 6749, 2.3", "two ways of client authentication are invalid_request", twoMethods},
 	{"6749-6", "RFC 6749, 2.3.1", "credentials in the URL let nobody in", credentialsInURL},
 	{"6749-7", "RFC 6749, 5.2", "a body that is not a form is no question", notAForm},
-	{"6750-1", "RFC 6750, 3.1", "a bearer token that is not valid is 401", badBearer},
+	{"6750-1", "RFC 6750, 3.1", "a bearer token that is not valid is 401", invalidBearer},
 	{"6750-2", "RFC 6750, 3", "and is challenged by Bearer with invalid_token", bearerChallenge},
 	{"6750-3", "RFC 6750, 2.3", "a bearer token in the URL lets nobody in", bearerInURL},
 	{"8414-1", "RFC 8414, 3", "there is metadata, as JSON", hasMetadata},
@@ -65,17 +65,17 @@
 	{"9701-4", "RFC 9701, 5", "iss is the issuer", signedIss},
 	{"9701-5", "RFC 9701, 5", "aud is the client", signedAud},
 	{"9701-6", "RFC 9701, 5", "iat is there", signedIat},
-	{"9701-7", "RFC 9701, 5", "token_introspection holds the answer", signedAnswer},
+	{"9701-7", "RFC 9701, 5", "token_introspection holds the answer", signedResponse},
 	{"9701-8", "RFC 9701, 5", "no sub and no exp that could make it pass for another JWT", signedNoSub},
 	{"9701-9", "RFC 9701, 5", "nothing else is told of a token that is not active", signedInactive},
-	{"9701-10", "RFC 9701, 4", "an answer is JSON where that is asked for", stillJSON},
+	{"9701-10", "RFC 9701, 4", "an answer is JSON where that is asked for", jsonOnRequest},
 	{"8705-1", "RFC 8705, 2", "a certificate of the client lets it in", byCertificate},
 	{"8705-2", "RFC 8705, 2", "without a certificate the client is invalid_client", noCertificate},
 	{"8705-3", "RFC 8705, 2", "another certificate is invalid_client", otherCertificate},
 }
 
-func asked(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.Token)
+func activeToken(ctx context.Context, s *session) error {
+	r, err := s.introspect(ctx, s.Token)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		return err
 	}
 	if !r.active() {
-		return errors.New("the token given as active is not called that")
+		return errors.New("the response does not report the given active token as active")
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 	return r.wantError(http.StatusBadRequest, "invalid_request")
 }
 
-// stillActive wants the active token to be called active however it is asked about.
+// stillActive checks that the active token is reported as active despite an additional parameter.
 func stillActive(ctx context.Context, s *session, name, value string) error {
 	r, err := s.post(ctx, url.Values{"token": {s.Token}, name: {value}}, s.basic)
 	if err == nil && !r.active() {
@@ -122,7 +122,7 @@
 	return stillActive(ctx, s, "no_such_parameter", "x")
 }
 
-func byGet(ctx context.Context, s *session) error {
+func getRejected(ctx context.Context, s *session) error {
 	r, err := send(ctx, s.client, http.MethodGet, s.URL+"?token="+url.QueryEscape(s.Token), "", s.basic)
 	if err == nil && r.status < 400 {
 		err = fmt.Errorf("status %d", r.status)
@@ -130,14 +130,15 @@
 	return err
 }
 
-// kind is the media type of an answer.
-func (r *reply) kind() string {
-	kind, _, _ := mime.ParseMediaType(r.header.Get("Content-Type"))
-	return kind
+// mediaType returns the media type of the response.
+func (r *reply) mediaType() string {
+	mediaType, _, _ := mime.ParseMediaType(r.header.Get("Content-Type"))
+	return mediaType
 }
 
+// wantJSON returns an error unless the response is a JSON object with the media type of JSON.
 func (r *reply) wantJSON() error {
-	if r.kind() != "application/json" {
+	if r.mediaType() != "application/json" {
 		return fmt.Errorf("Content-Type %q", r.header.Get("Content-Type"))
 	}
 	_, err := r.object()
@@ -145,16 +146,16 @@
 }
 
 func isJSON(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.Token)
+	r, err := s.introspect(ctx, s.Token)
 	if err != nil {
 		return err
 	}
 	return r.wantJSON()
 }
 
-// object asks about a token and reads the answer as a JSON object.
+// object introspects a token, and decodes the response as a JSON object.
 func (s *session) object(ctx context.Context, token string) (map[string]any, error) {
-	r, err := s.ask(ctx, token)
+	r, err := s.introspect(ctx, token)
 	if err != nil {
 		return nil, err
 	}
@@ -185,13 +186,13 @@
 		case "scope", "client_id", "username", "token_type", "sub", "iss", "jti":
 			_, ok = v.(string)
 		case "exp", "iat", "nbf":
-			n, number := v.(float64)
-			ok = number && n == float64(int64(n)) && n > 0
+			n, isNumber := v.(float64)
+			ok = isNumber && n == float64(int64(n)) && n > 0
 		case "aud":
 			switch v := v.(type) {
 			case string:
 			case []any:
-				ok = !slices.ContainsFunc(v, func(x any) bool { _, text := x.(string); return !text })
+				ok = !slices.ContainsFunc(v, func(x any) bool { _, isString := x.(string); return !isString })
 			default:
 				ok = false
 			}
@@ -210,13 +211,13 @@
 	}
 	if exp, ok := o["exp"].(float64); ok && o["active"] == true &&
 		exp < float64(time.Now().Add(-time.Minute).Unix()) {
-		return fmt.Errorf("active, and exp is %.0f", exp)
+		return fmt.Errorf("the token is active, but exp is %.0f, in the past", exp)
 	}
 	return nil
 }
 
 func unknownToken(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.inactive)
+	r, err := s.introspect(ctx, s.inactive)
 	if err != nil {
 		return err
 	}
@@ -233,7 +234,7 @@
 func nothingElse(ctx context.Context, s *session) error {
 	o, err := s.object(ctx, s.inactive)
 	if err == nil && len(o) != 1 {
-		err = fmt.Errorf("%d members are told", len(o))
+		err = fmt.Errorf("the response has %d members, want only active", len(o))
 	}
 	return err
 }
@@ -250,37 +251,37 @@
 	if u.Port() == "" {
 		host += ":443"
 	}
-	try := func(least, most uint16) error {
-		conf := &tls.Config{}
+	dial := func(minVersion, maxVersion uint16) error {
+		config := &tls.Config{}
 		if s.TLS != nil {
-			conf = s.TLS.Clone()
+			config = s.TLS.Clone()
 		}
-		conf.MinVersion, conf.MaxVersion = least, most
-		d := &tls.Dialer{Config: conf}
+		config.MinVersion, config.MaxVersion = minVersion, maxVersion
+		d := &tls.Dialer{Config: config}
 		c, err := d.DialContext(ctx, "tcp", host)
 		if err == nil {
 			c.Close()
 		}
 		return err
 	}
-	if err := try(tls.VersionTLS12, tls.VersionTLS13); err != nil {
+	if err := dial(tls.VersionTLS12, tls.VersionTLS13); err != nil {
 		return err
 	}
-	if try(tls.VersionTLS10, tls.VersionTLS11) == nil {
-		return errors.New("TLS 1.1 is taken")
+	if dial(tls.VersionTLS10, tls.VersionTLS11) == nil {
+		return errors.New("the server accepts TLS 1.1 or older")
 	}
 	return nil
 }
 
-// wrongly asks with a wrong secret.
-func (s *session) wrongly(ctx context.Context) (*reply, error) {
+// withWrongSecret sends an introspection request with a wrong secret.
+func (s *session) withWrongSecret(ctx context.Context) (*reply, error) {
 	return s.post(ctx, url.Values{"token": {s.Token}}, func(r *http.Request) {
 		r.SetBasicAuth(url.QueryEscape(s.ClientID), "wrong-"+rand.Text())
 	})
 }
 
 func wrongSecret(ctx context.Context, s *session) error {
-	r, err := s.wrongly(ctx)
+	r, err := s.withWrongSecret(ctx)
 	if err != nil {
 		return err
 	}
@@ -288,13 +289,14 @@
 }
 
 func challenged(ctx context.Context, s *session) error {
-	r, err := s.wrongly(ctx)
+	r, err := s.withWrongSecret(ctx)
 	if err == nil && !hasScheme(r.header, "Basic") {
 		err = fmt.Errorf("WWW-Authenticate %q", r.header.Values("WWW-Authenticate"))
 	}
 	return err
 }
 
+// hasScheme reports whether a WWW-Authenticate header has an authentication scheme.
 func hasScheme(h http.Header, scheme string) bool {
 	return slices.ContainsFunc(h.Values("WWW-Authenticate"), func(v string) bool {
 		first, _, _ := strings.Cut(v, " ")
@@ -303,14 +305,14 @@
 }
 
 func errorIsJSON(ctx context.Context, s *session) error {
-	r, err := s.wrongly(ctx)
+	r, err := s.withWrongSecret(ctx)
 	if err != nil {
 		return err
 	}
 	return r.wantJSON()
 }
 
-func twice(ctx context.Context, s *session) error {
+func duplicateParameter(ctx context.Context, s *session) error {
 	r, err := s.post(ctx, url.Values{"token": {s.Token, s.Token}}, s.basic)
 	if err != nil {
 		return err
@@ -318,7 +320,7 @@
 	return r.wantError(http.StatusBadRequest, "invalid_request")
 }
 
-func twoWays(ctx context.Context, s *session) error {
+func twoMethods(ctx context.Context, s *session) error {
 	r, err := s.post(
 		ctx,
 		url.Values{"token": {s.Token}, "client_id": {s.ClientID}, "client_secret": {s.Secret}},
@@ -331,12 +333,12 @@
 }
 
 func credentialsInURL(ctx context.Context, s *session) error {
-	in := url.Values{"client_id": {s.ClientID}, "client_secret": {s.Secret}}
+	query := url.Values{"client_id": {s.ClientID}, "client_secret": {s.Secret}}
 	r, err := send(
 		ctx,
 		s.client,
 		http.MethodPost,
-		s.URL+"?"+in.Encode(),
+		s.URL+"?"+query.Encode(),
 		url.Values{"token": {s.Token}}.Encode(),
 	)
 	if err == nil && r.status < 400 {
@@ -346,22 +348,23 @@
 }
 
 func notAForm(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.Token, func(r *http.Request) { r.Header.Set("Content-Type", "application/json") })
+	r, err := s.introspect(ctx, s.Token,
+		func(r *http.Request) { r.Header.Set("Content-Type", "application/json") })
 	if err == nil && r.status < 400 {
-		err = fmt.Errorf("status %d for a body that says it is JSON", r.status)
+		err = fmt.Errorf("status %d for a body with Content-Type application/json", r.status)
 	}
 	return err
 }
 
-// byBearer asks with a bearer token that nobody issued.
-func (s *session) byBearer(ctx context.Context) (*reply, error) {
+// withInvalidBearer sends an introspection request with a bearer token that nobody issued.
+func (s *session) withInvalidBearer(ctx context.Context) (*reply, error) {
 	return s.post(ctx, url.Values{"token": {s.Token}}, func(r *http.Request) {
 		r.Header.Set("Authorization", "Bearer "+s.inactive)
 	})
 }
 
-func badBearer(ctx context.Context, s *session) error {
-	r, err := s.byBearer(ctx)
+func invalidBearer(ctx context.Context, s *session) error {
+	r, err := s.withInvalidBearer(ctx)
 	if err != nil {
 		return err
 	}
@@ -369,7 +372,7 @@
 }
 
 func bearerChallenge(ctx context.Context, s *session) error {
-	r, err := s.byBearer(ctx)
+	r, err := s.withInvalidBearer(ctx)
 	if err != nil {
 		return err
 	}
@@ -389,7 +392,7 @@
 	return err
 }
 
-// metadata reads the issuer's metadata. RFC 8414, 3.1: the well-known part goes before the issuer's path.
+// metadata fetches the issuer's metadata. The well-known path comes before the issuer's path (RFC 8414, 3.1).
 func (s *session) metadata(ctx context.Context) (*reply, map[string]any, error) {
 	u, err := url.Parse(s.Issuer)
 	if err != nil {
@@ -412,9 +415,8 @@
 	return r, o, err
 }
 
-// errNoMetadata is why checks of what metadata say are skipped; that there is none is the failure of one
-// alone.
-const errNoMetadata = skipped("there is no metadata")
+// errNoMetadata skips the checks of the metadata's contents. Missing metadata fails only hasMetadata.
+const errNoMetadata = skipped("the issuer has no metadata")
 
 func hasMetadata(ctx context.Context, s *session) error {
 	r, _, err := s.metadata(ctx)
@@ -443,7 +445,8 @@
 	return err
 }
 
-func texts(v any) (all []string) {
+// stringList returns the strings in a JSON array. Any other value gives nil.
+func stringList(v any) (all []string) {
 	list, _ := v.([]any)
 	for _, x := range list {
 		if text, ok := x.(string); ok {
@@ -458,9 +461,9 @@
 	if err != nil {
 		return err
 	}
-	methods := texts(o["introspection_endpoint_auth_methods_supported"])
+	methods := stringList(o["introspection_endpoint_auth_methods_supported"])
 	if !slices.Contains(methods, "client_secret_basic") {
-		return fmt.Errorf("methods %v, and client_secret_basic is taken", methods)
+		return fmt.Errorf("methods %v do not include client_secret_basic, which the endpoint accepts", methods)
 	}
 	return nil
 }
@@ -470,26 +473,26 @@
 	if err != nil {
 		return err
 	}
-	methods := texts(o["introspection_endpoint_auth_methods_supported"])
-	algorithms := texts(o["introspection_endpoint_auth_signing_alg_values_supported"])
-	needed := slices.Contains(methods, "private_key_jwt") || slices.Contains(methods, "client_secret_jwt")
-	if needed && len(algorithms) == 0 || slices.Contains(algorithms, "none") {
-		return fmt.Errorf("methods %v with algorithms %v", methods, algorithms)
+	methods := stringList(o["introspection_endpoint_auth_methods_supported"])
+	algorithms := stringList(o["introspection_endpoint_auth_signing_alg_values_supported"])
+	required := slices.Contains(methods, "private_key_jwt") || slices.Contains(methods, "client_secret_jwt")
+	if required && len(algorithms) == 0 || slices.Contains(algorithms, "none") {
+		return fmt.Errorf("methods %v are inconsistent with algorithms %v", methods, algorithms)
 	}
 	return nil
 }
 
-// keys reads the JWKS that the metadata names.
+// keys fetches the JWKS at the jwks_uri of the metadata.
 func (s *session) keys(ctx context.Context) (*jose.JSONWebKeySet, error) {
 	_, o, err := s.metadata(ctx)
 	if err != nil {
 		return nil, err
 	}
-	from, ok := o["jwks_uri"].(string)
+	keysURL, ok := o["jwks_uri"].(string)
 	if !ok {
 		return nil, errors.New("no jwks_uri in the metadata")
 	}
-	r, err := s.get(ctx, from)
+	r, err := s.get(ctx, keysURL)
 	if err != nil {
 		return nil, err
 	}
@@ -498,7 +501,7 @@
 	}
 	var set jose.JSONWebKeySet
 	if err := json.Unmarshal(r.body, &set); err != nil || len(set.Keys) == 0 {
-		return nil, fmt.Errorf("no keys: %v", err)
+		return nil, fmt.Errorf("the JWKS is invalid or empty: %v", err)
 	}
 	return &set, nil
 }
@@ -510,14 +513,14 @@
 	}
 	for _, k := range set.Keys {
 		if !k.IsPublic() || !k.Valid() {
-			return fmt.Errorf("key %q is private or not valid", k.KeyID)
+			return fmt.Errorf("key %q is private or invalid", k.KeyID)
 		}
 	}
 	return nil
 }
 
-// The algorithms that an answer may be signed with.
-var signatures = []jose.SignatureAlgorithm{
+// signatureAlgorithms contains the accepted algorithms of signed responses.
+var signatureAlgorithms = []jose.SignatureAlgorithm{
 	jose.ES256,
 	jose.ES384,
 	jose.ES512,
@@ -530,20 +533,20 @@
 	jose.EdDSA,
 }
 
-const signedKind = "application/token-introspection+jwt"
+const signedMediaType = "application/token-introspection+jwt"
 
-// signed asks for a signed answer, and reads it unverified.
+// signed requests a signed response, and decodes its claims without verifying the signature.
 func (s *session) signed(ctx context.Context, token string) (*jwt.JSONWebToken, map[string]any, error) {
-	r, err := s.ask(ctx, token, accept(signedKind))
+	r, err := s.introspect(ctx, token, accept(signedMediaType))
 	if err != nil {
 		return nil, nil, err
 	}
-	if r.status == http.StatusOK && r.kind() == "application/json" {
-		return nil, nil, skipped("no signed answers are given")
+	if r.status == http.StatusOK && r.mediaType() == "application/json" {
+		return nil, nil, skipped("the endpoint gives no signed responses")
 	}
-	t, err := jwt.ParseSigned(string(bytes.TrimSpace(r.body)), signatures)
+	t, err := jwt.ParseSigned(string(bytes.TrimSpace(r.body)), signatureAlgorithms)
 	if err != nil {
-		return nil, nil, fmt.Errorf("status %d, and no signed JWT: %w", r.status, err)
+		return nil, nil, fmt.Errorf("status %d, and the body is not a signed JWT: %w", r.status, err)
 	}
 	var claims map[string]any
 	if err := t.UnsafeClaimsWithoutVerification(&claims); err != nil {
@@ -553,8 +556,8 @@
 }
 
 func signedType(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.Token, accept(signedKind))
-	if err == nil && (r.status != http.StatusOK || r.kind() != signedKind) {
+	r, err := s.introspect(ctx, s.Token, accept(signedMediaType))
+	if err == nil && (r.status != http.StatusOK || r.mediaType() != signedMediaType) {
 		err = fmt.Errorf("status %d, Content-Type %q", r.status, r.header.Get("Content-Type"))
 	}
 	return err
@@ -583,13 +586,13 @@
 			return nil
 		}
 	}
-	return errors.New("no key of the JWKS made the signature")
+	return errors.New("no key of the JWKS verifies the signature")
 }
 
-// signedClaim looks at a claim of a signed answer.
-func signedClaim(ctx context.Context, s *session, name string, good func(any) bool) error {
+// signedClaim checks a claim of a signed response with valid.
+func signedClaim(ctx context.Context, s *session, name string, valid func(any) bool) error {
 	_, claims, err := s.signed(ctx, s.Token)
-	if err == nil && !good(claims[name]) {
+	if err == nil && !valid(claims[name]) {
 		err = fmt.Errorf("%s is %v", name, claims[name])
 	}
 	return err
@@ -601,7 +604,7 @@
 
 func signedAud(ctx context.Context, s *session) error {
 	return signedClaim(ctx, s, "aud", func(v any) bool {
-		return v == s.ClientID || slices.Contains(texts(v), s.ClientID)
+		return v == s.ClientID || slices.Contains(stringList(v), s.ClientID)
 	})
 }
 
@@ -609,7 +612,7 @@
 	return signedClaim(ctx, s, "iat", func(v any) bool { n, ok := v.(float64); return ok && n > 0 })
 }
 
-func signedAnswer(ctx context.Context, s *session) error {
+func signedResponse(ctx context.Context, s *session) error {
 	return signedClaim(ctx, s, "token_introspection", func(v any) bool {
 		o, ok := v.(map[string]any)
 		return ok && o["active"] == true
@@ -632,19 +635,20 @@
 	return nil
 }
 
-func stillJSON(ctx context.Context, s *session) error {
-	r, err := s.ask(ctx, s.Token, accept("application/json"))
+func jsonOnRequest(ctx context.Context, s *session) error {
+	r, err := s.introspect(ctx, s.Token, accept("application/json"))
 	if err != nil {
 		return err
 	}
 	return r.wantJSON()
 }
 
-// certified asks as the client that has a certificate.
-func (s *session) certified(ctx context.Context, cert *tls.Certificate) (*reply, error) {
+// withCertificate sends an introspection request as CertClient with a certificate, or without one if cert is
+// nil.
+func (s *session) withCertificate(ctx context.Context, cert *tls.Certificate) (*reply, error) {
 	switch {
 	case s.CertClient == "" || s.Cert == nil:
-		return nil, skipped("no client with a certificate was given")
+		return nil, skipped("no client with a certificate is configured")
 	case !s.https:
 		return nil, skipped("the URL is not https")
 	}
@@ -653,7 +657,7 @@
 }
 
 func byCertificate(ctx context.Context, s *session) error {
-	r, err := s.certified(ctx, s.Cert)
+	r, err := s.withCertificate(ctx, s.Cert)
 	if err == nil && !r.active() {
 		err = fmt.Errorf("status %d, or not active", r.status)
 	}
@@ -661,27 +665,27 @@
 }
 
 func noCertificate(ctx context.Context, s *session) error {
-	r, err := s.certified(ctx, nil)
+	r, err := s.withCertificate(ctx, nil)
 	if err != nil {
 		return err
 	}
 	return r.wantError(http.StatusUnauthorized, "invalid_client")
 }
 
-// otherCertificate shows one that nobody knows. A server may end the handshake over it, which is as good a
-// refusal.
+// otherCertificate checks that an unknown certificate is rejected. A server may also abort the TLS handshake,
+// which counts as a rejection.
 func otherCertificate(ctx context.Context, s *session) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	c := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour),
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
-	raw, err := x509.CreateCertificate(rand.Reader, c, c, &key.PublicKey, key)
+	raw, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return err
 	}
-	r, err := s.certified(ctx, &tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: key})
+	r, err := s.withCertificate(ctx, &tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: key})
 	var skip skipped
 	switch {
 	case errors.As(err, &skip):
--- a/internal/conform/conform.go
+++ b/internal/conform/conform.go
@@ -1,5 +1,5 @@
-// Package conform checks introspection endpoints against numbered requirements of RFC 7662 and of those that
-// it rests on. It asks as a client does, over HTTP, and knows nothing of what stands behind the endpoint.
+// Package conform checks introspection endpoints against numbered requirements of RFC 7662 and of the RFCs
+// that it builds on. It sends requests as a client, over HTTP, and is independent of the implementation.
 package conform
 
 import (
@@ -16,30 +16,30 @@
 	"time"
 )
 
-// Target says what is checked, and as whom.
+// Target is the endpoint to check, and the credentials to use.
 type Target struct {
-	URL      string // of the endpoint
-	Issuer   string // whose metadata is read; empty: the endpoint's scheme and host
+	URL      string // URL of the endpoint
+	Issuer   string // issuer with the metadata; empty: the endpoint's scheme and host
 	ClientID string
 	Secret   string
-	Token    string // one that is active, and that the client may ask about
+	Token    string // an active token that the client may introspect
 
-	TLS        *tls.Config      // roots, for https
-	CertClient string           // a client that authenticates by a certificate; empty: those checks are skipped
-	Cert       *tls.Certificate // its certificate
+	TLS        *tls.Config      // root certificates, for https
+	CertClient string           // client that authenticates by certificate; empty: skip those checks
+	Cert       *tls.Certificate // certificate of CertClient
 }
 
 // Verdict is the outcome of one check.
 type Verdict string
 
-// The verdicts.
+// Verdicts of a check.
 const (
 	Pass Verdict = "pass"
 	Fail Verdict = "fail"
 	Skip Verdict = "skipped"
 )
 
-// Result is one line of a report.
+// Result is the outcome of one check in a report.
 type Result struct {
 	ID      string  `json:"id"`
 	Section string  `json:"section"`
@@ -54,17 +54,18 @@
 	Results []Result `json:"results"`
 }
 
-// Failed reports whether a check has failed.
+// Failed reports whether any check failed.
 func (r *Report) Failed() bool {
-	for _, x := range r.Results {
-		if x.Verdict == Fail {
+	for _, result := range r.Results {
+		if result.Verdict == Fail {
 			return true
 		}
 	}
 	return false
 }
 
-// check is one requirement, and how it is looked at. An error of type skipped says why it could not be.
+// check is one requirement and the function that checks it. An error of type skipped gives the reason why the
+// requirement could not be checked.
 type check struct {
 	id, section, text string
 	run               func(ctx context.Context, s *session) error
@@ -74,7 +75,7 @@
 
 func (s skipped) Error() string { return string(s) }
 
-// IDs names all checks in their order.
+// IDs returns the IDs of all checks, in order.
 func IDs() []string {
 	ids := make([]string, len(checks))
 	for i, c := range checks {
@@ -83,12 +84,13 @@
 	return ids
 }
 
-// patience is how long one exchange may take.
-const patience = 10 * time.Second
+// exchangeTimeout limits one request and its response.
+const exchangeTimeout = 10 * time.Second
 
-var errTarget = errors.New("conform: want a URL with http or https, a client and a token that is active")
+var errTarget = errors.New("conform: an http or https URL, a client ID and an active token are required")
 
-// Run makes all checks, one after the other. The error is about the target, not about what was found.
+// Run makes all checks, one after the other. It returns an error only for an invalid target; failed checks
+// are part of the report.
 func Run(ctx context.Context, t Target) (*Report, error) {
 	u, err := url.Parse(t.URL)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" || t.ClientID == "" ||
@@ -116,67 +118,72 @@
 	return report, nil
 }
 
-// session is a target while it is checked.
+// session is the state of checking one target.
 type session struct {
 	Target
-	https    bool
-	inactive string
+	https    bool   // the endpoint's URL is https
+	inactive string // a random token that nobody issued
 	client   *http.Client
 }
 
-// clientWith returns a client that shows a certificate, if there is one.
+// clientWith returns an HTTP client that uses a client certificate, unless it is nil. It doesn't follow
+// redirects.
 func (s *session) clientWith(cert *tls.Certificate) *http.Client {
-	conf := &tls.Config{}
+	config := &tls.Config{}
 	if s.TLS != nil {
-		conf = s.TLS.Clone()
+		config = s.TLS.Clone()
 	}
-	conf.MinVersion = tls.VersionTLS12
+	config.MinVersion = tls.VersionTLS12
 	if cert != nil {
-		conf.Certificates = []tls.Certificate{*cert}
+		config.Certificates = []tls.Certificate{*cert}
 	}
 	return &http.Client{
-		Timeout:       patience,
-		Transport:     &http.Transport{TLSClientConfig: conf, DisableKeepAlives: true},
+		Timeout:       exchangeTimeout,
+		Transport:     &http.Transport{TLSClientConfig: config, DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// reply is what came back, read whole.
+// reply is a complete response.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// object reads the body as a JSON object.
+// object decodes the body as a JSON object.
 func (r *reply) object() (map[string]any, error) {
 	var o map[string]any
 	if err := json.Unmarshal(r.body, &o); err != nil || o == nil {
-		return nil, fmt.Errorf("the body is no JSON object: %.60q", r.body)
+		return nil, fmt.Errorf("the body is not a JSON object: %.60q", r.body)
 	}
 	return o, nil
 }
 
-// change is done to a request before it is sent.
+// change modifies a request before it is sent.
 type change func(*http.Request)
 
+// basic authenticates a request as the client, with HTTP Basic.
 func (s *session) basic(r *http.Request) {
 	r.SetBasicAuth(url.QueryEscape(s.ClientID), url.QueryEscape(s.Secret))
 }
 
-func accept(kind string) change { return func(r *http.Request) { r.Header.Set("Accept", kind) } }
+// accept sets the Accept header to a media type.
+func accept(mediaType string) change {
+	return func(r *http.Request) { r.Header.Set("Accept", mediaType) }
+}
 
-// mostBody bounds what is read of an answer, in bytes.
-const mostBody = 1 << 20
+// maxBodyBytes limits how much of a response body is read.
+const maxBodyBytes = 1 << 20
 
-// send makes one exchange with a client.
+// send sends a request with an HTTP client, and reads the response. A body is sent as a form.
 func send(
 	ctx context.Context,
 	client *http.Client,
-	method, to, body string,
+	method, target, body string,
 	changes ...change,
 ) (*reply, error) {
-	r, err := http.NewRequestWithContext(ctx, method, to, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, target, strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -188,38 +195,39 @@
 		c(r)
 	}
 	res, err := client.Do(r)
-	var in *url.Error
-	if errors.As(err, &in) { // its text has the URL, and some of those have secrets and tokens in them
-		err = in.Err
+	var urlErr *url.Error
+	if errors.As(err, &urlErr) { // its text has the URL, which may contain secrets and tokens
+		err = urlErr.Err
 	}
 	if err != nil {
 		return nil, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, mostBody))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
 	return &reply{res.StatusCode, res.Header, text}, nil
 }
 
-// post asks by a form.
+// post sends a form to the endpoint.
 func (s *session) post(ctx context.Context, form url.Values, changes ...change) (*reply, error) {
 	return send(ctx, s.client, http.MethodPost, s.URL, form.Encode(), changes...)
 }
 
-// ask asks about a token as the client.
-func (s *session) ask(ctx context.Context, token string, changes ...change) (*reply, error) {
+// introspect sends an introspection request for a token, authenticated as the client.
+func (s *session) introspect(ctx context.Context, token string, changes ...change) (*reply, error) {
 	return s.post(ctx, url.Values{"token": {token}}, append([]change{s.basic}, changes...)...)
 }
 
-// active reports whether an answer calls a token active; whatever is no such answer does not.
+// active reports whether the response says that the token is active. It is false for any other response,
+// including errors.
 func (r *reply) active() bool {
 	o, err := r.object()
 	return r.status == http.StatusOK && err == nil && o["active"] == true
 }
 
-// wantStatus reports another status than one of some.
+// wantStatus returns an error unless the status is one of those wanted.
 func (r *reply) wantStatus(want ...int) error {
 	for _, w := range want {
 		if r.status == w {
@@ -229,7 +237,8 @@
 	return fmt.Errorf("status %d, want %v", r.status, want)
 }
 
-// wantError reports an answer that is not an error as RFC 6749, 5.2 has it.
+// wantError returns an error unless the response is an error response as in RFC 6749, 5.2, with a status and
+// code.
 func (r *reply) wantError(status int, code string) error {
 	if err := r.wantStatus(status); err != nil {
 		return err
@@ -244,7 +253,7 @@
 	return nil
 }
 
-// get reads something by GET.
-func (s *session) get(ctx context.Context, from string) (*reply, error) {
-	return send(ctx, s.client, http.MethodGet, from, "")
+// get sends a GET request to a URL.
+func (s *session) get(ctx context.Context, target string) (*reply, error) {
+	return send(ctx, s.client, http.MethodGet, target, "")
 }
--- a/internal/conform/conform_test.go
+++ b/internal/conform/conform_test.go
@@ -16,12 +16,12 @@
 	"dunespoke/internal/lab/sign"
 )
 
-// run checks an endpoint with a defect.
+// run checks an endpoint that violates the requirement with the ID defect; empty: none.
 func run(t *testing.T, defect string) *Report {
 	t.Helper()
-	own := sign.Key(t)
+	clientKey := sign.Key(t)
 	c := &x509.Certificate{SerialNumber: big.NewInt(7), NotAfter: time.Now().Add(time.Hour)}
-	raw, err := x509.CreateCertificate(rand.Reader, c, c, &own.PublicKey, own)
+	raw, err := x509.CreateCertificate(rand.Reader, c, c, &clientKey.PublicKey, clientKey)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		t.Context(),
 		Target{URL: server.URL + "/introspect", ClientID: endpoint.ClientID, Secret: endpoint.Secret,
 			Token: endpoint.Token, TLS: &tls.Config{RootCAs: roots}, CertClient: endpoint.Certified,
-			Cert: &tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: own}},
+			Cert: &tls.Certificate{Certificate: [][]byte{raw}, PrivateKey: clientKey}},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -48,9 +48,9 @@
 	return report
 }
 
-// An endpoint that keeps all requirements passes all checks, and one that breaks a requirement fails its
-// check: a check that no defect can fail is none.
-func TestEachCheckFindsItsDefect(t *testing.T) {
+// An endpoint that satisfies all requirements passes all checks, and one that violates a requirement fails
+// its check. A check that no defect can fail would be useless.
+func TestEachCheckDetectsItsDefect(t *testing.T) {
 	for _, r := range run(t, "").Results {
 		if r.Verdict != Pass {
 			t.Errorf("without a defect: %s %s: %s", r.ID, r.Verdict, r.Why)
@@ -90,8 +90,8 @@
 	}
 }
 
-// A report of an endpoint that is not there tells no secret and no token.
-func TestReportsHoldNoSecrets(t *testing.T) {
+// A report about an unreachable endpoint contains neither the secret nor the token.
+func TestReportsContainNoSecrets(t *testing.T) {
 	r, err := Run(
 		t.Context(),
 		Target{URL: "http://127.0.0.1:1/", ClientID: "app", Secret: "s3cr3t", Token: "t0k3n"},
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestTargetsThatMakeNoSense(t *testing.T) {
+func TestInvalidTargets(t *testing.T) {
 	for _, target := range []Target{{}, {URL: "x"}, {URL: "ftp://x", ClientID: "a", Token: "b"},
 		{URL: "https://x", ClientID: "a"}} {
 		if _, err := Run(t.Context(), target); err == nil {
-			t.Errorf("%+v is taken", target)
+			t.Errorf("%+v is accepted", target)
 		}
 	}
 }
--- a/internal/conform/report.go
+++ b/internal/conform/report.go
@@ -7,15 +7,15 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes a report for people.
+// WriteTable writes the report as a human-readable table, followed by the counts of verdicts.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	count := map[Verdict]int{}
-	for _, x := range r.Results {
-		count[x.Verdict]++
-		line := fmt.Sprintf("%s\t%s\t%s\t%s", x.ID, x.Verdict, x.Section, x.Text)
-		if x.Why != "" {
-			line += ": " + x.Why
+	for _, result := range r.Results {
+		count[result.Verdict]++
+		line := fmt.Sprintf("%s\t%s\t%s\t%s", result.ID, result.Verdict, result.Section, result.Text)
+		if result.Why != "" {
+			line += ": " + result.Why
 		}
 		fmt.Fprintln(t, line)
 	}
@@ -26,7 +26,7 @@
 	return err
 }
 
-// WriteJSON writes a report for programs.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
