--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,17 +1,17 @@
-// Package scenario plays small scripts against network code under test. A script has one step a line:
+// Package scenario runs short scripts against network code under test. A script has one step per line:
 //
-//	PARTY send TEXT        writes the text, with Go's escapes
-//	PARTY expect TEXT      waits until the text has come, and passes over it and what came before
+//	PARTY send TEXT        writes the text, which may contain Go escapes
+//	PARTY expect TEXT      waits until the text is received, and discards it and what precedes it
 //	PARTY close            closes the party's connection
-//	PARTY wait closed      waits until the other side has closed
-//	PARTY wait nothing     what has come so far has all been expected
-//	PARTY wait something   something has come already that has not been expected
-//	PARTY wait 1.5s        lets time pass
+//	PARTY wait closed      waits until the peer closes the connection
+//	PARTY wait nothing     fails if data was received that has not been expected
+//	PARTY wait something   fails unless data was received that has not been expected
+//	PARTY wait 1.5s        advances the time
 //
-// A party whose name begins with "client" connects to the address "ingress" at its first step. Any other
-// waits for a connection to the address that its name is, less digits at the end: app1 and app2 are the first
-// and the second connection taken at "app". Scripts are played in a bubble of testing/synctest, on a network
-// in memory, so that no time passes outside. $NAME stands for a text of the script's words.
+// A party whose name starts with "client" connects to the address "ingress" at its first step. Any other
+// party accepts a connection at the address that is its name without trailing digits: app1 and app2 are the
+// first and the second connection accepted at "app". Scripts run in a bubble of testing/synctest, on an in-memory
+// network, so that no real time passes. $NAME is replaced by the script variable with that name.
 package scenario
 
 import (
@@ -27,16 +27,16 @@
 	"time"
 )
 
-// Net is a network in memory.
+// Net is an in-memory network. It is safe for concurrent use.
 type Net struct {
 	mu        sync.Mutex
-	listeners map[string]*listener
+	listeners map[string]*listener // by address
 }
 
 // NewNet returns an empty network.
 func NewNet() *Net { return &Net{listeners: map[string]*listener{}} }
 
-// Listen takes connections to an address.
+// Listen returns a listener for an address. It replaces any earlier listener of that address.
 func (n *Net) Listen(_, addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,7 +45,7 @@
 	return l, nil
 }
 
-// Dial connects to an address. Where nobody listens, it is refused.
+// Dial connects to an address. It returns an error if there is no open listener.
 func (n *Net) Dial(_ context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -58,16 +58,17 @@
 		return nil, errors.New("connection refused")
 	default:
 	}
-	near, far := net.Pipe()
-	l.conns <- far
-	return near, nil
+	local, remote := net.Pipe()
+	l.conns <- remote
+	return local, nil
 }
 
+// listener is an address of the network with its queue of connections to accept.
 type listener struct {
 	addr  string
 	conns chan net.Conn
 	once  sync.Once
-	done  chan struct{}
+	done  chan struct{} // closed by Close
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -91,11 +92,13 @@
 func (addr) Network() string  { return "memory" }
 func (a addr) String() string { return string(a) }
 
-// patience is how long a step may take: far over any limit of the code under test.
-const patience = 2 * time.Minute
+// stepTimeout limits one step, in the bubble's time. It is far longer than any timeout of the code under
+// test.
+const stepTimeout = 2 * time.Minute
 
-// Play plays a script. It is to be called within a bubble, with what is under test running.
-func Play(t *testing.T, n *Net, words map[string]string, script string) {
+// Play runs a script with variables. It must be called within a synctest bubble in which the code under test
+// is running. The first step that fails ends the script and fails the test.
+func Play(t *testing.T, n *Net, variables map[string]string, script string) {
 	t.Helper()
 	p := &player{t: t, net: n, parties: map[string]*party{}}
 	for i, line := range strings.Split(strings.TrimSpace(script), "\n") {
@@ -103,13 +106,13 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		for strings.Contains(line, "$") { // words may hold words
+		for strings.Contains(line, "$") { // values may contain variables
 			before := line
-			for name, text := range words {
+			for name, text := range variables {
 				line = strings.ReplaceAll(line, "$"+name, text)
 			}
 			if line == before {
-				t.Fatalf("step %d: %s: unknown word", i+1, line)
+				t.Fatalf("step %d: %s: unknown variable", i+1, line)
 			}
 		}
 		name, rest, _ := strings.Cut(line, " ")
@@ -125,6 +128,7 @@
 	synctest.Wait()
 }
 
+// player runs one script.
 type player struct {
 	t       *testing.T
 	net     *Net
@@ -133,19 +137,20 @@
 
 // party is one connection of a script.
 type party struct {
-	conn  net.Conn
-	mu    sync.Mutex
-	came  []byte
-	ended bool
-	news  chan struct{}
+	conn     net.Conn
+	mu       sync.Mutex
+	received []byte        // not yet expected by the script; guarded by mu
+	ended    bool          // reading has failed, or the peer has closed; guarded by mu
+	updated  chan struct{} // signals a change of received or ended; capacity 1
 }
 
+// step runs one step. It returns a description of the failure, or "".
 func (p *player) step(name, verb, text string) string {
 	switch {
 	case verb == "wait" && text == "nothing" && p.parties[name] == nil:
 		synctest.Wait()
 		if l := p.listener(name); l != nil && len(l.conns) > 0 {
-			return "a connection has come"
+			return "received a connection"
 		}
 		return ""
 	case verb == "wait" && text != "closed" && text != "nothing" && text != "something":
@@ -153,7 +158,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		time.Sleep(d) // of the bubble's clock
+		time.Sleep(d) // on the bubble's clock
 		synctest.Wait()
 		return ""
 	}
@@ -167,15 +172,15 @@
 	}
 	switch verb {
 	case "send":
-		x.conn.SetWriteDeadline(time.Now().Add(patience))
+		x.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
 		if _, err := x.conn.Write([]byte(text)); err != nil {
 			return err.Error()
 		}
 	case "expect":
 		problem = x.await(func() bool {
-			_, after, found := bytes.Cut(x.came, []byte(text))
+			_, after, found := bytes.Cut(x.received, []byte(text))
 			if found {
-				x.came = after
+				x.received = after
 			}
 			return found
 		})
@@ -189,28 +194,30 @@
 		synctest.Wait()
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		if (len(x.came) > 0) != (text == "something") {
-			return "what has come: " + strconv.Quote(string(x.came))
+		if (len(x.received) > 0) != (text == "something") {
+			return "data received but not expected: " + strconv.Quote(string(x.received))
 		}
 	default:
 		return "unknown verb"
 	}
-	synctest.Wait() // the code under test may still be busy with what the step has seen
+	synctest.Wait() // the code under test may still be processing the step
 	return problem
 }
 
+// listener returns the listener for a party's name, or nil.
 func (p *player) listener(name string) *listener {
 	p.net.mu.Lock()
 	defer p.net.mu.Unlock()
 	return p.net.listeners[strings.TrimRight(name, "0123456789")]
 }
 
-// party returns the connection that a name stands for.
+// party returns the party with a name, and opens or accepts its connection if it is new. The string describes
+// a failure, or is "".
 func (p *player) party(name string) (*party, string) {
 	if x := p.parties[name]; x != nil {
 		return x, ""
 	}
-	x := &party{news: make(chan struct{}, 1)}
+	x := &party{updated: make(chan struct{}, 1)}
 	if strings.HasPrefix(name, "client") {
 		c, err := p.net.Dial(context.Background(), "memory", "ingress")
 		if err != nil {
@@ -220,30 +227,31 @@
 	} else {
 		l := p.listener(name)
 		if l == nil {
-			return nil, "nobody listens there"
+			return nil, "no listener at this address"
 		}
 		select {
 		case x.conn = <-l.conns:
-		case <-time.After(patience):
-			return nil, "no connection came"
+		case <-time.After(stepTimeout):
+			return nil, "received no connection"
 		}
 	}
 	p.parties[name] = x
-	go x.pump()
+	go x.readAll()
 	return x, ""
 }
 
-// pump reads on whatever comes: sockets have buffers, and a peer that waits does not hold up its sender.
-func (x *party) pump() {
+// readAll reads continuously until the connection ends, as if sockets had unlimited buffers: a script that
+// isn't at an expect step doesn't block the sender.
+func (x *party) readAll() {
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := x.conn.Read(buf)
 		x.mu.Lock()
-		x.came = append(x.came, buf[:n]...)
+		x.received = append(x.received, buf[:n]...)
 		x.ended = err != nil
 		x.mu.Unlock()
 		select {
-		case x.news <- struct{}{}:
+		case x.updated <- struct{}{}:
 		default:
 		}
 		if err != nil {
@@ -252,27 +260,29 @@
 	}
 }
 
+// await waits until done returns true. It calls done with mu held. It returns a description of the failure if
+// the connection ends or the step times out first, or "".
 func (x *party) await(done func() bool) string {
-	late := time.After(patience)
+	timeout := time.After(stepTimeout)
 	for {
 		x.mu.Lock()
-		ok, ended, came := done(), x.ended, string(x.came)
+		ok, ended, received := done(), x.ended, string(x.received)
 		x.mu.Unlock()
 		if ok {
 			return ""
 		}
 		if ended {
-			return "the connection has ended; before came " + strconv.Quote(came)
+			return "the connection has ended; received only " + strconv.Quote(received)
 		}
 		select {
-		case <-x.news:
-		case <-late:
-			return "only came " + strconv.Quote(came)
+		case <-x.updated:
+		case <-timeout:
+			return "timed out; received only " + strconv.Quote(received)
 		}
 	}
 }
 
-// Close ends all listeners, and the connections that nobody took.
+// Close closes all listeners, and the connections that were not accepted.
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
