--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -184,7 +184,8 @@
 	}
 	for _, p := range g.Plans {
 		if !(p.Rate >= 0 && p.Rate < 1e9) || !(p.Burst >= 0 && p.Burst < 1e9) || p.Rate > 0 && p.Burst < 1 {
-			f.add(keyPrefix+"plan["+p.Name+"]", "rate and burst must not be negative, and a rate needs a burst")
+			f.add(keyPrefix+"plan["+p.Name+"]",
+				"rate and burst must not be negative, and a rate requires a burst of at least 1")
 		}
 	}
 	list := make([]routes.Route, len(g.Routes))
--- a/internal/config/introspection.go
+++ b/internal/config/introspection.go
@@ -120,7 +120,7 @@
 	Name      string   `toml:"name"`
 	Iss       string   `toml:"iss"`      // iss claim of its JWTs
 	Prefixes  []string `toml:"prefixes"` // prefixes of its tokens
-	Rest      bool     `toml:"rest"`     // gets unmatched tokens, as one without iss and prefixes does
+	Rest      bool     `toml:"rest"`     // gets unmatched tokens; implied without iss and prefixes
 	Servers   []string `toml:"servers"`
 	Insecure  bool     `toml:"insecure"` // plain text; only to loopback addresses
 	TLS       TLS      `toml:"tls"`
--- a/internal/conform/checks.go
+++ b/internal/conform/checks.go
@@ -31,20 +31,20 @@
 	{"7662-4", "RFC 7662, 2.1", "a token_type_hint that does not fit is no obstacle", wrongHint},
 	{"7662-5", "RFC 7662, 2.1", "parameters that are not known are ignored", unknownParameter},
 	{"7662-6", "RFC 7662, 2.1", "a question by GET is not answered", getRejected},
-	{"7662-7", "RFC 7662, 2.2", "an answer is JSON, and says so", isJSON},
+	{"7662-7", "RFC 7662, 2.2", "an answer is JSON, and says so", responseIsJSON},
 	{"7662-8", "RFC 7662, 2.2", "active is there, and a boolean", activeIsBoolean},
 	{"7662-9", "RFC 7662, 2.2", "members of an active token have the types that are defined", memberTypes},
 	{"7662-10", "RFC 7662, 2.2", "an active token has not expired", notExpired},
 	{"7662-11", "RFC 7662, 2.2", "an unknown token is not an error, but not active", unknownToken},
-	{"7662-12", "RFC 7662, 2.2", "nothing else is told of a token that is not active", nothingElse},
+	{"7662-12", "RFC 7662, 2.2", "nothing else is told of a token that is not active", inactiveOnly},
 	{"7662-13", "RFC 7662, 4", "TLS 1.2 or newer, and no older", tlsVersions},
 	{"6749-1", "RFC 6749, 5.2", "a wrong secret is 401 with invalid_client", wrongSecret},
-	{"6749-2", "RFC 6749, 5.2", "a client that used Basic is challenged by it", challenged},
+	{"6749-2", "RFC 6749, 5.2", "a client that used Basic is challenged by it", basicChallenge},
 	{"6749-3", "RFC 6749, 5.2", "an error is JSON, and says so", errorIsJSON},
 	{"6749-4", "RFC 6749, 5.2", "a parameter that comes twice is invalid_request", duplicateParameter},
 	{"6749-5", "RFC 6749, 2.3", "two ways of client authentication are invalid_request", twoMethods},
 	{"6749-6", "RFC 6749, 2.3.1", "credentials in the URL let nobody in", credentialsInURL},
-	{"6749-7", "RFC 6749, 5.2", "a body that is not a form is no question", notAForm},
+	{"6749-7", "RFC 6749, 5.2", "a body that is not a form is no question", nonFormBody},
 	{"6750-1", "RFC 6750, 3.1", "a bearer token that is not valid is 401", invalidBearer},
 	{"6750-2", "RFC 6750, 3", "and is challenged by Bearer with invalid_token", bearerChallenge},
 	{"6750-3", "RFC 6750, 2.3", "a bearer token in the URL lets nobody in", bearerInURL},
@@ -74,6 +74,7 @@
 	{"8705-3", "RFC 8705, 2", "another certificate is invalid_client", otherCertificate},
 }
 
+// activeToken checks that the configured token is reported as active, with status 200.
 func activeToken(ctx context.Context, s *session) error {
 	r, err := s.introspect(ctx, s.Token)
 	if err != nil {
@@ -88,6 +89,7 @@
 	return nil
 }
 
+// authorization checks that a request without credentials gets status 401.
 func authorization(ctx context.Context, s *session) error {
 	r, err := s.post(ctx, url.Values{"token": {s.Token}})
 	if err != nil {
@@ -96,6 +98,7 @@
 	return r.wantStatus(http.StatusUnauthorized)
 }
 
+// tokenRequired checks that a request without a token is an invalid_request.
 func tokenRequired(ctx context.Context, s *session) error {
 	r, err := s.post(ctx, url.Values{"token_type_hint": {"access_token"}}, s.basic)
 	if err != nil {
@@ -122,6 +125,7 @@
 	return stillActive(ctx, s, "no_such_parameter", "x")
 }
 
+// getRejected checks that introspection by GET is rejected.
 func getRejected(ctx context.Context, s *session) error {
 	r, err := send(ctx, s.client, http.MethodGet, s.URL+"?token="+url.QueryEscape(s.Token), "", s.basic)
 	if err == nil && r.status < 400 {
@@ -145,7 +149,7 @@
 	return err
 }
 
-func isJSON(ctx context.Context, s *session) error {
+func responseIsJSON(ctx context.Context, s *session) error {
 	r, err := s.introspect(ctx, s.Token)
 	if err != nil {
 		return err
@@ -175,6 +179,7 @@
 	return nil
 }
 
+// memberTypes checks the JSON types of the members that RFC 7662 defines.
 func memberTypes(ctx context.Context, s *session) error {
 	o, err := s.object(ctx, s.Token)
 	if err != nil {
@@ -204,6 +209,7 @@
 	return nil
 }
 
+// notExpired checks that exp of an active token is not more than a minute in the past.
 func notExpired(ctx context.Context, s *session) error {
 	o, err := s.object(ctx, s.Token)
 	if err != nil {
@@ -231,7 +237,8 @@
 	return err
 }
 
-func nothingElse(ctx context.Context, s *session) error {
+// inactiveOnly checks that a response about an inactive token has no member besides active.
+func inactiveOnly(ctx context.Context, s *session) error {
 	o, err := s.object(ctx, s.inactive)
 	if err == nil && len(o) != 1 {
 		err = fmt.Errorf("the response has %d members, want only active", len(o))
@@ -239,6 +246,7 @@
 	return err
 }
 
+// tlsVersions checks that the server accepts TLS 1.2 or 1.3, and rejects TLS 1.0 and 1.1.
 func tlsVersions(ctx context.Context, s *session) error {
 	if !s.https {
 		return skipped("the URL is not https")
@@ -288,7 +296,8 @@
 	return r.wantError(http.StatusUnauthorized, "invalid_client")
 }
 
-func challenged(ctx context.Context, s *session) error {
+// basicChallenge checks that a wrong secret sent by HTTP Basic gets a Basic challenge.
+func basicChallenge(ctx context.Context, s *session) error {
 	r, err := s.withWrongSecret(ctx)
 	if err == nil && !hasScheme(r.header, "Basic") {
 		err = fmt.Errorf("WWW-Authenticate %q", r.header.Values("WWW-Authenticate"))
@@ -312,6 +321,7 @@
 	return r.wantJSON()
 }
 
+// duplicateParameter checks that a repeated token parameter is an invalid_request.
 func duplicateParameter(ctx context.Context, s *session) error {
 	r, err := s.post(ctx, url.Values{"token": {s.Token, s.Token}}, s.basic)
 	if err != nil {
@@ -320,6 +330,7 @@
 	return r.wantError(http.StatusBadRequest, "invalid_request")
 }
 
+// twoMethods checks that credentials in both the header and the body are an invalid_request.
 func twoMethods(ctx context.Context, s *session) error {
 	r, err := s.post(
 		ctx,
@@ -332,6 +343,7 @@
 	return r.wantError(http.StatusBadRequest, "invalid_request")
 }
 
+// credentialsInURL checks that client credentials in the query are rejected.
 func credentialsInURL(ctx context.Context, s *session) error {
 	query := url.Values{"client_id": {s.ClientID}, "client_secret": {s.Secret}}
 	r, err := send(
@@ -347,7 +359,8 @@
 	return err
 }
 
-func notAForm(ctx context.Context, s *session) error {
+// nonFormBody checks that a body with Content-Type application/json is rejected.
+func nonFormBody(ctx context.Context, s *session) error {
 	r, err := s.introspect(ctx, s.Token,
 		func(r *http.Request) { r.Header.Set("Content-Type", "application/json") })
 	if err == nil && r.status < 400 {
@@ -383,6 +396,7 @@
 	return nil
 }
 
+// bearerInURL checks that an access token in the query doesn't authenticate the request.
 func bearerInURL(ctx context.Context, s *session) error {
 	r, err := send(ctx, s.client, http.MethodPost, s.URL+"?access_token="+url.QueryEscape(s.Token),
 		url.Values{"token": {s.Token}}.Encode())
@@ -456,6 +470,7 @@
 	return all
 }
 
+// metadataMethods checks that the metadata lists client_secret_basic, which these checks use.
 func metadataMethods(ctx context.Context, s *session) error {
 	_, o, err := s.metadata(ctx)
 	if err != nil {
@@ -468,6 +483,7 @@
 	return nil
 }
 
+// metadataAlgorithms checks that signing algorithms are listed if an assertion method is, and never "none".
 func metadataAlgorithms(ctx context.Context, s *session) error {
 	_, o, err := s.metadata(ctx)
 	if err != nil {
@@ -571,6 +587,7 @@
 	return err
 }
 
+// signedByKey checks that a key of the JWKS verifies a signed response.
 func signedByKey(ctx context.Context, s *session) error {
 	set, err := s.keys(ctx)
 	if err != nil {
@@ -619,11 +636,13 @@
 	})
 }
 
+// signedNoSub checks that a signed response has neither sub nor exp, so that it can't pass for another JWT.
 func signedNoSub(ctx context.Context, s *session) error {
 	return errors.Join(signedClaim(ctx, s, "sub", func(v any) bool { return v == nil }),
 		signedClaim(ctx, s, "exp", func(v any) bool { return v == nil }))
 }
 
+// signedInactive checks that a signed response about an inactive token has no member besides active.
 func signedInactive(ctx context.Context, s *session) error {
 	_, claims, err := s.signed(ctx, s.inactive)
 	if err != nil {
@@ -635,6 +654,7 @@
 	return nil
 }
 
+// jsonOnRequest checks that a request for application/json gets an unsigned response.
 func jsonOnRequest(ctx context.Context, s *session) error {
 	r, err := s.introspect(ctx, s.Token, accept("application/json"))
 	if err != nil {
--- a/internal/conform/conform.go
+++ b/internal/conform/conform.go
@@ -71,6 +71,7 @@
 	run               func(ctx context.Context, s *session) error
 }
 
+// skipped is the reason why a check could not be made. It is not a failure.
 type skipped string
 
 func (s skipped) Error() string { return string(s) }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -32,6 +32,7 @@
 	count     int
 }
 
+// wildcardHost contains the paths of a host pattern "*.suffix".
 type wildcardHost struct {
 	suffix string // includes the leading dot
 	root   *node
@@ -50,6 +51,7 @@
 	byMethod map[string]target
 }
 
+// target is the route that a path and method lead to.
 type target struct {
 	route    int
 	varNames []string // the path's variables, in order
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -10,8 +10,8 @@
 //
 // A party whose name starts with "client" connects to the address "ingress" at its first step. Any other
 // party accepts a connection at the address that is its name without trailing digits: app1 and app2 are the
-// first and the second connection accepted at "app". Scripts run in a bubble of testing/synctest, on an in-memory
-// network, so that no real time passes. $NAME is replaced by the script variable with that name.
+// first and the second connection accepted at "app". Scripts run in a bubble of testing/synctest, on an
+// in-memory network, so that no real time passes. $NAME is replaced by the script variable with that name.
 package scenario
 
 import (
@@ -195,7 +195,7 @@
 		x.mu.Lock()
 		defer x.mu.Unlock()
 		if (len(x.received) > 0) != (text == "something") {
-			return "data received but not expected: " + strconv.Quote(string(x.received))
+			return "received since the last expect: " + strconv.Quote(string(x.received))
 		}
 	default:
 		return "unknown verb"
