--- a/cmd/dunespoke/fleet.go
+++ b/cmd/dunespoke/fleet.go
@@ -257,8 +257,8 @@
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
 		return fmt.Errorf("answer of %s: %w", f.Mgmt, err)
 	}
-	fmt.Fprintf(out, "%s: record %s, epoch %d of generation %d, leader %s, last confirmed by a "+
-		"majority %d ms ago\n", s.Name, s.Standing, s.Epoch, s.Generation, cmp.Or(s.Leader, "none"), s.FreshMS)
+	fmt.Fprintf(out, "%s: record %s, epoch %d of generation %d, leader %s, a majority stood behind it "+
+		"%d ms ago\n", s.Name, s.Standing, s.Epoch, s.Generation, cmp.Or(s.Leader, "none"), s.FreshMS)
 	c := s.Messages
 	fmt.Fprintf(out, "messages in %d, out %d, not sent %d, forged %d, replayed %d, malformed %d\n",
 		c.In, c.Out, c.Unsent, c.Forged, c.Replayed, c.Malformed)
@@ -281,26 +281,26 @@
 	if err := json.Unmarshal([]byte(text), &z); err != nil {
 		return fmt.Errorf("answer of %s: %w", f.Mgmt, err)
 	}
-	fmt.Fprintf(out, "table of epoch %d, %s; last changed by %s: %s\n", z.Epoch, z.Standing,
-		cmp.Or(z.By, "nobody"), cmp.Or(z.Why, "never changed"))
+	fmt.Fprintf(out, "table of epoch %d, %s; the last change by %s: %s\n", z.Epoch, z.Standing,
+		cmp.Or(z.By, "nobody"), cmp.Or(z.Why, "there was none"))
 	for _, name := range slices.Sorted(maps.Keys(z.Links)) {
 		l, state := z.Links[name], "up"
 		if l.Down {
-			state = "avoided"
+			state = "left alone"
 		}
 		fmt.Fprintf(out, "%-16s %-10s since %s, flaps %d\n", name, state,
 			time.UnixMilli(l.Since).Format(time.RFC3339), l.Flaps)
 	}
 	now := time.Duration(time.Now().UnixNano())
 	for _, zone := range z.Orders.Evacuated(now) {
-		fmt.Fprintf(out, "%-16s evacuated by an operator until %s\n", zone,
+		fmt.Fprintf(out, "%-16s evacuated by staff until %s\n", zone,
 			time.UnixMilli(z.Orders.Evacuate[zone]).Format(time.RFC3339))
 	}
 	if z.Orders.Held(now) {
-		fmt.Fprintf(out, "frozen by an operator until %s\n", time.UnixMilli(z.Orders.Hold).Format(time.RFC3339))
+		fmt.Fprintf(out, "held by staff until %s\n", time.UnixMilli(z.Orders.Hold).Format(time.RFC3339))
 	}
 	for _, name := range z.Ill {
-		fmt.Fprintf(out, "%-16s unhealthy: it accepts no clients\n", name)
+		fmt.Fprintf(out, "%-16s ill: it takes no clients\n", name)
 	}
 	return nil
 }
--- a/fleet/common/machine.go
+++ b/fleet/common/machine.go
@@ -595,10 +595,10 @@
 // independently, each for the members that it reaches.
 func (m *Machine) Recover() error {
 	if !m.voter {
-		return fmt.Errorf("%s is not a voter; the voters are %v", m.c.Name, m.c.Voters)
+		return fmt.Errorf("%s is no voter: want one of %v", m.c.Name, m.c.Voters)
 	}
 	if !m.leaderMissing() {
-		return errors.New("a leader was heard from within the last seconds: no recovery is needed")
+		return errors.New("a leader was heard of within the last seconds: nothing is lost")
 	}
 	m.forceRecovery = true
 	return nil
--- a/fleet/node/node.go
+++ b/fleet/node/node.go
@@ -253,7 +253,7 @@
 	case <-n.done:
 		return errors.New("this ingress has left the fleet")
 	case <-t.C:
-		return errors.New("this ingress does not participate in the fleet yet")
+		return errors.New("this ingress does not take part in the fleet yet")
 	}
 }
 
@@ -309,7 +309,7 @@
 }
 
 // errPending is returned for a change that was neither applied nor refused within callTimeout.
-var errPending = errors.New("not decided yet: the change stays pending while this ingress runs")
+var errPending = errors.New("not decided yet: it stays proposed for as long as this ingress runs")
 
 // Put proposes a new value for a key of the record, and waits up to callTimeout for the result.
 func (n *Node) Put(key string, value json.RawMessage, why string) error {
@@ -330,7 +330,7 @@
 		return err
 	}
 	if tooMany {
-		return fmt.Errorf("%d changes are already pending on this ingress", maxPendingChanges)
+		return fmt.Errorf("%d changes wait here for a majority already", maxPendingChanges)
 	}
 	for until := time.Now().Add(callTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if d, ok := n.Record().Done(id); ok {
@@ -348,5 +348,5 @@
 	if m := n.members.Load(); m != nil {
 		return m.Keys(keys)
 	}
-	return errors.New("this ingress does not listen on the fleet address yet")
+	return errors.New("the fleet's address is not taken yet")
 }
--- a/fleet/node/zones.go
+++ b/fleet/node/zones.go
@@ -94,7 +94,7 @@
 func (n *Node) Order(why string, change func(now time.Duration, o *zones.Orders) *zones.Orders) error {
 	orders := &zones.Orders{}
 	if err := steer.Read(n.Record().Entries[steer.OrdersKey], orders); err != nil {
-		return fmt.Errorf("decoding the present orders: %w", err)
+		return fmt.Errorf("the orders so far: %w", err)
 	}
 	value, err := json.Marshal(change(n.now(), orders))
 	if err != nil {
--- a/fleet/steer/steer.go
+++ b/fleet/steer/steer.go
@@ -222,7 +222,7 @@
 		s.table, s.orders = &zones.Table{}, &zones.Orders{}
 		s.tableEpoch, s.ordersEpoch = e.Epoch, o.Epoch
 		if err := errors.Join(Read(e, s.table), Read(o, s.orders)); err != nil {
-			s.errs = append(s.errs, fmt.Errorf("decoding the table of zones and the orders: %w", err))
+			s.errs = append(s.errs, fmt.Errorf("table of zones: %w", err))
 		}
 	}
 	next := Course{Independent: independent, Epoch: max(e.Epoch, o.Epoch), By: e.By, Why: e.Why}
--- a/internal/controlplane/replica/fault_tolerance.go
+++ b/internal/controlplane/replica/fault_tolerance.go
@@ -122,7 +122,7 @@
 	required := t.requiredMembers(members)
 	for _, k := range t.domainKinds() {
 		if n, names := k.remaining(healthy, k.maxLost); n < required && k.maxLost > 0 {
-			return fmt.Sprintf("after the loss of %s %s, %d of the %d members would remain, but %d are required",
+			return fmt.Sprintf("after the loss of %s %s %d of the %d members would be left, and %d have to be",
 				k.name, strings.Join(names, " and "), n, len(members), required)
 		}
 	}
--- a/internal/controlplane/replica/membership_change.go
+++ b/internal/controlplane/replica/membership_change.go
@@ -156,7 +156,7 @@
 	}
 	if current := r.membership.request; current != nil {
 		if current.add != order.AddMember || current.remove != order.RemoveMember {
-			r.respondToChange(client, refuseChange("another requested change is in progress: try again"))
+			r.respondToChange(client, refuseChange("another change by hand is under way: try again"))
 			return
 		}
 		current.client = client // the response goes to the latest client
@@ -224,12 +224,12 @@
 		}
 	}
 	if remove != "" && !hasAddress(members, remove) {
-		return nil, refuseChange("there is no member at %s", remove)
+		return nil, refuseChange("no member is at %s", remove)
 	}
 	if add == "" {
 		next = withoutAddress(members, remove)
 	} else if next = withReplacement(members, remove, added); next == nil {
-		return nil, refuseChange("the maximum number of members is reached")
+		return nil, refuseChange("there is no place for more members")
 	}
 	if err := r.checkMembership(next, add); err != nil {
 		return nil, err
@@ -242,9 +242,9 @@
 	l := r.membership.learners[addr]
 	switch {
 	case hasAddress(r.store.saved.Members, addr):
-		return message.Node{}, refuseChange("%s is already a member", addr)
+		return message.Node{}, refuseChange("%s is a member already", addr)
 	case l == nil || !l.heard(r.now):
-		return message.Node{}, refuseChange("no machine with a disk has announced itself recently at %s", addr)
+		return message.Node{}, refuseChange("no machine with a disk says that it is there at %s", addr)
 	case !l.caughtUp:
 		return message.Node{}, refuseChange("%s has not caught up yet: try again", addr)
 	}
@@ -261,12 +261,12 @@
 		}
 	}
 	if len(next) <= r.tolerance.Machines {
-		return refuseChange("%d members would remain: the failure of %d could not be tolerated", len(next),
+		return refuseChange("%d members would be left: the loss of %d could not be tolerated", len(next),
 			r.tolerance.Machines)
 	}
 	if votes < majority(next) {
-		return refuseChange("no quorum would remain: "+
-			"%d members, of which %d are reachable and can vote, but %d are required",
+		return refuseChange("no quorum would be left: "+
+			"of the %d members, %d are heard and have a vote, and %d have to",
 			len(next), votes, majority(next))
 	}
 	if !r.tolerance.coversDomains() {
@@ -278,7 +278,7 @@
 	})
 	gap := r.tolerance.gap(remaining, next)
 	if gap != "" && r.tolerance.gap(healthy, r.store.saved.Members) == "" {
-		return refuseChange("a failure that can be tolerated now could not be tolerated any more: %s", gap)
+		return refuseChange("a loss that can be tolerated now could not be any more: %s", gap)
 	}
 	return nil
 }
--- a/internal/controlplane/replica/tolerance_monitor.go
+++ b/internal/controlplane/replica/tolerance_monitor.go
@@ -33,7 +33,7 @@
 		return ""
 	}
 	if !r.ServingWithQuorum() || len(r.store.saved.OutgoingMembers) > 0 {
-		return "no view is serving here, or its membership is changing"
+		return "no view serves here, or its members are changing"
 	}
 	return r.tolerance.gap(r.healthyMembers(), r.store.saved.Members)
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -72,7 +72,7 @@
 
 // Errors of Match.
 var (
-	ErrPath   = errors.New("the path is invalid, ambiguous or too long")
+	ErrPath   = errors.New("the path is not one that leads anywhere by one reading alone")
 	ErrNone   = errors.New("no route")
 	ErrMethod = errors.New("no route for this method")
 )
@@ -82,7 +82,7 @@
 
 // Error lists the allowed methods.
 func (e *MethodError) Error() string {
-	return fmt.Sprintf("%v; allowed methods: %s", ErrMethod, strings.Join(e.Allow, ", "))
+	return fmt.Sprintf("%v, but for %s", ErrMethod, strings.Join(e.Allow, ", "))
 }
 
 // Is reports whether the error is an ErrMethod.
--- a/internal/routing/diff.go
+++ b/internal/routing/diff.go
@@ -18,7 +18,7 @@
 	for _, name := range slices.Sorted(maps.Keys(updated.Tenants)) {
 		if before := old.Tenants[name]; before != nil {
 			if removed, added := countChanged(before.APIKeys, updated.Tenants[name].APIKeys); removed+added > 0 {
-				lines = append(lines, fmt.Sprintf("~ customer %s: %d keys removed, %d added", name, removed, added))
+				lines = append(lines, fmt.Sprintf("~ customer %s: %d keys taken away, %d added", name, removed, added))
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 	descriptions := map[string]string{}
 	for _, r := range table.Routes {
 		descriptions[r.Name] = fmt.Sprintf(
-			"%s%s %s to %v, timeout %v, latency target %v, rank %d, tries %d, public %v", r.Domain, r.PathPrefix,
+			"%s%s %s to %v, give up %v, target %v, rank %d, tries %d, public %v", r.Domain, r.PathPrefix,
 			r.Kind, r.Shares, r.Timeout, r.LatencyTarget, r.Priority, r.MaxAttempts, r.Public)
 	}
 	return descriptions
@@ -72,7 +72,7 @@
 }
 
 func describeTenant(t *Tenant) string {
-	return fmt.Sprintf("%g requests/s, burst %g, rank %d", t.RatePerSecond, t.Burst, t.Priority)
+	return fmt.Sprintf("%g a second, burst %g, rank %d", t.RatePerSecond, t.Burst, t.Priority)
 }
 
 // countChanged returns how many elements are only in the first list, and how many only in the second.
--- a/internal/routing/parse.go
+++ b/internal/routing/parse.go
@@ -85,7 +85,7 @@
 	digits, ok := strings.CutPrefix(text, "r")
 	n, err := strconv.ParseUint(digits, 10, 63)
 	if !ok || err != nil || digits[0] == '+' || n == 0 {
-		return 0, trace.BadParameter("version %q: want r followed by a number above 0", text)
+		return 0, trace.BadParameter("version %q: want r and a number above 0", text)
 	}
 	return n, nil
 }
@@ -94,7 +94,7 @@
 func Parse(body []byte) (*Table, error) {
 	var doc configDocument
 	if err := json.Unmarshal(body, &doc); err != nil {
-		return nil, trace.BadParameter("configuration: invalid JSON: %v", err)
+		return nil, trace.BadParameter("configuration: can't be read whole: %v", err)
 	}
 	version, err := Version(doc.Version)
 	if err != nil {
@@ -175,7 +175,7 @@
 	}
 	table.RequiresKeys = true
 	if t.RatePerSecond < 0 || t.Burst < 0 {
-		return trace.BadParameter("allowed_per_s and burst_size must not be negative")
+		return trace.BadParameter("a quota below 0")
 	}
 	name := item.Metadata.Name
 	table.Tenants[name] = &Tenant{Name: name, APIKeys: t.APIKeys, Priority: t.Priority,
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -67,13 +67,13 @@
 		{`"give_up_s":0.8`, `"give_up_s":601`, "give_up_s"},
 		{`"give_up_s":0.8,`, ``, "give_up_s"},
 		{`"domain":"one.example","path_start":"/x/"`, `"domain":"","path_start":"/x/"`, "domain"},
-		{`"share":90},{"backend":"s2","share":10`, `"share":0},{"backend":"s2","share":0`, "at least one share"},
-		{`/x/y/`, `/x/`, "same domain and path_start"},
+		{`"share":90},{"backend":"s2","share":10`, `"share":0},{"backend":"s2","share":0`, "add up to nothing"},
+		{`/x/y/`, `/x/`, "same place"},
 		{`["k3"]`, `["k1"]`, "share a key"},
 		{`"r7"`, `"7"`, "version"},
 		{`"r7"`, `"r0"`, "number above 0"},
 		{`"item_kind":"limits"`, `"item_kind":7`, "item_kind"},
-		{`"idle_s":15}}]}`, `"idle_s":15}}`, "cannot be decoded as JSON"},
+		{`"idle_s":15}}]}`, `"idle_s":15}}`, "can't be read whole"},
 		{`"path_start":"/x/"`, `"path_start":"/x"`, "path_start"},
 	} {
 		if _, err := Validate(config(c.old, c.new)); err == nil || !strings.Contains(err.Error(), c.message) {
@@ -126,8 +126,8 @@
 	after := &Table{Tenants: map[string]*Tenant{"t": {Name: "t", RatePerSecond: 5,
 		APIKeys: []string{"secret-2", "secret-3"}}}}
 	lines := strings.Join(Diff(before, after), "\n")
-	if strings.Contains(lines, "secret") || !strings.Contains(lines, "1 keys removed, 1 added") ||
-		!strings.Contains(lines, "5 requests/s") {
+	if strings.Contains(lines, "secret") || !strings.Contains(lines, "1 keys taken away, 1 added") ||
+		!strings.Contains(lines, "5 a second") {
 		t.Errorf("%s", lines)
 	}
 }
--- a/internal/routing/validate.go
+++ b/internal/routing/validate.go
@@ -13,19 +13,19 @@
 	total := 0.0
 	for _, s := range r.Shares {
 		if s.Weight < 0 {
-			return trace.BadParameter("share must not be negative")
+			return trace.BadParameter("a share below 0")
 		}
 		total += s.Weight
 	}
 	switch {
 	case r.Domain == "":
-		return trace.BadParameter("domain must not be empty")
+		return trace.BadParameter("an empty domain")
 	case !(timeoutSeconds > 0): // zero, negative or NaN
 		return trace.BadParameter("give_up_s must be above 0")
 	case timeoutSeconds > maxTimeout.Seconds():
-		return trace.BadParameter("give_up_s must be at most ten minutes")
+		return trace.BadParameter("give_up_s is over ten minutes")
 	case total <= 0:
-		return trace.BadParameter("at least one share must be above 0")
+		return trace.BadParameter("shares that add up to nothing")
 	case !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/"):
 		return trace.BadParameter("path_start must begin and end with a slash")
 	}
@@ -47,7 +47,7 @@
 		route := &table.Routes[i]
 		for _, share := range route.Shares {
 			if _, known := table.Services[share.Service]; !known {
-				return trace.BadParameter("configuration: route %q refers to unknown service %q", route.Name,
+				return trace.BadParameter("configuration: route %q names an unknown service %q", route.Name,
 					share.Service)
 			}
 		}
@@ -56,7 +56,7 @@
 	for host, routes := range table.routesByHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 		if a, b := samePrefix(routes); a != nil {
-			return trace.BadParameter("configuration: routes %q and %q have the same domain and path_start: %s%s",
+			return trace.BadParameter("configuration: routes %q and %q have the same place %s%s",
 				a.Name, b.Name, host, a.PathPrefix)
 		}
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -44,7 +44,7 @@
 	}
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return trace.BadParameter("cannot be decoded as JSON: %v", err)
+		return trace.BadParameter("can't be read whole: %v", err)
 	}
 	if err := compiled.Validate(doc); err != nil {
 		lines := strings.Split(err.Error(), "\n")
