--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// Chunks takes a chunked body apart as its bytes come.
+// Chunks decodes a chunked body incrementally. It is not safe for concurrent use.
 type Chunks struct {
-	state chunkState
-	left  int    // bytes of the present chunk still to come
-	line  []byte // of a size or a trailer, as far as it came
+	state     chunkState
+	remaining int    // bytes of the current chunk that have not been received
+	line      []byte // the part received so far of a chunk size line or a trailer line
 
-	keep    int    // bytes of trailers to keep; 0: none
-	trailer []byte // those kept, each line with its end
+	maxTrailer int    // maximum number of trailer bytes to store; zero discards trailers
+	trailer    []byte // stored trailer lines, including their line endings
 }
 
 type chunkState int
@@ -22,10 +22,12 @@
 	chunkDone
 )
 
-const longestLine = 256 // of a chunk's size with extensions, or of a trailer
+// maxLineLength is the maximum length in bytes of a chunk size line with its extensions, or of a trailer
+// line.
+const maxLineLength = 256
 
-// Feed takes bytes, hands those of the body to data, and returns how many it used: fewer than all only once
-// the body has ended, as done tells.
+// Feed decodes p, passes the bytes of the body to data, and returns the number of bytes consumed. That number
+// is less than len(p) only if the body has ended, which done reports, or on an error.
 func (c *Chunks) Feed(p []byte, data func([]byte)) (used int, done bool, err error) {
 	for {
 		piece, n, done, err := c.One(p[used:])
@@ -39,14 +41,14 @@
 	}
 }
 
-// One takes bytes up to the end of the first ones that belong to the body, which it returns where they
-// stand, and how many it used.
+// One decodes p up to the end of the first run of body bytes. It returns that run as a subslice of p, and the
+// number of bytes consumed.
 func (c *Chunks) One(p []byte) (piece []byte, used int, done bool, err error) {
 	for used < len(p) && c.state != chunkDone {
 		if c.state == chunkData {
-			n := min(c.left, len(p)-used)
+			n := min(c.remaining, len(p)-used)
 			piece = p[used : used+n]
-			if c.left -= n; c.left == 0 {
+			if c.remaining -= n; c.remaining == 0 {
 				c.state = chunkEnd
 			}
 			return piece, used + n, false, nil
@@ -59,8 +61,8 @@
 			c.line = append(c.line, p[used:used+end+1]...)
 			used += end + 1
 		}
-		if len(c.line) > longestLine {
-			return nil, used, false, bad(400, "chunk-line-too-long")
+		if len(c.line) > maxLineLength {
+			return nil, used, false, newError(400, "chunk-line-too-long")
 		}
 		if end >= 0 {
 			if err := c.endLine(); err != nil {
@@ -71,17 +73,17 @@
 	return nil, used, c.state == chunkDone, nil
 }
 
-// endLine handles a whole line outside the data.
+// endLine processes a complete line outside the chunk data.
 func (c *Chunks) endLine() error {
 	line, ok := bytes.CutSuffix(c.line, []byte("\r\n"))
 	c.line = c.line[:0]
 	if !ok {
-		return bad(400, "bare-line-feed")
+		return newError(400, "bare-line-feed")
 	}
 	switch c.state {
 	case chunkEnd:
 		if len(line) != 0 {
-			return bad(400, "chunk-too-long")
+			return newError(400, "chunk-too-long")
 		}
 		c.state = chunkSize
 	case chunkTrailer:
@@ -91,11 +93,11 @@
 		}
 		name, _, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") || bytes.ContainsAny(line, "\r\x00") {
-			return bad(400, "trailer-line")
+			return newError(400, "trailer-line")
 		}
-		if c.keep > 0 {
-			if len(c.trailer)+len(line)+2 > c.keep {
-				return bad(431, "trailer-too-large")
+		if c.maxTrailer > 0 {
+			if len(c.trailer)+len(line)+2 > c.maxTrailer {
+				return newError(431, "trailer-too-large")
 			}
 			c.trailer = append(append(c.trailer, line...), '\r', '\n')
 		}
@@ -103,9 +105,9 @@
 		digits, _, _ := bytes.Cut(line, []byte(";"))
 		size, ok := hexSize(bytes.TrimRight(digits, " \t"))
 		if !ok {
-			return bad(400, "chunk-size")
+			return newError(400, "chunk-size")
 		}
-		c.left, c.state = size, chunkData
+		c.remaining, c.state = size, chunkData
 		if size == 0 {
 			c.state = chunkTrailer
 		}
@@ -113,7 +115,8 @@
 	return nil
 }
 
-// hexSize reads a chunk's size: hex digits alone, and few enough for an int of 32 bits.
+// hexSize parses a chunk size. It accepts only hex digits, and at most 7 of them, so that the size fits in a
+// 32-bit int.
 func hexSize(digits []byte) (n int, ok bool) {
 	if len(digits) == 0 || len(digits) > 7 {
 		return 0, false
--- a/internal/http1/framer.go
+++ b/internal/http1/framer.go
@@ -1,5 +1,5 @@
-// Package http1 holds the protocol machines of HTTP/1.1. They are fed bytes and know neither sockets nor
-// clocks. They find where a message ends, and leave what it says to http.ReadRequest and http.ReadResponse.
+// Package http1 implements incremental HTTP/1.1 parsers that are fed bytes and use neither sockets nor
+// clocks. They find message boundaries; http.ReadRequest and http.ReadResponse parse the messages.
 package http1
 
 import (
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Error is what is wrong with a message, and the status that says so to a client.
+// Error is a protocol error in a message, with the HTTP status that reports it to a client.
 type Error struct {
 	Status int
 	Reason string // a code for log lines
@@ -16,32 +16,33 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Reason, e.Status) }
 
-func bad(status int, reason string) error { return &Error{status, reason} }
+func newError(status int, reason string) error { return &Error{status, reason} }
 
-// Limits bound a message.
+// Limits holds the maximum sizes in bytes of the head and the body of a message.
 type Limits struct{ Head, Body int }
 
-// DefaultLimits are those of the platform: 64 KiB of body, and a head far over what its clients send.
+// DefaultLimits holds the limits of the platform: 64 KiB for a body, and 16 KiB for a head, which is far more
+// than its clients send.
 var DefaultLimits = Limits{Head: 16 << 10, Body: 64 << 10}
 
-// keepMost is how much memory a framer keeps for messages to come.
-const keepMost = 16 << 10
+// maxRetainedBuffer is the maximum buffer capacity in bytes that is kept for later messages.
+const maxRetainedBuffer = 16 << 10
 
-// Framer cuts a stream of bytes into whole messages.
+// Framer splits a byte stream into complete messages. It is not safe for concurrent use.
 type Framer struct {
-	limits   Limits
-	response bool
-	buf      []byte
-	scanned  int // bytes of buf looked at
-	head     int // length of the head, once it is whole
-	form     form
-	need     int // bytes of the whole message, with formLength
-	body     int // bytes of chunked data so far
-	chunks   Chunks
-	ready    int  // bytes of the message handed out last
-	asked    bool // WantsContinue was answered
-	interims int  // 1xx responses passed over before this one
-	err      error
+	limits          Limits
+	response        bool
+	buf             []byte
+	scanned         int // bytes of buf examined so far
+	headLen         int // length of the head; zero until it is complete
+	form            form
+	messageLen      int // length of the complete message, with formLength
+	bodyLen         int // bytes of chunked data received so far
+	chunks          Chunks
+	returned        int  // length of the message returned last, which is still in buf
+	continueChecked bool // WantsContinue has been evaluated for this message
+	interims        int  // number of 1xx responses skipped before this response
+	err             error
 }
 
 type form int
@@ -49,35 +50,36 @@
 const (
 	formLength form = iota
 	formChunked
-	formUntilEnd // responses only
+	formUntilEnd // the body ends with the connection; responses only
 )
 
-// NewRequests returns a framer for a client's requests.
+// NewRequests returns a framer for requests from a client.
 func NewRequests(l Limits) *Framer { return &Framer{limits: l} }
 
-// NewResponses returns a framer for a server's responses.
+// NewResponses returns a framer for responses from a server.
 func NewResponses(l Limits) *Framer { return &Framer{limits: l, response: true} }
 
-// Feed takes bytes as they came.
+// Feed appends received bytes to the stream.
 func (f *Framer) Feed(p []byte) { f.buf = append(f.buf, p...) }
 
-// Buffered returns how many bytes wait for Next.
-func (f *Framer) Buffered() int { return len(f.buf) - f.ready }
+// Buffered returns the number of bytes that Next has not returned yet.
+func (f *Framer) Buffered() int { return len(f.buf) - f.returned }
 
-// Started reports whether part of a message is here.
+// Started reports whether part of a message has been received.
 func (f *Framer) Started() bool { return f.Buffered() > 0 }
 
-// WantsContinue reports, once for a request, that its head has come and asks whether to send its body.
+// WantsContinue reports whether the head of a request has been received, without any byte of its body, and
+// expects "100 Continue". It returns true at most once for each request.
 func (f *Framer) WantsContinue() bool {
-	if f.response || f.head == 0 || f.asked || len(f.buf) > f.head {
+	if f.response || f.headLen == 0 || f.continueChecked || len(f.buf) > f.headLen {
 		return false
 	}
-	f.asked = true
-	return bytes.Contains(bytes.ToLower(f.buf[:f.head]), []byte("\nexpect: 100-continue\r\n"))
+	f.continueChecked = true
+	return bytes.Contains(bytes.ToLower(f.buf[:f.headLen]), []byte("\nexpect: 100-continue\r\n"))
 }
 
-// Next returns the next whole message, or nothing if more bytes are needed. The message is valid until the
-// next call of Feed or Next. After an error the stream can't be read on.
+// Next returns the next complete message, or nil if more bytes are needed. The message is valid until the
+// next call of Feed or Next. After an error every later call returns the same error.
 func (f *Framer) Next() ([]byte, error) {
 	if f.err != nil {
 		return nil, f.err
@@ -88,28 +90,28 @@
 	return msg, err
 }
 
-// End tells that the stream has ended, and returns the message that its end completes, if one does.
+// End handles the end of the stream, and returns the message that it completes, if there is one.
 func (f *Framer) End() ([]byte, error) {
 	msg, err := f.Next()
 	switch {
 	case err != nil || msg != nil:
 		return msg, err
-	case f.head > 0 && f.form == formUntilEnd:
-		f.ready = len(f.buf)
+	case f.headLen > 0 && f.form == formUntilEnd:
+		f.returned = len(f.buf)
 		return f.buf, nil
 	case f.Started():
-		return nil, bad(400, "cut-short")
+		return nil, newError(400, "cut-short")
 	}
 	return nil, nil
 }
 
-// drop removes the message handed out last.
+// drop removes the message returned last from the buffer.
 func (f *Framer) drop() {
-	if f.ready == 0 {
+	if f.returned == 0 {
 		return
 	}
-	rest := copy(f.buf, f.buf[f.ready:])
-	if cap(f.buf) > keepMost && rest <= keepMost { // one large message must not hold its memory for good
+	rest := copy(f.buf, f.buf[f.returned:])
+	if cap(f.buf) > maxRetainedBuffer && rest <= maxRetainedBuffer { // release the memory of a large message
 		f.buf = append(make([]byte, 0, rest), f.buf[:rest]...)
 	}
 	line := f.chunks.line[:0]
@@ -117,44 +119,45 @@
 }
 
 func (f *Framer) next() ([]byte, error) {
-	if f.head == 0 {
-		if err := f.findHead(); err != nil || f.head == 0 {
+	if f.headLen == 0 {
+		if err := f.findHead(); err != nil || f.headLen == 0 {
 			return nil, err
 		}
 	}
 	switch f.form {
 	case formLength:
-		if len(f.buf) < f.need {
+		if len(f.buf) < f.messageLen {
 			return nil, nil
 		}
-		f.ready = f.need
+		f.returned = f.messageLen
 	case formChunked:
-		used, done, err := f.chunks.Feed(f.buf[f.scanned:], func(p []byte) { f.body += len(p) })
+		used, done, err := f.chunks.Feed(f.buf[f.scanned:], func(p []byte) { f.bodyLen += len(p) })
 		f.scanned += used
 		switch {
 		case err != nil:
 			return nil, err
-		case f.body > f.limits.Body || f.scanned-f.head > 4*f.limits.Body: // the latter of tiny chunks
-			return nil, bad(413, "body-too-large")
+		case f.bodyLen > f.limits.Body || f.scanned-f.headLen > 4*f.limits.Body: // tiny chunks
+			return nil, newError(413, "body-too-large")
 		case !done:
 			return nil, nil
 		}
-		f.ready = f.scanned
+		f.returned = f.scanned
 	case formUntilEnd:
-		if len(f.buf)-f.head > f.limits.Body {
-			return nil, bad(413, "body-too-large")
+		if len(f.buf)-f.headLen > f.limits.Body {
+			return nil, newError(413, "body-too-large")
 		}
 		return nil, nil
 	}
-	return f.buf[:f.ready], nil
+	return f.buf[:f.returned], nil
 }
 
-// findHead looks for the end of the head and works out how the body is framed.
+// findHead searches for the end of the head and determines how the body is framed.
 func (f *Framer) findHead() error {
-	if f.response && !statusBegins(f.buf) { // at once: noise may hold an empty line, or never end
-		return bad(502, "status-line")
+	// Checked before the end of the head is known: other data may contain an empty line, or never end.
+	if f.response && !hasStatusLinePrefix(f.buf) {
+		return newError(502, "status-line")
 	}
-	for { // an empty line before a message is passed over, as RFC 9112 asks
+	for { // skip empty lines before a request, as RFC 9112 recommends
 		if f.response || !bytes.HasPrefix(f.buf, []byte("\r\n")) {
 			break
 		}
@@ -164,83 +167,84 @@
 	if end < 0 {
 		f.scanned = len(f.buf)
 		if len(f.buf) > f.limits.Head {
-			return bad(431, "head-too-large")
+			return newError(431, "head-too-large")
 		}
 		if i := bytes.IndexByte(f.buf, '\n'); i == 0 || i > 0 && f.buf[i-1] != '\r' {
-			return bad(400, "bare-line-feed") // or such a head would never end
+			return newError(400, "bare-line-feed") // the end of such a head would never be found
 		}
 		return nil
 	}
 	head := max(0, f.scanned-3) + end + 4
 	if head > f.limits.Head {
-		return bad(431, "head-too-large")
+		return newError(431, "head-too-large")
 	}
 	if err := f.frame(f.buf[:head-2]); err != nil {
 		return err
 	}
 	if f.response && interim(f.buf[:head]) {
-		if f.interims++; f.interims > mostInterim {
-			return bad(502, "too-many-interim")
+		if f.interims++; f.interims > maxInterimResponses {
+			return newError(502, "too-many-interim")
 		}
 		f.buf, f.scanned = f.buf[head:], 0
-		f.form, f.need = formLength, 0
+		f.form, f.messageLen = formLength, 0
 		return f.findHead()
 	}
-	f.head, f.scanned = head, head
-	f.need += head
+	f.headLen, f.scanned = head, head
+	f.messageLen += head
 	return nil
 }
 
-// mostInterim is how many 1xx responses may go before one: a server that sends them without end never
-// answers.
-const mostInterim = 16
+// maxInterimResponses is the maximum number of 1xx responses before a final one. It guards against a
+// server that sends them endlessly and never sends a final response.
+const maxInterimResponses = 16
 
 const statusStart = "HTTP/1."
 
-// statusBegins reports whether bytes may be the beginning of a status line, as far as they came.
-func statusBegins(p []byte) bool {
+// hasStatusLinePrefix reports whether the bytes received so far may be the start of a status line.
+func hasStatusLinePrefix(p []byte) bool {
 	n := min(len(p), len(statusStart))
 	return string(p[:n]) == statusStart[:n]
 }
 
-// statusLine reports whether a line is one: the version, and a status of three digits.
+// statusLine reports whether line is a status line: an HTTP/1 version, followed by a status of three digits.
 func statusLine(line []byte) bool {
 	version, rest, _ := bytes.Cut(line, []byte(" "))
 	status, _, _ := bytes.Cut(rest, []byte(" "))
 	_, digits := decimal(status)
-	return statusBegins(line) && len(version) == len(statusStart)+1 && len(status) == 3 && digits
+	return hasStatusLinePrefix(line) && len(version) == len(statusStart)+1 && len(status) == 3 && digits
 }
 
-// interim reports whether a response only goes before the true one.
+// interim reports whether head belongs to an interim (1xx) response.
 func interim(head []byte) bool {
 	_, status, _ := bytes.Cut(head, []byte(" "))
 	return len(status) > 0 && status[0] == '1'
 }
 
-// frame reads from the lines of a head how long the body is, and whether it is too long.
+// frame determines the framing of the body from the header lines, and returns an error if the body is too
+// large.
 func (f *Framer) frame(lines []byte) error {
 	form, length, err := framing(lines, f.response)
 	switch {
 	case err != nil:
 		return err
 	case form == formLength && length > int64(f.limits.Body):
-		return bad(413, "body-too-large")
+		return newError(413, "body-too-large")
 	}
-	f.form, f.need = form, int(length)
+	f.form, f.messageLen = form, int(length)
 	return nil
 }
 
-// framing reads from the lines of a head how a body is framed, and its length where it has one. It guards
-// against messages that two readers could take for different ones: a length and chunks, two lengths, two
-// hosts, lines carried on, odd line ends.
+// framing determines from the lines of a head how the body is framed, and its length if it has one. It
+// rejects messages that two parsers could interpret differently (request smuggling): a length together with
+// chunks, two lengths, two hosts, folded header lines and bare line feeds.
 func framing(lines []byte, response bool) (form, int64, error) {
 	length, chunked, host := int64(-1), false, false
 	first, lines, _ := bytes.Cut(lines, []byte("\r\n"))
 	if bytes.IndexByte(first, '\n') >= 0 {
-		return 0, 0, bad(400, "bare-line-feed")
+		return 0, 0, newError(400, "bare-line-feed")
 	}
 	if response && !statusLine(first) {
-		return 0, 0, bad(502, "status-line")
+		return 0, 0, newError(502, "status-line")
 	}
 	for len(lines) > 0 {
 		var line []byte
@@ -248,30 +252,30 @@
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		switch {
 		case bytes.ContainsAny(line, "\n\r\x00"):
-			return 0, 0, bad(400, "bare-line-feed")
+			return 0, 0, newError(400, "bare-line-feed")
 		case !ok || len(name) == 0 || bytes.ContainsAny(name, " \t"):
-			return 0, 0, bad(400, "header-line")
+			return 0, 0, newError(400, "header-line")
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			n, ok := decimal(bytes.Trim(value, " \t"))
 			if !ok || length >= 0 {
-				return 0, 0, bad(400, "content-length")
+				return 0, 0, newError(400, "content-length")
 			}
 			length = n
 		case !response && bytes.EqualFold(name, []byte("Host")):
 			if host {
-				return 0, 0, bad(400, "two-hosts")
+				return 0, 0, newError(400, "two-hosts")
 			}
 			host = true
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			if chunked || !bytes.EqualFold(bytes.Trim(value, " \t"), []byte("chunked")) {
-				return 0, 0, bad(400, "transfer-encoding")
+				return 0, 0, newError(400, "transfer-encoding")
 			}
 			chunked = true
 		}
 	}
 	switch {
 	case chunked && length >= 0:
-		return 0, 0, bad(400, "length-and-chunked")
+		return 0, 0, newError(400, "length-and-chunked")
 	case response && bodyless(first):
 		return formLength, 0, nil
 	case chunked:
@@ -282,17 +286,18 @@
 	return formLength, max(0, length), nil
 }
 
-// bodyless reports whether a status line is of a response that never has a body.
+// bodyless reports whether a status line belongs to a response that never has a body: 1xx, 204 or 304.
 func bodyless(first []byte) bool {
 	_, status, _ := bytes.Cut(first, []byte(" "))
 	return bytes.HasPrefix(status, []byte("1")) || bytes.HasPrefix(status, []byte("204")) ||
 		bytes.HasPrefix(status, []byte("304"))
 }
 
-// decimal reads a length: digits alone, and fewer than an int64 holds.
+// decimal parses a length. It accepts only digits, and at most 15 of them, so that the length fits in
+// an int64.
 func decimal(digits []byte) (n int64, ok bool) {
-	odd := func(r rune) bool { return r < '0' || r > '9' }
-	if len(digits) == 0 || len(digits) > 15 || bytes.ContainsFunc(digits, odd) {
+	notDigit := func(r rune) bool { return r < '0' || r > '9' }
+	if len(digits) == 0 || len(digits) > 15 || bytes.ContainsFunc(digits, notDigit) {
 		return 0, false
 	}
 	n, err := strconv.ParseInt(string(digits), 10, 64)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// frame feeds a stream in pieces and returns what is cut from it.
+// frame feeds stream to f in parts of piece bytes, and returns the messages found.
 func frame(f *Framer, stream string, piece int) (msgs []string, err error) {
 	for len(stream) > 0 && err == nil {
 		n := min(piece, len(stream))
@@ -30,7 +30,7 @@
 	post = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
-func TestRequestsAreCutAlikeHoweverTheyCome(t *testing.T) {
+func TestFramerRequestsWithAnyReadSize(t *testing.T) {
 	for stream, want := range map[string]int{
 		get: 1,
 		"\r\n" + get + "POST /x HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc" + get: 3,
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhatCanBeReadInTwoWaysIsRefused(t *testing.T) {
+func TestFramerRejectsMalformedAndOversizedRequests(t *testing.T) {
 	for stream, status := range map[string]int{
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                    400,
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n":                             400,
@@ -71,12 +71,12 @@
 	}
 }
 
-func TestResponsesAndTheirEnds(t *testing.T) {
+func TestFramerResponsesAndEnd(t *testing.T) {
 	f := NewResponses(DefaultLimits)
 	const stream = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end"
 	msgs, err := frame(f, stream, 5)
 	if err != nil || len(msgs) != 1 {
-		t.Fatalf("%q, %v: want the 204 alone", msgs, err)
+		t.Fatalf("%q, %v: want only the 204", msgs, err)
 	}
 	if msg, err := f.End(); err != nil || !bytes.HasSuffix(msg, []byte("to the end")) {
 		t.Errorf("at the end %q, %v", msg, err)
@@ -84,11 +84,11 @@
 	f = NewResponses(DefaultLimits)
 	frame(f, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", 100)
 	if msg, err := f.End(); err == nil {
-		t.Errorf("a cut answer passed as %q", msg)
+		t.Errorf("a truncated response was accepted as %q", msg)
 	}
 }
 
-func TestAnswerReadsBack(t *testing.T) {
+func TestAnswerRoundTrip(t *testing.T) {
 	a := Answer{Status: 429, Header: [][2]string{{"Retry-After", "0.250"}}, Body: []byte("later")}
 	r, err := new(Parser).Response(a.Append(nil, true))
 	if err != nil || r.StatusCode != http.StatusTooManyRequests || !r.Close ||
@@ -123,8 +123,8 @@
 	}
 }
 
-// Whatever comes, a framer must not panic, must cut the same messages however the bytes are split, and must
-// give out only what net/http then reads or refuses in good order.
+// For any input, a framer must not panic, must find the same messages however the bytes are split into reads,
+// and must return only messages that net/http parses or rejects without a fault.
 func FuzzRequests(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\n\r\n", uint8(3))
 	f.Add("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", uint8(1))
@@ -134,7 +134,7 @@
 		whole, err := frame(NewRequests(limits), stream, len(stream)+1)
 		parts, errParts := frame(NewRequests(limits), stream, int(piece)+1)
 		if err == nil && errParts == nil && strings.Join(whole, "|") != strings.Join(parts, "|") {
-			t.Fatalf("%q whole, %q in parts", whole, parts)
+			t.Fatalf("%q when fed at once, %q in parts", whole, parts)
 		}
 		for _, msg := range whole {
 			if r, err := new(Parser).Request([]byte(msg)); err == nil && len(r.Content) > limits.Body {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -12,20 +12,20 @@
 	"strings"
 )
 
-// Request is a whole request.
+// Request is a complete request.
 type Request struct {
 	*http.Request
 	Content []byte   // the body
-	Peer    net.Addr // who sent it, where the driver tells
+	Peer    net.Addr // address of the sender; nil if the caller does not set it
 }
 
-// Response is a whole response.
+// Response is a complete response.
 type Response struct {
 	*http.Response
 	Content []byte
 }
 
-// Parser turns whole messages into requests or responses.
+// Parser parses complete messages into requests or responses. It is not safe for concurrent use.
 type Parser struct {
 	bytes bytes.Reader
 	buf   *bufio.Reader
@@ -41,18 +41,18 @@
 	return p.buf
 }
 
-// Request parses a whole request.
+// Request parses a complete request.
 func (p *Parser) Request(msg []byte) (*Request, error) {
 	r, err := http.ReadRequest(p.reader(msg))
 	if err != nil {
-		return nil, bad(400, "malformed")
+		return nil, newError(400, "malformed")
 	}
 	if r.ProtoMajor != 1 {
-		return nil, bad(505, "version")
+		return nil, newError(505, "version")
 	}
 	content, err := body(r.Body, r.ContentLength)
 	if err != nil {
-		return nil, bad(400, "malformed-body")
+		return nil, newError(400, "malformed-body")
 	}
 	return &Request{Request: r, Content: content}, nil
 }
@@ -62,9 +62,9 @@
 	r, err := http.ReadRequest(p.reader(head))
 	switch {
 	case err != nil:
-		return nil, bad(400, "malformed")
+		return nil, newError(400, "malformed")
 	case r.ProtoMajor != 1:
-		return nil, bad(505, "version")
+		return nil, newError(505, "version")
 	}
 	r.Body = nil
 	return r, nil
@@ -74,26 +74,26 @@
 func (p *Parser) ResponseHead(head []byte, method string) (*http.Response, error) {
 	r, err := http.ReadResponse(p.reader(head), &http.Request{Method: method})
 	if err != nil {
-		return nil, bad(502, "malformed")
+		return nil, newError(502, "malformed")
 	}
 	r.Body, r.Request = nil, nil
 	return r, nil
 }
 
-// Response parses a whole response to a request that was not HEAD.
+// Response parses a complete response to a request other than HEAD.
 func (p *Parser) Response(msg []byte) (*Response, error) {
 	r, err := http.ReadResponse(p.reader(msg), nil)
 	if err != nil {
-		return nil, bad(502, "malformed")
+		return nil, newError(502, "malformed")
 	}
 	content, err := body(r.Body, r.ContentLength)
 	if err != nil {
-		return nil, bad(502, "malformed-body")
+		return nil, newError(502, "malformed-body")
 	}
 	return &Response{r, content}, nil
 }
 
-// body reads a body at once where its length is known, and to its end where it is not.
+// body reads length bytes from r, or up to the end of r if length is negative (unknown).
 func body(r io.Reader, length int64) ([]byte, error) {
 	switch {
 	case length == 0:
@@ -106,14 +106,14 @@
 	return content, err
 }
 
-// Answer is a response to be written.
+// Answer is a response to send.
 type Answer struct {
 	Status int
-	Header [][2]string // beside the framing
+	Header [][2]string // name and value of each header other than Content-Length and Connection
 	Body   []byte
 }
 
-// Problem is the answer to a request that can't be read.
+// Problem returns the response to a request that could not be parsed.
 func Problem(err error) *Answer {
 	status, text := 400, "malformed"
 	var e *Error
@@ -123,7 +123,8 @@
 	return Plain(status, text)
 }
 
-// Promises reports whether a status tells that the request has not run and never will.
+// Promises reports whether a response with this status guarantees that the request has not been executed and
+// never will be.
 func Promises(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
@@ -133,14 +134,15 @@
 	return false
 }
 
-// Plain is an answer of one line of text.
+// Plain returns a plain text response of one line.
 func Plain(status int, text string) *Answer {
 	return &Answer{Status: status, Header: [][2]string{{"Content-Type", "text/plain; charset=utf-8"}},
 		Body: []byte(text + "\n")}
 }
 
-// Append writes the answer's bytes behind buf. With last, it says that the connection closes after it.
-func (a *Answer) Append(buf []byte, last bool) []byte {
+// Append appends the encoded response to buf. If closing is set, the response says that the connection closes
+// after it.
+func (a *Answer) Append(buf []byte, closing bool) []byte {
 	buf = append(buf, "HTTP/1.1 "...)
 	buf = strconv.AppendInt(buf, int64(a.Status), 10)
 	buf = append(buf, ' ')
@@ -149,7 +151,7 @@
 	for _, h := range a.Header {
 		buf = AppendHeader(buf, h[0], h[1])
 	}
-	if last {
+	if closing {
 		buf = AppendHeader(buf, "Connection", "close")
 	}
 	buf = AppendHeader(buf, "Content-Length", strconv.Itoa(len(a.Body)))
@@ -157,7 +159,7 @@
 	return append(buf, a.Body...)
 }
 
-// AppendHeader writes one header line behind buf.
+// AppendHeader appends one header line to buf.
 func AppendHeader(buf []byte, name, value string) []byte {
 	buf = append(buf, name...)
 	buf = append(buf, ": "...)
@@ -165,10 +167,11 @@
 	return append(buf, "\r\n"...)
 }
 
-// AppendHeaders writes header lines behind buf, in the order of their names, but for the framing of a body.
+// AppendHeaders appends the header lines of h to buf, sorted by name, except Content-Length and
+// Transfer-Encoding, which frame the body.
 func AppendHeaders(buf []byte, h http.Header) []byte {
-	var room [24]string
-	names := room[:0]
+	var nameBuf [24]string
+	names := nameBuf[:0]
 	for name := range h {
 		if name != "Content-Length" && name != "Transfer-Encoding" {
 			names = append(names, name)
@@ -183,32 +186,33 @@
 	return buf
 }
 
-// Decimal reads a number of digits, perhaps with a point between them. What else strconv takes (signs,
-// exponents, infinities, hex digits, underscores) no client has cause to send.
+// Decimal parses a number that consists of digits and at most one decimal point between them. It rejects the
+// other forms that strconv accepts (signs, exponents, infinities, hex digits, underscores), as no
+// client needs them.
 func Decimal(text string) (n float64, ok bool) {
-	odd := func(r rune) bool { return (r < '0' || r > '9') && r != '.' }
-	if strings.ContainsFunc(text, odd) || strings.HasPrefix(text, ".") || strings.HasSuffix(text, ".") {
+	notDecimal := func(r rune) bool { return (r < '0' || r > '9') && r != '.' }
+	if strings.ContainsFunc(text, notDecimal) || strings.HasPrefix(text, ".") || strings.HasSuffix(text, ".") {
 		return 0, false
 	}
 	n, err := strconv.ParseFloat(text, 64)
 	return n, err == nil
 }
 
-// Header lines that hold for one connection alone (RFC 9110, 7.6.1).
-var ofConnection = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
+// hopByHopHeaders lists the hop-by-hop headers, which apply to a single connection only (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Upgrade", "Transfer-Encoding"}
 
-// DropHops drops what holds for one connection alone, also what a Connection line names, but for the given
-// names: nobody may have those dropped.
-func DropHops(h http.Header, but ...string) {
+// DropHops removes the hop-by-hop headers from h, and the headers that a Connection header lists. The
+// names in except are kept even if a Connection header lists them, so that no sender can have them removed.
+func DropHops(h http.Header, except ...string) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !slices.Contains(but, name) {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !slices.Contains(except, name) {
 				delete(h, name)
 			}
 		}
 	}
-	for _, name := range ofConnection {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
--- a/internal/http1/pieces.go
+++ b/internal/http1/pieces.go
@@ -6,36 +6,36 @@
 	"strings"
 )
 
-// Kind is what Pieces has found.
+// Kind is the kind of a piece that Pieces.Next returns.
 type Kind int
 
-// The kinds of pieces of a message, in the order in which they come.
+// The kinds of pieces of a message, in the order in which they occur.
 const (
-	More    Kind = iota // nothing: more bytes are needed
-	Interim             // the head of a 1xx response, which goes before the true one
-	Head                // the head, with the empty line at its end
-	Data                // some of the body, without its framing
-	Trailer             // the lines after a chunked body that may be there, without the empty one at their end
-	End                 // the message is whole
+	More    Kind = iota // no piece: more bytes are needed
+	Interim             // the head of a 1xx response, which precedes the final one
+	Head                // the head, including the empty line at its end
+	Data                // part of the body, without its framing
+	Trailer             // the optional trailer lines of a chunked body, without the empty line at the end
+	End                 // the message is complete
 )
 
-// Pieces takes messages apart as their bytes come: the head first, then the body in pieces, so that nothing
-// grows with its length. The guards against messages that two readers could take for different ones are the
-// Framer's.
+// Pieces parses messages incrementally: it returns the head first and then the body in pieces, so that memory
+// use does not grow with the length of the body. It rejects the same ambiguous messages as Framer. It is not
+// safe for concurrent use.
 type Pieces struct {
-	response bool
-	most     int // bytes of a head, and of trailers
-	buf      []byte
-	used     int // bytes of buf handed out
-	scanned  int // bytes of a head looked at
-	state    pieceState
-	form     form
-	left     int64 // bytes of a body with a length still to come
-	chunks   Chunks
-	trailer  []byte
-	noBody   bool
-	interims int
-	err      error
+	response  bool
+	maxHead   int // maximum size in bytes of a head, and of the trailers
+	buf       []byte
+	used      int // bytes of buf that have been returned
+	scanned   int // bytes of the head examined so far
+	state     pieceState
+	form      form
+	remaining int64 // bytes of the body not received yet, with formLength
+	chunks    Chunks
+	trailer   []byte
+	noBody    bool
+	interims  int
+	err       error
 }
 
 type pieceState int
@@ -43,25 +43,25 @@
 const (
 	pieceHead pieceState = iota
 	pieceBody
-	pieceTrailer // chunks have ended, and their trailer is to be handed out
+	pieceTrailer // the chunks have ended; the trailer is returned next
 	pieceEnd
 )
 
-// RequestPieces returns a machine for a client's requests, with heads of at most so many bytes.
-func RequestPieces(mostHead int) *Pieces { return newPieces(mostHead, false) }
+// RequestPieces returns a parser for requests from a client, whose heads have at most maxHead bytes.
+func RequestPieces(maxHead int) *Pieces { return newPieces(maxHead, false) }
 
-// ResponsePieces returns a machine for a server's responses.
-func ResponsePieces(mostHead int) *Pieces { return newPieces(mostHead, true) }
+// ResponsePieces returns a parser for responses from a server, whose heads have at most maxHead bytes.
+func ResponsePieces(maxHead int) *Pieces { return newPieces(maxHead, true) }
 
-func newPieces(most int, response bool) *Pieces {
-	return &Pieces{response: response, most: most, chunks: Chunks{keep: most}}
+func newPieces(maxHead int, response bool) *Pieces {
+	return &Pieces{response: response, maxHead: maxHead, chunks: Chunks{maxTrailer: maxHead}}
 }
 
-// NoBody tells that the next response answers HEAD: it has no body, whatever its head says.
+// NoBody declares that the next response is to a HEAD request, and so has no body whatever its head says.
 func (p *Pieces) NoBody() { p.noBody = true }
 
-// Feed takes bytes as they came. Whoever feeds takes all pieces before it feeds again, so that no more is
-// held than was fed at once.
+// Feed appends received bytes to the stream. The caller must call Next until it returns More before the next
+// call of Feed, so that the buffer does not outgrow the bytes of a single call.
 func (p *Pieces) Feed(b []byte) {
 	if p.used > 0 {
 		p.buf = p.buf[:copy(p.buf, p.buf[p.used:])]
@@ -70,46 +70,48 @@
 	p.buf = append(p.buf, b...)
 }
 
-// Plain tells how many of the bytes that come next, at most so many, are all of the body, so that they need
-// no taking apart. Who passes them on without feeding them tells so by Passed.
-func (p *Pieces) Plain(most int) int {
+// Plain returns how many of the next bytes in the stream, up to limit, are known to be body bytes without
+// framing, so that they need no parsing. A caller that forwards such bytes without Feed must report
+// them to Passed.
+func (p *Pieces) Plain(limit int) int {
 	switch {
 	case p.err != nil || p.state != pieceBody || p.Buffered() > 0:
 		return 0
 	case p.form == formUntilEnd:
-		return most
+		return limit
 	case p.form == formLength:
-		return int(min(p.left, int64(most)))
+		return int(min(p.remaining, int64(limit)))
 	}
 	return 0
 }
 
-// Passed tells that so many plain bytes were not fed.
+// Passed records that n body bytes, as allowed by Plain, were forwarded without Feed.
 func (p *Pieces) Passed(n int) {
 	if p.form == formLength {
-		p.left -= int64(n)
+		p.remaining -= int64(n)
 	}
 }
 
-// Buffered returns how many bytes were fed and not handed out.
+// Buffered returns the number of bytes that Feed received and Next has not returned.
 func (p *Pieces) Buffered() int { return len(p.buf) - p.used }
 
-// Begun reports whether part of a message is here, or was handed out, and its end was not.
+// Begun reports whether part of a message has been received or returned, and its end has not been returned.
 func (p *Pieces) Begun() bool { return p.state != pieceHead || p.Buffered() > 0 }
 
-// Length tells how long the body is that follows the head handed out last; -1: not known before its end.
+// Length returns the length of the body that follows the head returned last, or -1 if it is unknown until the
+// body ends.
 func (p *Pieces) Length() int64 {
 	if p.form != formLength {
 		return -1
 	}
-	return p.left
+	return p.remaining
 }
 
-// Endless tells that only the end of the connection ends the body that follows the head handed out last.
+// Endless reports whether the body that follows the head returned last ends only with the connection.
 func (p *Pieces) Endless() bool { return p.form == formUntilEnd }
 
-// Next returns the next piece. Its bytes are valid until the next call of Feed or Next. After an error the
-// stream can't be read on.
+// Next returns the next piece. Its bytes are valid until the next call of Feed or Next. After an error
+// every later call returns the same error.
 func (p *Pieces) Next() (Kind, []byte, error) {
 	if p.err != nil {
 		return More, nil, p.err
@@ -119,8 +121,8 @@
 	return kind, piece, err
 }
 
-// Finish tells that the stream has ended. That completes a body without a length, and cuts any other message
-// short.
+// Finish handles the end of the stream. It completes a body that ends with the connection; any other
+// incomplete message is an error.
 func (p *Pieces) Finish() (Kind, error) {
 	switch {
 	case p.err != nil:
@@ -129,7 +131,7 @@
 		p.reset()
 		return End, nil
 	case p.Begun():
-		p.err = bad(400, "cut-short")
+		p.err = newError(400, "cut-short")
 		return More, p.err
 	}
 	return More, nil
@@ -143,7 +145,7 @@
 		return p.body()
 	case pieceTrailer:
 		p.state = pieceEnd
-		p.trailer = trailers(p.trailer)
+		p.trailer = allowedTrailers(p.trailer)
 		if len(p.trailer) > 0 {
 			return Trailer, p.trailer, nil
 		}
@@ -152,21 +154,21 @@
 	return End, nil, nil
 }
 
-// reset makes ready for the next message.
+// reset prepares for the next message.
 func (p *Pieces) reset() {
-	p.state, p.scanned, p.left, p.noBody, p.interims = pieceHead, 0, 0, false, 0
-	p.chunks = Chunks{line: p.chunks.line[:0], keep: p.most}
-	if p.Buffered() == 0 && cap(p.buf) > keepMost { // one long body must not hold its memory for good
+	p.state, p.scanned, p.remaining, p.noBody, p.interims = pieceHead, 0, 0, false, 0
+	p.chunks = Chunks{line: p.chunks.line[:0], maxTrailer: p.maxHead}
+	if p.Buffered() == 0 && cap(p.buf) > maxRetainedBuffer { // release the memory of a large body
 		p.buf, p.used = nil, 0
 	}
 }
 
 func (p *Pieces) findHead() (Kind, []byte, error) {
 	rest := p.buf[p.used:]
-	if p.response && !statusBegins(rest) {
-		return More, nil, bad(502, "status-line")
+	if p.response && !hasStatusLinePrefix(rest) {
+		return More, nil, newError(502, "status-line")
 	}
-	for !p.response && bytes.HasPrefix(rest, []byte("\r\n")) { // as RFC 9112 asks
+	for !p.response && bytes.HasPrefix(rest, []byte("\r\n")) { // skip empty lines, as RFC 9112 recommends
 		p.used, p.scanned = p.used+2, 0
 		rest = p.buf[p.used:]
 	}
@@ -174,17 +176,17 @@
 	end := bytes.Index(rest[min(from, len(rest)):], []byte("\r\n\r\n"))
 	if end < 0 {
 		p.scanned = len(rest)
-		if len(rest) > p.most {
-			return More, nil, bad(431, "head-too-large")
+		if len(rest) > p.maxHead {
+			return More, nil, newError(431, "head-too-large")
 		}
 		if i := bytes.IndexByte(rest, '\n'); i == 0 || i > 0 && rest[i-1] != '\r' {
-			return More, nil, bad(400, "bare-line-feed")
+			return More, nil, newError(400, "bare-line-feed")
 		}
 		return More, nil, nil
 	}
 	size := from + end + 4
-	if size > p.most {
-		return More, nil, bad(431, "head-too-large")
+	if size > p.maxHead {
+		return More, nil, newError(431, "head-too-large")
 	}
 	head := rest[:size]
 	form, length, err := framing(head[:size-2], p.response)
@@ -193,14 +195,14 @@
 	}
 	p.used, p.scanned = p.used+size, 0
 	if p.response && interim(head) {
-		if p.interims++; p.interims > mostInterim {
-			return More, nil, bad(502, "too-many-interim")
+		if p.interims++; p.interims > maxInterimResponses {
+			return More, nil, newError(502, "too-many-interim")
 		}
 		return Interim, head, nil
 	}
-	p.form, p.left, p.state = form, length, pieceBody
+	p.form, p.remaining, p.state = form, length, pieceBody
 	if p.noBody {
-		p.form, p.left = formLength, 0
+		p.form, p.remaining = formLength, 0
 	}
 	return Head, head, nil
 }
@@ -209,19 +211,19 @@
 	rest := p.buf[p.used:]
 	switch p.form {
 	case formLength:
-		if p.left == 0 {
+		if p.remaining == 0 {
 			p.reset()
 			return End, nil, nil
 		}
-		n := int(min(p.left, int64(len(rest))))
-		p.left -= int64(n)
+		n := int(min(p.remaining, int64(len(rest))))
+		p.remaining -= int64(n)
 		p.used += n
 		return dataOrMore(rest[:n])
 	case formUntilEnd:
 		p.used += len(rest)
 		return dataOrMore(rest)
 	}
-	// One chunk, or what has come of it, at a time: pieces are handed out where they stand.
+	// Return at most one chunk, or the received part of it, at a time: pieces are subslices of the buffer.
 	piece, used, done, err := p.chunks.One(rest)
 	p.used += used
 	switch {
@@ -244,9 +246,9 @@
 	return Data, piece, nil
 }
 
-// barred are the names of lines that a trailer must not hold: those that frame a message, route it, or hold
-// for one connection alone (RFC 9110, 6.5.1).
-var barred = []string{
+// notInTrailer lists the names of fields that must not occur in a trailer, such as those that frame a
+// message, route it, or apply to a single connection only (RFC 9110, 6.5.1).
+var notInTrailer = []string{
 	"content-length",
 	"transfer-encoding",
 	"host",
@@ -266,12 +268,12 @@
 	"content-range",
 }
 
-// trailers drops the lines that must not be in a trailer, in place.
-func trailers(lines []byte) []byte {
+// allowedTrailers removes the forbidden fields from the trailer lines, in place.
+func allowedTrailers(lines []byte) []byte {
 	kept := lines[:0]
 	for line := range bytes.Lines(lines) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
-		if !slices.ContainsFunc(barred, func(b string) bool { return strings.EqualFold(b, string(name)) }) {
+		if !slices.ContainsFunc(notInTrailer, func(b string) bool { return strings.EqualFold(b, string(name)) }) {
 			kept = append(kept, line...)
 		}
 	}
--- a/internal/http1/pieces_test.go
+++ b/internal/http1/pieces_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// take feeds a stream in parts and tells what came of it, one word a piece, data joined.
-func take(p *Pieces, stream string, part int) (told string, err error) {
+// readPieces feeds stream to p and returns one word for each piece found, with consecutive data joined.
+func readPieces(p *Pieces, stream string, part int) (events string, err error) {
 	var b strings.Builder
 	data := false
 	for len(stream) > 0 && err == nil {
@@ -59,7 +59,7 @@
 		"\r\n\r\n" + get:   "head(0) end",
 	} {
 		for _, part := range []int{1, 2, 7, 1000} {
-			if got, err := take(RequestPieces(1<<10), stream, part); err != nil || got != want {
+			if got, err := readPieces(RequestPieces(1<<10), stream, part); err != nil || got != want {
 				t.Errorf("%q in parts of %d:\n%s, %v\nwant %s", stream, part, got, err, want)
 			}
 		}
@@ -70,14 +70,14 @@
 		"HTTP/1.1 204 No\r\n\r\n" + "HTTP/1.1 304 Not\r\nContent-Length: 9\r\n\r\n": "head(0) end head(0) end",
 	} {
 		for _, part := range []int{1, 5, 1000} {
-			if got, err := take(ResponsePieces(1<<10), stream, part); err != nil || got != want {
+			if got, err := readPieces(ResponsePieces(1<<10), stream, part); err != nil || got != want {
 				t.Errorf("%q in parts of %d:\n%s, %v\nwant %s", stream, part, got, err, want)
 			}
 		}
 	}
 }
 
-func TestPiecesThatCanBeReadInTwoWays(t *testing.T) {
+func TestPiecesRejectMalformedAndOversizedRequests(t *testing.T) {
 	for stream, status := range map[string]int{
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n":          400,
@@ -91,7 +91,7 @@
 		post + "0\r\n" + strings.Repeat("A: "+strings.Repeat("b", 200)+"\r\n", 10): 431,
 		"GET / HTTP/1.1\r\nA: " + strings.Repeat("b", 2<<10):                       431,
 	} {
-		if got, err := take(RequestPieces(1<<10), stream, 9); statusOf(err) != status {
+		if got, err := readPieces(RequestPieces(1<<10), stream, 9); statusOf(err) != status {
 			t.Errorf("%.80q: %s, %v, want %d", stream, got, err, status)
 		}
 	}
@@ -104,7 +104,7 @@
 	return 0
 }
 
-func TestTheEndOfAStream(t *testing.T) {
+func TestPiecesFinish(t *testing.T) {
 	for stream, ok := range map[string]bool{
 		"HTTP/1.1 200 OK\r\n\r\nall":                                        true,
 		"HTTP/1.1 200 OK\r\n\r\n":                                           true,
@@ -115,7 +115,7 @@
 		"":                                                                  true,
 	} {
 		p := ResponsePieces(1 << 10)
-		if _, err := take(p, stream, 4); err != nil {
+		if _, err := readPieces(p, stream, 4); err != nil {
 			t.Errorf("%q: %v", stream, err)
 		}
 		if _, err := p.Finish(); (err == nil) != ok {
@@ -124,18 +124,18 @@
 	}
 	p := ResponsePieces(1 << 10)
 	p.NoBody()
-	if got, err := take(p, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", 100); got != "head(0) end" ||
+	if got, err := readPieces(p, "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", 100); got != "head(0) end" ||
 		err != nil {
-		t.Errorf("an answer to HEAD: %s, %v", got, err)
+		t.Errorf("response to HEAD: %s, %v", got, err)
 	}
 }
 
-// A body of any length passes in memory that does not grow.
-func TestNothingGrowsWithABody(t *testing.T) {
+// The buffer must not grow with the length of a body.
+func TestPiecesMemoryIsBounded(t *testing.T) {
 	p := RequestPieces(1 << 10)
 	p.Feed([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	chunk := []byte("1000\r\n" + strings.Repeat("x", 4096) + "\r\n")
-	passed := 0
+	returned := 0
 	for range 10_000 {
 		for kind := Head; kind != More; {
 			var piece []byte
@@ -144,31 +144,31 @@
 				t.Fatal(err)
 			}
 			if kind == Data {
-				passed += len(piece)
+				returned += len(piece)
 			}
 		}
 		p.Feed(chunk)
 	}
-	if passed < 9_999*4096 || cap(p.buf) > 16<<10 {
-		t.Errorf("%d bytes passed, and %d are held", passed, cap(p.buf))
+	if returned < 9_999*4096 || cap(p.buf) > 16<<10 {
+		t.Errorf("%d bytes returned, with a buffer of %d bytes", returned, cap(p.buf))
 	}
 }
 
-// Pieces and the Framer agree on every stream: on how many messages it holds and on whether it can be read.
+// Pieces and Framer must agree on the number of messages in every stream and on whether it is valid.
 func FuzzPiecesAgreeWithFramer(f *testing.F) {
 	f.Add(post+"3\r\nabc\r\n0\r\nA: b\r\n\r\n"+get, uint8(3))
 	f.Add("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET", uint8(1))
 	f.Fuzz(func(t *testing.T, stream string, part uint8) {
 		n := int(part) + 1
 		msgs, want := frame(NewRequests(DefaultLimits), stream, n)
-		told, got := take(RequestPieces(DefaultLimits.Head), stream, n)
+		events, got := readPieces(RequestPieces(DefaultLimits.Head), stream, n)
 		if s := statusOf(want); s == 413 || s == 431 || statusOf(got) == 431 {
-			return // limits of their own
+			return // the size limits of the two differ
 		}
-		ends := strings.Count(" "+told+" ", " end ")
+		ends := strings.Count(" "+events+" ", " end ")
 		if (got == nil) != (want == nil) || ends != len(msgs) && !strings.Contains(stream, "end") {
-			t.Fatalf("%q in parts of %d: the framer has %d messages and %v, the pieces are %s and %v", stream, n,
-				len(msgs), want, told, got)
+			t.Fatalf("%q in parts of %d: framer: %d messages, %v; pieces: %s, %v", stream, n,
+				len(msgs), want, events, got)
 		}
 	})
 }
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Stream takes apart a chunked response that stays open and holds one object a line.
+// Stream decodes a long-lived chunked response with one object per line. It is not safe for concurrent use.
 type Stream struct {
 	head   []byte
 	opened bool
@@ -14,29 +14,29 @@
 	line   []byte
 }
 
-// LongestObject is the most bytes of a list: tens of thousands of servers.
+// LongestObject is the maximum length of a line in bytes, enough for a list of tens of thousands of servers.
 const LongestObject = 4 << 20
 
-// Feed takes bytes as they came and hands each whole line to line, empty ones too. It reports done once the
-// response has ended.
+// Feed decodes received bytes and calls line for each complete line, including empty ones. It returns done
+// once the response has ended.
 func (s *Stream) Feed(p []byte, line func([]byte) error) (done bool, err error) {
 	if !s.opened {
 		s.head = append(s.head, p...)
 		end := bytes.Index(s.head, []byte("\r\n\r\n"))
 		switch {
 		case end < 0 && len(s.head) > DefaultLimits.Head:
-			return false, bad(502, "head-too-large")
+			return false, newError(502, "head-too-large")
 		case end < 0:
 			return false, nil
 		}
 		r, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(s.head[:end+4])), nil)
 		switch {
 		case err != nil:
-			return false, bad(502, "malformed")
+			return false, newError(502, "malformed")
 		case r.StatusCode != http.StatusOK:
-			return false, bad(r.StatusCode, "status")
+			return false, newError(r.StatusCode, "status")
 		case len(r.TransferEncoding) == 0:
-			return false, bad(502, "not-chunked")
+			return false, newError(502, "not-chunked")
 		}
 		p, s.head, s.opened = s.head[end+4:], nil, true
 	}
@@ -45,7 +45,7 @@
 		end := bytes.IndexByte(s.line, '\n')
 		if end < 0 {
 			if len(s.line) > LongestObject {
-				err = bad(502, "line-too-long")
+				err = newError(502, "line-too-long")
 			}
 			break
 		}
