--- a/internal/net/counter/counter.go
+++ b/internal/net/counter/counter.go
@@ -1,5 +1,5 @@
-// Package counter calls the quota counter over a few connections, on which calls follow one another without
-// waiting for answers. A name always goes by the same connection, so that its answers keep the calls' order.
+// Package counter is a client of the quota counter. It pipelines calls over a few persistent connections.
+// Calls for the same name always use the same one, so that their responses arrive in the order of the calls.
 package counter
 
 import (
@@ -23,105 +23,112 @@
 )
 
 const (
-	lanes    = 4                      // connections: the counter holds 32 from one address
-	mostOut  = 64                     // calls a connection may have unanswered, against a silent counter
-	idle     = 4 * time.Second        // after which a connection is closed: the counter does so within 10 s
-	silent   = time.Second            // without an answer after which a connection is given up for a new one
-	dialWait = 250 * time.Millisecond // for a connection to come up
-	restMin  = 20 * time.Millisecond  // between dials that fail
-	restMax  = time.Second
+	// Number of connections. The counter accepts at most 32 from one address.
+	pipelines = 4
+	// Maximum number of unanswered calls per connection, which bounds the calls to an unresponsive counter.
+	maxOutstanding = 64
+	// Time without calls after which a connection is closed. The counter itself closes idle ones within 10 s.
+	idleTimeout = 4 * time.Second
+	// Time without a response to a pending call after which a connection is replaced by a new one.
+	answerTimeout = time.Second
+	dialTimeout   = 250 * time.Millisecond
+	backoffMin    = 20 * time.Millisecond // first delay after a failed dial; doubles up to backoffMax
+	backoffMax    = time.Second
 )
 
-// limits are far over what an answer with a total needs. Guards the calls behind one whose length is wrong.
+// limits are far above what a response with a total needs. They protect the calls that are pending behind a
+// response whose length is wrong.
 var limits = http1.Limits{Head: 4 << 10, Body: 64}
 
 // Dial opens connections, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Client calls a counter. It is a core.Counter.
+// Client calls a counter. It implements core.Counter, and is safe for concurrent use.
 type Client struct {
-	lanes [lanes]*lane
+	pipelines [pipelines]*pipeline
 }
 
-// New returns a client of the counter at an address. Calls that could not be written within the limit are
-// dropped: the core has taken them for timed out.
+// New returns a client of the counter at addr. Calls that could not be written within limit are dropped: the
+// core has already treated them as timed out.
 func New(addr string, limit time.Duration, dial Dial, log zerolog.Logger) *Client {
 	c := &Client{}
-	for i := range c.lanes {
-		c.lanes[i] = &lane{addr: addr, limit: limit, dial: dial, log: log}
+	for i := range c.pipelines {
+		c.pipelines[i] = &pipeline{addr: addr, limit: limit, dial: dial, log: log}
 	}
 	return c
 }
 
-// Add makes a call. What can't be written, for the line is full or there is none, has added nothing.
-func (c *Client) Add(name string, amount float64, keep time.Duration, done func(choice.Code, float64)) {
+// Add makes a call and passes its outcome to done. A call that can't be written, because too many calls are
+// pending or the counter can't be reached, is refused and has added nothing.
+func (c *Client) Add(name string, amount float64, ttl time.Duration, done func(choice.Code, float64)) {
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	c.lanes[h.Sum32()%lanes].add(&call{name: name, amount: amount, keep: keep, done: done, at: time.Now()})
+	c.pipelines[h.Sum32()%pipelines].add(&call{name: name, amount: amount, ttl: ttl, done: done,
+		started: time.Now()})
 }
 
-// Move has later calls go to another address. What is out at the old one has until its answer is due; then,
-// or when all is answered, its connections are closed.
+// Move sends later calls to another address. The connections to the old address are closed once all their
+// pending calls are answered, at the latest when the time limit of a call has passed.
 func (c *Client) Move(addr string) {
-	for _, l := range c.lanes {
+	for _, l := range c.pipelines {
 		l.mu.Lock()
 		if l.addr == addr {
 			l.mu.Unlock()
 			continue
 		}
-		old := l.line
-		l.addr, l.line, l.rest, l.restTo = addr, nil, 0, time.Time{}
+		old := l.connection
+		l.addr, l.connection, l.backoff, l.retryAt = addr, nil, 0, time.Time{}
 		l.mu.Unlock()
 		if old != nil {
-			old.leave()
+			old.drain()
 		}
 	}
 }
 
 type call struct {
-	name   string
-	amount float64
-	keep   time.Duration
-	done   func(choice.Code, float64)
-	at     time.Time
+	name    string
+	amount  float64
+	ttl     time.Duration
+	done    func(choice.Code, float64)
+	started time.Time
 }
 
-// lane is one connection and the calls on it, over its reconnections.
-type lane struct {
+// pipeline sends calls over one connection at a time, and opens a new one when needed.
+type pipeline struct {
 	addr  string
 	limit time.Duration
 	dial  Dial
 	log   zerolog.Logger
 
-	mu      sync.Mutex
-	queue   []*call // not written yet
-	writing bool    // a goroutine of flush is at work
-	line    *line
-	rest    time.Duration // since the last dial that failed
-	restTo  time.Time
+	mu         sync.Mutex
+	queue      []*call       // calls that have not been written yet
+	writing    bool          // a goroutine is running flush
+	connection *connection   // nil if there is none
+	backoff    time.Duration // delay after the last failed dial; zero after a successful one
+	retryAt    time.Time     // before this time no dial is made
 }
 
-// line is one life of a lane's connection.
-type line struct {
-	lane  *lane
-	addr  string
-	nc    net.Conn
-	since time.Time
+// connection is a single connection of a pipeline.
+type connection struct {
+	pipeline *pipeline
+	addr     string
+	nc       net.Conn
+	opened   time.Time
 
-	mu      sync.Mutex
-	pending []*call // written, in the order of their answers
-	left    bool    // it is closed once they have come
-	ended   bool
-	count   int
+	mu       sync.Mutex
+	pending  []*call // written and unanswered calls, in the order of their responses
+	draining bool    // replaced, and to be closed once no call is pending
+	closed   bool
+	sent     int // number of calls written
 }
 
-func (l *lane) add(c *call) {
+func (l *pipeline) add(c *call) {
 	l.mu.Lock()
-	out := len(l.queue)
-	if l.line != nil {
-		out += l.line.outstanding()
+	outstanding := len(l.queue)
+	if l.connection != nil {
+		outstanding += l.connection.outstanding()
 	}
-	if out >= mostOut || l.line == nil && c.at.Before(l.restTo) {
+	if outstanding >= maxOutstanding || l.connection == nil && c.started.Before(l.retryAt) {
 		l.mu.Unlock()
 		c.done(choice.Refused, 0)
 		return
@@ -135,20 +142,21 @@
 	}
 }
 
-// flush writes what is queued, and connects before if need be.
-func (l *lane) flush() {
+// flush writes the queued calls, and dials first if necessary. It returns when the queue is empty or the dial
+// fails.
+func (l *pipeline) flush() {
 	var buf []byte
 	for {
 		l.mu.Lock()
-		if len(l.queue) == 0 { // looked at first: nobody is dialled for nothing
+		if len(l.queue) == 0 { // checked before dialling, to avoid a dial without a call
 			l.writing = false
 			l.mu.Unlock()
 			return
 		}
-		ln := l.line
-		if ln == nil {
+		conn := l.connection
+		if conn == nil {
 			l.mu.Unlock()
-			if ln = l.connect(); ln == nil {
+			if conn = l.connect(); conn == nil {
 				return
 			}
 			l.mu.Lock()
@@ -156,17 +164,18 @@
 		calls := l.queue
 		l.queue = nil
 		l.mu.Unlock()
-		ln.write(&buf, calls)
+		conn.write(&buf, calls)
 	}
 }
 
-// connect opens the lane's connection. If it can't, all that is queued has added nothing.
-func (l *lane) connect() *line {
+// connect dials the counter. If the dial fails, it refuses all queued calls, which have added nothing, and
+// returns nil.
+func (l *pipeline) connect() *connection {
 	for {
 		l.mu.Lock()
 		addr := l.addr
 		l.mu.Unlock()
-		ctx, cancel := context.WithTimeout(context.Background(), dialWait)
+		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		nc, err := l.dial(ctx, "tcp", addr)
 		cancel()
 		l.mu.Lock()
@@ -174,18 +183,18 @@
 			defer l.mu.Unlock()
 			return l.connected(nc, err)
 		}
-		l.mu.Unlock() // moved meanwhile
+		l.mu.Unlock() // Move has changed the address during the dial
 		if err == nil {
 			nc.Close()
 		}
 	}
 }
 
-// connected takes the outcome of a dial. The lock is held.
-func (l *lane) connected(nc net.Conn, err error) *line {
+// connected handles the result of a dial. It must be called with l.mu held.
+func (l *pipeline) connected(nc net.Conn, err error) *connection {
 	if err != nil {
-		l.rest = min(max(2*l.rest, restMin), restMax)
-		l.restTo = time.Now().Add(l.rest)
+		l.backoff = min(max(2*l.backoff, backoffMin), backoffMax)
+		l.retryAt = time.Now().Add(l.backoff)
 		calls := l.queue
 		l.queue, l.writing = nil, false
 		for _, c := range calls {
@@ -194,61 +203,61 @@
 		l.log.Info().Str("side", "counter").Str("code", "dial-failed").Err(err).Msg("connection ended")
 		return nil
 	}
-	l.rest = 0
-	nc.SetReadDeadline(time.Now().Add(idle))
-	l.line = &line{lane: l, addr: l.addr, nc: nc, since: time.Now()}
-	go l.line.read()
-	return l.line
+	l.backoff = 0
+	nc.SetReadDeadline(time.Now().Add(idleTimeout))
+	l.connection = &connection{pipeline: l, addr: l.addr, nc: nc, opened: time.Now()}
+	go l.connection.read()
+	return l.connection
 }
 
-// leave ends the connection once what is out is answered.
-func (n *line) leave() {
+// drain closes the connection once all pending calls are answered.
+func (n *connection) drain() {
 	n.mu.Lock()
-	n.left = true
-	n.nc.SetReadDeadline(time.Now().Add(n.lane.limit)) // what comes later is late for everybody
-	over := len(n.pending) == 0
+	n.draining = true
+	n.nc.SetReadDeadline(time.Now().Add(n.pipeline.limit)) // a later response would be too late for its caller
+	drained := len(n.pending) == 0
 	n.mu.Unlock()
-	if over {
+	if drained {
 		n.end("counter-moved")
 	}
 }
 
-func (n *line) outstanding() int {
+func (n *connection) outstanding() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.pending)
 }
 
-func (n *line) write(buf *[]byte, calls []*call) {
-	out, now := (*buf)[:0], time.Now()
+func (n *connection) write(buf *[]byte, calls []*call) {
+	data, now := (*buf)[:0], time.Now()
 	n.mu.Lock()
 	var sent []*call
 	for _, c := range calls {
-		if now.Sub(c.at) >= n.lane.limit {
-			continue // taken for timed out by now; adding it late would spend a lease that nobody has
+		if now.Sub(c.started) >= n.pipeline.limit {
+			continue // already timed out for its caller; adding it late would spend a lease that nobody has received
 		}
 		sent = append(sent, c)
-		out = appendCall(out, n.addr, c)
+		data = appendCall(data, n.addr, c)
 	}
-	*buf = out
-	if n.ended {
+	*buf = data
+	if n.closed {
 		n.mu.Unlock()
 		for _, c := range sent {
 			c.done(choice.Refused, 0)
 		}
 		return
 	}
-	if len(n.pending) == 0 && !n.left {
-		n.nc.SetReadDeadline(now.Add(silent))
+	if len(n.pending) == 0 && !n.draining {
+		n.nc.SetReadDeadline(now.Add(answerTimeout))
 	}
 	n.pending = append(n.pending, sent...)
-	n.count += len(sent)
+	n.sent += len(sent)
 	n.mu.Unlock()
-	if len(out) == 0 {
+	if len(data) == 0 {
 		return
 	}
-	if _, err := n.nc.Write(out); err != nil {
-		n.end("counter-reset") // some calls may have been written: all of them may have been added
+	if _, err := n.nc.Write(data); err != nil {
+		n.end("counter-reset") // an unknown number of calls was written, so any of them may have been added
 	}
 }
 
@@ -258,37 +267,37 @@
 	buf = append(buf, "?add="...)
 	buf = strconv.AppendFloat(buf, c.amount, 'f', -1, 64)
 	buf = append(buf, "&ttl_ms="...)
-	buf = strconv.AppendInt(buf, max(1, c.keep.Milliseconds()), 10)
+	buf = strconv.AppendInt(buf, max(1, c.ttl.Milliseconds()), 10)
 	buf = append(buf, " HTTP/1.1\r\n"...)
 	buf = http1.AppendHeader(buf, "Host", host)
 	return append(buf, "Content-Length: 0\r\n\r\n"...)
 }
 
-func (n *line) read() {
-	frames := http1.NewResponses(limits)
+func (n *connection) read() {
+	framer := http1.NewResponses(limits)
 	var parser http1.Parser
 	buf := make([]byte, 1<<10)
 	for {
 		count, err := n.nc.Read(buf)
 		if err != nil {
-			n.end(n.reason(err, frames.Started()))
+			n.end(n.reason(err, framer.Started()))
 			return
 		}
-		frames.Feed(buf[:count])
+		framer.Feed(buf[:count])
 		for {
-			msg, err := frames.Next()
+			msg, err := framer.Next()
 			if err != nil {
 				n.end("bad-answer")
 				return
 			}
 			if msg == nil {
-				if frames.Started() { // the rest of an answer comes at once, or it is spoilt and holds up all behind it
-					n.nc.SetReadDeadline(time.Now().Add(n.lane.limit))
+				if framer.Started() { // the rest must follow soon: a malformed response blocks those behind it
+					n.nc.SetReadDeadline(time.Now().Add(n.pipeline.limit))
 				}
 				break
 			}
 			r, err := parser.Response(msg)
-			if err != nil || !n.answered(r) {
+			if err != nil || !n.complete(r) {
 				n.end("bad-answer")
 				return
 			}
@@ -296,10 +305,11 @@
 	}
 }
 
-func (n *line) reason(err error, begun bool) string {
+// reason returns the log code of a read error. partial reports whether part of a response was received.
+func (n *connection) reason(err error, partial bool) string {
 	var timeout net.Error
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout() && begun:
+	case errors.As(err, &timeout) && timeout.Timeout() && partial:
 		return "bad-answer"
 	case errors.As(err, &timeout) && timeout.Timeout() && n.outstanding() > 0:
 		return "counter-silent"
@@ -311,30 +321,31 @@
 	return "counter-reset"
 }
 
-// answered matches an answer with its call.
-func (n *line) answered(r *http1.Response) bool {
+// complete completes the oldest pending call with its response. It returns false if the response is not
+// valid, and the connection has to be closed.
+func (n *connection) complete(r *http1.Response) bool {
 	n.mu.Lock()
-	if len(n.pending) == 0 || n.ended {
+	if len(n.pending) == 0 || n.closed {
 		n.mu.Unlock()
 		return false
 	}
 	c := n.pending[0]
 	n.pending = n.pending[1:]
-	wait, over := idle, len(n.pending) == 0 && n.left
+	wait, drained := idleTimeout, len(n.pending) == 0 && n.draining
 	if len(n.pending) > 0 {
-		wait = silent
+		wait = answerTimeout
 	}
-	if !n.left {
+	if !n.draining {
 		n.nc.SetReadDeadline(time.Now().Add(wait))
 	}
 	n.mu.Unlock()
-	if over {
+	if drained {
 		defer n.end("counter-moved")
 	}
 	switch r.StatusCode {
 	case http.StatusOK:
 		total, ok := readTotal(r.Content)
-		if !ok { // it has been added all the same, and must not be added again
+		if !ok { // the amount has been added nevertheless, and must not be added again
 			c.done(choice.Reset, 0)
 			return false
 		}
@@ -342,15 +353,15 @@
 	case http.StatusServiceUnavailable:
 		c.done(choice.Busy, 0)
 	default:
-		n.lane.log.Warn().Str("code", "counter-rejects").Int("status", r.StatusCode).Str("name", c.name).
+		n.pipeline.log.Warn().Str("code", "counter-rejects").Int("status", r.StatusCode).Str("name", c.name).
 			Msg("call to the counter")
 		c.done(choice.Refused, 0)
 	}
 	return true
 }
 
-// readTotal reads a total: a decimal number, perhaps with an exponent. What else strconv takes for a number
-// (infinities, hex digits, underscores) is none.
+// readTotal parses a total, which is a decimal number with an optional exponent. It rejects the other forms
+// that strconv accepts (infinities, hex digits, underscores).
 func readTotal(text []byte) (total float64, ok bool) {
 	text = bytes.TrimSpace(text)
 	if bytes.ContainsFunc(text, func(r rune) bool { return !strings.ContainsRune("0123456789+-.eE", r) }) {
@@ -360,26 +371,26 @@
 	return total, err == nil && math.Abs(total) < 1e15
 }
 
-// end closes the connection. What was written and not answered may have been added.
-func (n *line) end(code string) {
+// end closes the connection, and completes the pending calls with choice.Reset, as they may have been added.
+func (n *connection) end(code string) {
 	n.mu.Lock()
-	if n.ended {
+	if n.closed {
 		n.mu.Unlock()
 		return
 	}
-	n.ended = true
+	n.closed = true
 	calls := n.pending
 	n.pending = nil
 	n.mu.Unlock()
 	n.nc.Close()
-	n.lane.mu.Lock()
-	if n.lane.line == n {
-		n.lane.line = nil
+	n.pipeline.mu.Lock()
+	if n.pipeline.connection == n {
+		n.pipeline.connection = nil
 	}
-	n.lane.mu.Unlock()
+	n.pipeline.mu.Unlock()
 	for _, c := range calls {
 		c.done(choice.Reset, 0)
 	}
-	n.lane.log.Info().Str("side", "counter").Str("code", code).Int("calls", n.count).
-		Int("unanswered", len(calls)).Dur("age", time.Since(n.since)).Msg("connection ended")
+	n.pipeline.log.Info().Str("side", "counter").Str("code", code).Int("calls", n.sent).
+		Int("unanswered", len(calls)).Dur("age", time.Since(n.opened)).Msg("connection ended")
 }
--- a/internal/net/counter/counter_test.go
+++ b/internal/net/counter/counter_test.go
@@ -14,7 +14,8 @@
 	"dunespoke/internal/scenario"
 )
 
-// start returns a client of a stand-in at "counter", and what becomes of the calls that add makes.
+// start returns a network with a simulated counter at "counter", a function add that makes a call, and a
+// function ended that returns the outcomes of the calls that have ended since it was last called.
 func start(t *testing.T) (n *scenario.Net, add func(name string), ended func() string) {
 	n = scenario.NewNet()
 	n.Listen("memory", "counter")
@@ -47,7 +48,7 @@
 
 const answer = `HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n`
 
-func TestCallsInARowAreMatchedInOrder(t *testing.T) {
+func TestPipelinedCallsAreAnsweredInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, add, ended := start(t)
 		add("a")
@@ -62,7 +63,7 @@
 	})
 }
 
-func TestWhatABreakLeavesOpenMayHaveBeenAdded(t *testing.T) {
+func TestConnectionLossResetsPendingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, add, ended := start(t)
 		add("a")
@@ -71,7 +72,7 @@
 			counter close`)
 		want(t, ended(), fmt.Sprintf("a:%d=0", choice.Reset))
 		scenario.Play(t, n, nil, `counter wait nothing`) // no new connection without a call
-		add("a")                                         // goes by a new connection
+		add("a")                                         // opens a new connection
 		scenario.Play(t, n, nil, `
 			counter expect /a?
 			counter send `+answer+`5`)
@@ -79,11 +80,11 @@
 	})
 }
 
-// A silent counter gets a bounded line of calls, then a new connection; the calls end without it.
-func TestASilentCounterIsGivenUp(t *testing.T) {
+// An unresponsive counter gets a bounded number of calls. Then its connection is closed, which ends them.
+func TestUnresponsiveCounterIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, add, ended := start(t)
-		for range mostOut + 3 {
+		for range maxOutstanding + 3 {
 			add("a")
 		}
 		full := strings.TrimSuffix(strings.Repeat(fmt.Sprintf("a:%d=0 ", choice.Refused), 3), " ")
@@ -91,40 +92,40 @@
 		scenario.Play(t, n, nil, `
 			counter expect /a?
 			counter wait closed`)
-		if got := strings.Count(ended(), fmt.Sprintf("a:%d=0", choice.Reset)); got != mostOut {
-			t.Errorf("%d calls ended with the connection, want %d", got, mostOut)
+		if got := strings.Count(ended(), fmt.Sprintf("a:%d=0", choice.Reset)); got != maxOutstanding {
+			t.Errorf("%d calls ended with the connection, want %d", got, maxOutstanding)
 		}
 	})
 }
 
-func TestNobodyThereAddsNothing(t *testing.T) {
+func TestFailedDialRefusesCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, add, ended := start(t)
 		n.Close()
 		add("a")
-		add("a") // not dialled for: it rests
+		add("a") // refused without a dial, because of the backoff
 		want(t, ended(), fmt.Sprintf("a:%d=0 a:%d=0", choice.Refused, choice.Refused))
 	})
 }
 
-// What is no answer, or has no total, ends its connection at once or within the limit of a call. It has been
-// added, and is not added again; the calls behind it don't wait for it.
-func TestASpoiltAnswerEndsItsConnection(t *testing.T) {
-	for _, spoilt := range []string{`\x93noise\r\n\r\n`, `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n1`,
+// A malformed response, or one without a total, closes its connection at once or within the time limit of a
+// call. The amount may have been added and is not added again, and the calls behind it don't wait for it.
+func TestMalformedResponseClosesConnection(t *testing.T) {
+	for _, malformed := range []string{`\x93noise\r\n\r\n`, `HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n1`,
 		`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1`, answer + `-`,
 		`HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ninf`, `HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n0x1`,
 		`HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1_0`, `HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n1e99`} {
-		t.Run(spoilt, func(t *testing.T) {
+		t.Run(malformed, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				n, add, ended := start(t)
 				add("a")
-				begun := time.Now()
+				sentAt := time.Now()
 				scenario.Play(t, n, nil, `
 					counter expect /a?
-					counter send `+spoilt+`
+					counter send `+malformed+`
 					counter wait closed`)
-				if took := time.Since(begun); took > 50*time.Millisecond {
-					t.Errorf("closed after %v", took)
+				if elapsed := time.Since(sentAt); elapsed > 50*time.Millisecond {
+					t.Errorf("closed after %v", elapsed)
 				}
 				want(t, ended(), fmt.Sprintf("a:%d=0", choice.Reset))
 				add("a")
