--- a/internal/net/discovery/discovery.go
+++ b/internal/net/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package discovery keeps the core's list of servers by a watch on the platform's discovery.
+// Package discovery keeps the core's list of servers up to date by a watch on the platform's
+// discovery service.
 package discovery
 
 import (
@@ -21,28 +22,36 @@
 )
 
 const (
-	silent   = 7 * time.Second        // a watch with no line for so long has missed three beats of 2 s
-	dialWait = 300 * time.Millisecond // the agent is near; with a rest it has to be under the drains' second
-	listWait = time.Second            // for the whole list, which is answered at once if at all
-	restMin  = 100 * time.Millisecond // the longest rest after the first watch that broke, doubling to restMax
-	// While the watch rests, discovery's agent may be told of a drain, from when on there is one second to stop
-	// sending. Rests of a second once took it all.
-	restMax = 400 * time.Millisecond
-	// The same after one that was turned away, for each ingress of the fleet: all of them ask, and what waits in
-	// line too long is work for nobody, so that the line gets short again only by calls that are few enough.
-	fullRest  = 125 * time.Millisecond
-	fullTimes = 4 // the longest is so many times the first
-	fullFleet = 9 // fewer ingresses can't overbook it: they rest as ever
+	// Time without a line after which a watch is closed: it has missed three heartbeats of 2 s.
+	watchTimeout = 7 * time.Second
+	// The agent is nearby. Together with a backoff delay, a dial must take less than the second that a drain
+	// allows.
+	dialTimeout = 300 * time.Millisecond
+	// Time to wait for the complete list, which discovery sends immediately if at all.
+	listTimeout = time.Second
+	// Maximum delay after the first failed watch. It doubles with each further one, up to backoffMax.
+	backoffMin = 100 * time.Millisecond
+	// A drain may be announced during the delay, and leaves one second to stop sending. Delays of up to a second
+	// used up all of that time.
+	backoffMax = 400 * time.Millisecond
+	// Initial maximum delay after a refused watch, for each ingress of the fleet. All ingresses retry, and
+	// discovery also spends time on requests whose clients have given up, so that its queue becomes shorter only
+	// if the rate of retries is low enough.
+	refusedBackoffPerIngress = 125 * time.Millisecond
+	// Maximum delay after refused watches, as a multiple of the initial one.
+	refusedBackoffFactorMax = 4
+	// Smaller fleets can't overload discovery, and use the delays for failed watches.
+	refusedBackoffMinFleet = 9
 )
 
-// List is one version of the list of servers, or what changed up to it.
+// List is one version of the list of servers or, without Reset, the changes since an earlier version.
 type List struct {
 	Generation int64   `json:"generation"`
 	Reset      bool    `json:"reset"`
 	Instances  []Entry `json:"instances"`
 }
 
-// Entry is one server as discovery names it.
+// Entry is a server as discovery describes it.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -53,14 +62,15 @@
 	StartedAt float64 `json:"startedAtMs"`
 }
 
-// Servers translates the entries of a list.
+// Servers converts the entries of the list to servers of the core. It returns an error if one is not valid.
 func (l *List) Servers() ([]core.Server, error) {
 	states := map[string]choice.State{"Ready": choice.Live, "Terminating": choice.Draining, "Gone": choice.Gone}
 	all := make([]core.Server, 0, len(l.Instances))
 	for _, e := range l.Instances {
 		state, ok := states[e.Lifecycle]
 		if !ok || e.ID == "" || e.Addr == "" && state != choice.Gone {
-			return nil, fmt.Errorf("server %q at %q: lifecycle %q", e.ID, e.Addr, e.Lifecycle)
+			return nil, fmt.Errorf("server %q at %q: missing ID or address, or unknown lifecycle %q",
+				e.ID, e.Addr, e.Lifecycle)
 		}
 		all = append(all, core.Server{Name: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell, State: state,
 			Weight: e.Weight, Started: time.Duration(e.StartedAt * float64(time.Millisecond))})
@@ -71,32 +81,34 @@
 // Dial opens connections, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Watcher follows the list of servers at one address after another.
+// Watcher watches the list of servers at one address, which Move can change.
 type Watcher struct {
-	tell func(full bool, list []core.Server)
-	dial Dial
-	log  zerolog.Logger
+	update func(full bool, list []core.Server)
+	dial   Dial
+	log    zerolog.Logger
 
 	mu    sync.Mutex
 	addr  string
-	moved chan struct{} // closed by Move, and then replaced
+	moved chan struct{} // closed and replaced by Move
 
 	rng        *rand.Rand
 	fleet      int
-	generation int64 // of Run's goroutine, as is fresh
-	fresh      bool  // the address is new: its versions are not those of the one before
+	generation int64 // like fresh, used only by the goroutine of Run
+	// No list has been received from the current address yet. Generations of two addresses are unrelated.
+	fresh bool
 }
 
-// NewWatcher returns a watcher of discovery at an address. The seed is for its rests: it has to differ from
-// one ingress to the next, and fleet is how many there are.
-func NewWatcher(addr string, seed uint64, fleet int, tell func(full bool, list []core.Server), dial Dial,
+// NewWatcher returns a watcher of the discovery service at addr. The seed randomizes the backoff and has to
+// differ between ingresses; fleet is the number of ingresses. Run calls update with each complete list
+// (full) or set of changes.
+func NewWatcher(addr string, seed uint64, fleet int, update func(full bool, list []core.Server), dial Dial,
 	log zerolog.Logger) *Watcher {
-	return &Watcher{tell: tell, dial: dial, log: log, addr: addr, moved: make(chan struct{}), fleet: fleet,
+	return &Watcher{update: update, dial: dial, log: log, addr: addr, moved: make(chan struct{}), fleet: fleet,
 		rng: rand.New(rand.NewPCG(seed, 0x77617463))}
 }
 
-// Move has the watch go on at another address, at once. The list so far stays in use until the new address
-// has told the whole of its own.
+// Move continues the watch at another address immediately. The current list stays in use until the new
+// address has sent its complete list.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,26 +120,27 @@
 	w.moved = make(chan struct{})
 }
 
-func (w *Watcher) where() (addr string, moved <-chan struct{}) {
+// target returns the current address, and a channel that is closed when it changes.
+func (w *Watcher) target() (addr string, moved <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr, w.moved
 }
 
-// Run hands the known list to tell, and then all that discovery has to say, until the context ends.
+// Run passes the known list to update, and then all updates from discovery, until ctx is done.
 func (w *Watcher) Run(ctx context.Context, known List) {
-	if err := w.learn(known, true); err != nil {
-		w.log.Warn().Str("code", "bad-list").Err(err).Msg("known list of servers")
+	if err := w.apply(known, true); err != nil {
+		w.log.Warn().Str("code", "bad-list").Err(err).Msg("known server list is invalid")
 	}
 	for ctx.Err() == nil {
-		addr, moved := w.where()
-		w.stay(ctx, addr, moved)
+		addr, moved := w.target()
+		w.watchAddr(ctx, addr, moved)
 		w.fresh = true
 	}
 }
 
-// stay watches at one address until Move names another or the context ends.
-func (w *Watcher) stay(ctx context.Context, addr string, moved <-chan struct{}) {
+// watchAddr watches at addr until Move closes moved or ctx is done.
+func (w *Watcher) watchAddr(ctx context.Context, addr string, moved <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -137,8 +150,8 @@
 		case <-ctx.Done():
 		}
 	}()
-	fullMin := time.Duration(w.fleet) * fullRest
-	rest, full := restMin, fullMin
+	refusedBackoffMin := time.Duration(w.fleet) * refusedBackoffPerIngress
+	backoff, refusedBackoff := backoffMin, refusedBackoffMin
 	for ctx.Err() == nil {
 		start := time.Now()
 		lines, err := w.follow(ctx, addr)
@@ -149,13 +162,13 @@
 		w.log.Info().Str("side", "discovery").Str("code", code).AnErr("error", err).Int("lines", lines).
 			Dur("age", time.Since(start)).Msg("connection ended")
 		if lines > 0 {
-			rest, full = restMin, fullMin
+			backoff, refusedBackoff = backoffMin, refusedBackoffMin
 		}
-		longest := rest
-		if code == "watch-refused" && w.fleet >= fullFleet {
-			longest, full = full, min(2*full, fullTimes*fullMin)
+		longest := backoff
+		if code == "watch-refused" && w.fleet >= refusedBackoffMinFleet {
+			longest, refusedBackoff = refusedBackoff, min(2*refusedBackoff, refusedBackoffFactorMax*refusedBackoffMin)
 		} else {
-			rest = min(2*rest, restMax)
+			backoff = min(2*backoff, backoffMax)
 		}
 		select {
 		case <-ctx.Done():
@@ -164,46 +177,47 @@
 	}
 }
 
-// jitter is the rest before the next watch: any part of the longest ("full jitter"). Guards a discovery that
-// has turned away a whole fleet against meeting it again all at once, and ever again.
+// jitter returns a random delay of up to longest before the next watch ("full jitter"). Without it, a fleet
+// that discovery has refused would retry all at once, again and again.
 func (w *Watcher) jitter(longest time.Duration) time.Duration {
 	return time.Duration(w.rng.Float64() * float64(longest))
 }
 
-func (w *Watcher) learn(l List, full bool) error {
+// apply passes a list to the core and records its generation.
+func (w *Watcher) apply(l List, full bool) error {
 	servers, err := l.Servers()
 	if err != nil {
 		return err
 	}
 	w.generation, w.fresh = l.Generation, false
-	w.tell(full, servers)
+	w.update(full, servers)
 	return nil
 }
 
-// line takes one line of a watch.
-func (w *Watcher) line(text []byte) error {
+// handleLine processes one line of a watch.
+func (w *Watcher) handleLine(text []byte) error {
 	if len(text) == 0 {
-		return nil // a beat
+		return nil // a heartbeat
 	}
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("%w: %w", errList, err)
 	}
-	if err := w.learn(l, l.Reset); err != nil {
+	if err := w.apply(l, l.Reset); err != nil {
 		return fmt.Errorf("%w: %w", errList, err)
 	}
 	return nil
 }
 
 var (
-	errList  = errors.New("list of servers")
-	errEnded = errors.New("the watch has ended")
+	errList  = errors.New("invalid server list")
+	errEnded = errors.New("discovery closed the watch")
 )
 
-// follow opens one watch and reads it to its end. At a fresh address it asks for the whole list first: what
-// has changed there since a version of another address's would say nothing of what is missing.
+// follow opens one watch, reads it until it ends, and returns the number of lines received. At a new address
+// it requests the complete list first: changes since a generation of another address would be incomplete.
 func (w *Watcher) follow(ctx context.Context, addr string) (lines int, err error) {
-	dialing, cancel := context.WithTimeout(ctx, dialWait)
+	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	nc, err := w.dial(dialing, "tcp", addr)
 	cancel()
 	if err != nil {
@@ -212,25 +226,25 @@
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
 	if w.fresh {
-		if err := w.whole(nc, addr); err != nil {
+		if err := w.fetchList(nc, addr); err != nil {
 			return 0, err
 		}
 	}
-	if err := ask(nc, addr, "/v1/servers?follow=1&since="+strconv.FormatInt(w.generation, 10)); err != nil {
+	if err := sendGet(nc, addr, "/v1/servers?follow=1&since="+strconv.FormatInt(w.generation, 10)); err != nil {
 		return 0, err
 	}
-	asked := time.Now()
+	requested := time.Now()
 	var s http1.Stream
 	buf := make([]byte, 16<<10)
 	for {
-		nc.SetReadDeadline(time.Now().Add(silent))
+		nc.SetReadDeadline(time.Now().Add(watchTimeout))
 		n, readErr := nc.Read(buf)
 		done, err := s.Feed(buf[:n], func(text []byte) error {
 			if lines++; lines == 1 {
-				w.log.Info().Str("side", "discovery").Str("code", "watch-open").Dur("took", time.Since(asked)).
-					Msg("discovery answers")
+				w.log.Info().Str("side", "discovery").Str("code", "watch-open").Dur("took", time.Since(requested)).
+					Msg("watch established")
 			}
-			return w.line(text)
+			return w.handleLine(text)
 		})
 		switch {
 		case err != nil:
@@ -243,23 +257,23 @@
 	}
 }
 
-// whole asks for the whole list, and takes it.
-func (w *Watcher) whole(nc net.Conn, addr string) error {
-	if err := ask(nc, addr, "/v1/servers"); err != nil {
+// fetchList requests the complete list and applies it.
+func (w *Watcher) fetchList(nc net.Conn, addr string) error {
+	if err := sendGet(nc, addr, "/v1/servers"); err != nil {
 		return err
 	}
-	frames := http1.NewResponses(http1.Limits{Head: http1.DefaultLimits.Head, Body: http1.LongestObject})
+	framer := http1.NewResponses(http1.Limits{Head: http1.DefaultLimits.Head, Body: http1.LongestObject})
 	buf := make([]byte, 16<<10)
 	for {
-		nc.SetReadDeadline(time.Now().Add(listWait))
+		nc.SetReadDeadline(time.Now().Add(listTimeout))
 		n, err := nc.Read(buf)
 		if err != nil {
-			return fmt.Errorf("reading the list: %w", err)
+			return fmt.Errorf("reading the server list: %w", err)
 		}
-		frames.Feed(buf[:n])
-		msg, err := frames.Next()
+		framer.Feed(buf[:n])
+		msg, err := framer.Next()
 		if err != nil {
-			return fmt.Errorf("reading the list: %w", err)
+			return fmt.Errorf("reading the server list: %w", err)
 		}
 		if msg == nil {
 			continue
@@ -267,7 +281,7 @@
 		r, err := new(http1.Parser).Response(msg)
 		switch {
 		case err != nil:
-			return fmt.Errorf("reading the list: %w", err)
+			return fmt.Errorf("reading the server list: %w", err)
 		case r.StatusCode != http.StatusOK:
 			return &http1.Error{Status: r.StatusCode, Reason: "status"}
 		}
@@ -275,20 +289,22 @@
 		if err := json.Unmarshal(r.Content, &l); err != nil {
 			return fmt.Errorf("%w: %w", errList, err)
 		}
-		if err := w.learn(l, true); err != nil {
+		if err := w.apply(l, true); err != nil {
 			return fmt.Errorf("%w: %w", errList, err)
 		}
 		return nil
 	}
 }
 
-func ask(nc net.Conn, addr, target string) error {
+// sendGet sends a GET request for target.
+func sendGet(nc net.Conn, addr, target string) error {
 	if _, err := nc.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n")); err != nil {
-		return fmt.Errorf("asking: %w", err)
+		return fmt.Errorf("sending the request: %w", err)
 	}
 	return nil
 }
 
+// reason returns the log code for the end of a watch.
 func reason(err error) string {
 	var timeout net.Error
 	var protocol *http1.Error
--- a/internal/net/discovery/discovery_test.go
+++ b/internal/net/discovery/discovery_test.go
@@ -17,36 +17,37 @@
 	"dunespoke/internal/scenario"
 )
 
-// overbooked is a discovery that opens watches one after another, at a price of time each. Who finds the line
-// full, or has waited for too long, is turned away; the work for those who have waited is done all the same.
-type overbooked struct {
-	line  chan chan struct{}
-	price time.Duration
-	asked []time.Time // of its accepting goroutine
-	open  atomic.Int32
+// overloaded is a discovery server that opens watches one after another, each of which costs it some time. It
+// refuses a request if its queue is full or the request has waited too long; it still does the work for
+// requests that have timed out in the queue.
+type overloaded struct {
+	queue    chan chan struct{}
+	cost     time.Duration
+	requests []time.Time // arrival times; written by the accepting goroutine
+	open     atomic.Int32
 }
 
-const patience = 2 * time.Second
+const queueTimeout = 2 * time.Second
 
-func (d *overbooked) work() {
-	for turn := range d.line {
-		time.Sleep(d.price)
+func (d *overloaded) work() {
+	for turn := range d.queue {
+		time.Sleep(d.cost)
 		close(turn)
 	}
 }
 
-func (d *overbooked) serve(l net.Listener) {
+func (d *overloaded) serve(l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
-		d.asked = append(d.asked, time.Now())
+		d.requests = append(d.requests, time.Now())
 		go d.watch(nc)
 	}
 }
 
-func (d *overbooked) watch(nc net.Conn) {
+func (d *overloaded) watch(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	if _, err := http.ReadRequest(in); err != nil {
@@ -54,7 +55,7 @@
 	}
 	turn := make(chan struct{})
 	select {
-	case d.line <- turn:
+	case d.queue <- turn:
 		select {
 		case <-turn:
 			d.open.Add(1)
@@ -66,21 +67,21 @@
 				}
 				time.Sleep(2 * time.Second)
 			}
-		case <-time.After(patience):
+		case <-time.After(queueTimeout):
 		}
 	default:
 	}
 	io.WriteString(nc, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
 
-// A fleet restarted all at once asks for its lists all at once. Each once asked again within a second,
-// so that the line stayed longer than anybody waits, and next to none got its list.
-func TestFleetGetsItsListsFromAnOverbookedDiscovery(t *testing.T) {
-	const watchers, price = 80, 125 * time.Millisecond
+// A fleet that restarts all at once requests its lists all at once. When each ingress retried within a
+// second, the queue stayed longer than the requests wait in it, and hardly any ingress got its list.
+func TestFleetGetsListsFromOverloadedDiscovery(t *testing.T) {
+	const watchers, cost = 80, 125 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		network := scenario.NewNet()
 		l, _ := network.Listen("tcp", "discovery")
-		d := &overbooked{line: make(chan chan struct{}, 24), price: price}
+		d := &overloaded{queue: make(chan chan struct{}, 24), cost: cost}
 		go d.work()
 		go d.serve(l)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -95,27 +96,30 @@
 		all := d.open.Load()
 		cancel()
 		l.Close()
-		time.Sleep(time.Minute) // for everything in the bubble to end
-		close(d.line)
-		later := 0 // most calls in one second, after the first wave
-		for i, at := range d.asked {
+		time.Sleep(time.Minute) // lets all goroutines of the bubble end
+		close(d.queue)
+		later := 0 // maximum number of requests within one second, after the first wave
+		for i, at := range d.requests {
 			n := 0
-			for j := i; j < len(d.asked) && d.asked[j].Sub(at) < time.Second; j++ {
+			for j := i; j < len(d.requests) && d.requests[j].Sub(at) < time.Second; j++ {
 				n++
 			}
 			if at.Sub(start) > 2500*time.Millisecond {
 				later = max(later, n)
 			}
 		}
-		t.Logf("%d lists after 15 s, %d after 40 s, %d calls, %d a second", half, all, len(d.asked), later)
+		t.Logf("%d lists after 15 s, %d after 40 s, %d requests, at most %d a second", half, all,
+			len(d.requests), later)
 		if half < watchers/2 || all < watchers || later > 24 {
-			t.Errorf("%d and %d of %d have their lists, at most %d calls in a second", half, all, watchers, later)
+			t.Errorf("%d after 15 s and %d after 40 s of %d have their lists, at most %d requests a second",
+				half, all, watchers, later)
 		}
 	})
 }
 
-// A dial that hung once took a second, and the rest came on top: a drain told meanwhile was known too late.
-func TestHangingDialsLeaveTimeForADrain(t *testing.T) {
+// A hanging dial used to take a second, and the backoff came on top, so that a drain announced meanwhile was
+// seen too late.
+func TestHangingDialsLeaveTimeForDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
@@ -123,7 +127,7 @@
 		w := NewWatcher("discovery", 1, 4, func(bool, []core.Server) {},
 			func(c context.Context, _, _ string) (net.Conn, error) {
 				if gap := time.Since(last); gap > 800*time.Millisecond {
-					t.Errorf("%v between two calls", gap)
+					t.Errorf("%v between two dials", gap)
 				}
 				last = time.Now()
 				calls++
@@ -132,15 +136,16 @@
 			}, zerolog.Nop())
 		w.Run(ctx, List{Generation: 1})
 		if calls < 20 {
-			t.Errorf("%d calls in 20 s", calls)
+			t.Errorf("%d dials in 20 s", calls)
 		}
 	})
 }
 
-// Rests are drawn from each ingress's own seed, and stay within what a watch that broke may cost in lateness.
-func TestRestsDifferAmongIngresses(t *testing.T) {
+// Backoff delays depend on the seed of each ingress, and stay within the delay that is allowed after a watch
+// has failed.
+func TestBackoffDiffersAmongIngresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := scenario.NewNet() // nobody listens: each call is refused at once
+		network := scenario.NewNet() // without a listener, each dial is refused at once
 		var first []time.Duration
 		for seed := range uint64(80) {
 			calls, last := 0, time.Now()
@@ -154,9 +159,9 @@
 					if calls == 10 {
 						cancel()
 					}
-					// A drain told meanwhile has to be known within a second, with time to stop for it.
+					// A drain announced meanwhile must be seen within a second, with time left to stop sending.
 					if gap := time.Since(last); gap > 500*time.Millisecond {
-						t.Errorf("seed %d: %v between two calls", seed, gap)
+						t.Errorf("seed %d: %v between two dials", seed, gap)
 					}
 					last = time.Now()
 					return network.Dial(c, n, a)
@@ -165,11 +170,11 @@
 		}
 		parts := [5]int{}
 		for _, at := range first {
-			parts[min(4, int(5*at/restMin))]++
+			parts[min(4, int(5*at/backoffMin))]++
 		}
 		for i, n := range parts {
 			if n < 6 || n > 32 {
-				t.Errorf("%d of 80 in fifth %d of the rest: %v", n, i, parts)
+				t.Errorf("%d of 80 in fifth %d of the backoff: %v", n, i, parts)
 			}
 		}
 	})
