--- a/internal/net/direct/direct.go
+++ b/internal/net/direct/direct.go
@@ -2,5 +2,6 @@
 
 import "errors"
 
-// ErrUnwanted tells that something has come that is not wanted.
-var ErrUnwanted = errors.New("what has come is not wanted")
+// ErrUnwanted is returned by Conn.ReadWanted if data, the end of the stream or an error arrives while the
+// caller wants none. It is left unread.
+var ErrUnwanted = errors.New("received unwanted data or the end of the stream")
--- a/internal/net/direct/direct_linux.go
+++ b/internal/net/direct/direct_linux.go
@@ -1,10 +1,11 @@
-// Package direct reads and writes TCP connections by system calls that the Go scheduler is not told of.
+// Package direct reads and writes TCP connections by raw system calls, which bypass the Go scheduler.
 //
-// An ordinary read or write first announces to the scheduler that it may block, which after an idle moment
-// wakes the scheduler's monitor thread; that then polls for as long as the program is busy. At the few dozen
-// requests a second of an ingress the program is idle before nearly every call, and the monitor cost more
-// than the calls. The sockets of package net never block, so there is nothing to announce: a call that would
-// have to wait goes to the network poller as ever. Deadlines and closing are package net's.
+// An ordinary read or write first notifies the scheduler that it may block. After an idle period this wakes
+// the scheduler's monitor thread, which then polls for as long as the program is busy. At the few dozen
+// requests per second of an ingress, the program is idle before nearly every call, and the monitor thread
+// cost more than the calls. The sockets of package net are non-blocking, so that no notification is needed: a
+// call that would block waits in the network poller as usual. Package net still implements deadlines and
+// closing.
 package direct
 
 import (
@@ -20,22 +21,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a connection read and written directly. One goroutine may read while another writes.
+// Conn is a connection that is read and written by raw system calls. One goroutine may read while another
+// writes, but concurrent reads or concurrent writes are not safe.
 type Conn struct {
 	net.Conn
-	raw           syscall.RawConn
-	in, out       transfer
-	reads, writes func(fd uintptr) bool // made once, so that calls allocate nothing
+	raw                 syscall.RawConn
+	in, out             transfer
+	readStep, writeStep func(fd uintptr) bool // created once, so that calls do not allocate
 }
 
-// transfer is a read or a write under way.
+// transfer is the state of a read or write in progress.
 type transfer struct {
 	p     []byte
 	done  int
 	errno syscall.Errno
 }
 
-// Wrap makes a connection direct, or returns it as it is where that can't be done.
+// Wrap returns a Conn for c, or c itself if it gives no access to its file descriptor.
 func Wrap(c net.Conn) net.Conn {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -46,8 +48,8 @@
 		return c
 	}
 	d := &Conn{Conn: c, raw: raw}
-	d.reads = func(fd uintptr) bool { return d.in.step(syscall.SYS_READ, fd) }
-	d.writes = func(fd uintptr) bool {
+	d.readStep = func(fd uintptr) bool { return d.in.step(syscall.SYS_READ, fd) }
+	d.writeStep = func(fd uintptr) bool {
 		for d.out.step(syscall.SYS_WRITE, fd) {
 			if d.out.errno != 0 || d.out.done == len(d.out.p) {
 				return true
@@ -58,7 +60,7 @@
 	return d
 }
 
-// step makes one call, and reports false if it would have had to wait.
+// step makes one read or write system call, and returns false if it would have blocked.
 func (t *transfer) step(call, fd uintptr) bool {
 	rest := t.p[t.done:]
 	for {
@@ -78,17 +80,18 @@
 	}
 }
 
-// Read reads as net.Conn has it.
+// Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
-	return c.read(p, c.reads)
+	return c.read(p, c.readStep)
 }
 
-// ReadWanted reads as Read does, as long as wanted reports true when something comes; else that is left where
-// it is, and the error is ErrUnwanted. The lock is held from the question to the end of the read, so that
-// what changes the answer under that lock can rely on Unread.
+// ReadWanted is like Read if wanted returns true when data, the end of the stream or an error arrives.
+// Otherwise it leaves that unread and returns ErrUnwanted. It holds lock from the call of wanted to the end
+// of the read system call, so that code which changes the result of wanted under the same lock can rely on
+// Unread.
 func (c *Conn) ReadWanted(p []byte, lock sync.Locker, wanted func() bool) (int, error) {
 	unwanted := false
 	n, err := c.read(p, func(fd uintptr) bool {
@@ -97,7 +100,7 @@
 		if wanted() {
 			return c.in.step(syscall.SYS_READ, fd)
 		}
-		unwanted = unread(fd)
+		unwanted = hasUnread(fd)
 		return unwanted
 	})
 	if unwanted {
@@ -106,14 +109,15 @@
 	return n, err
 }
 
-// Unread reports whether something has come, an end or an error included, that was not read yet.
+// Unread reports whether data, the end of the stream or an error has arrived and has not been read yet.
 func (c *Conn) Unread() bool {
 	found := true
-	err := c.raw.Control(func(fd uintptr) { found = unread(fd) })
+	err := c.raw.Control(func(fd uintptr) { found = hasUnread(fd) })
 	return found || err != nil
 }
 
-func unread(fd uintptr) bool {
+// hasUnread implements Unread for a file descriptor, by peeking without blocking.
+func hasUnread(fd uintptr) bool {
 	var b [1]byte
 	for {
 		_, _, errno := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
@@ -140,13 +144,13 @@
 	return n, nil
 }
 
-// Write writes all of p, as net.Conn has it.
+// Write writes all of p. It implements net.Conn.
 func (c *Conn) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	c.out = transfer{p: p}
-	err := c.raw.Write(c.writes)
+	err := c.raw.Write(c.writeStep)
 	n, errno := c.out.done, c.out.errno
 	c.out.p = nil
 	if err == nil && errno != 0 {
@@ -155,7 +159,7 @@
 	return n, err
 }
 
-// CloseWrite ends the sending side alone, where the connection can do that.
+// CloseWrite closes only the sending side. It returns errors.ErrUnsupported if the connection can't do that.
 func (c *Conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -163,23 +167,23 @@
 	return errors.ErrUnsupported
 }
 
-// Listen is net.Listen, for direct connections. The address may be shared by SO_REUSEPORT: a new process
-// of an upgrade listens beside the old one, so that clients are taken by either while both live.
+// Listen is like net.Listen, but accepts direct connections. It sets SO_REUSEPORT, so that during an upgrade
+// the new process can listen on the address of the old one. Either accepts connections while both run.
 func Listen(network, addr string) (net.Listener, error) {
-	l, err := shared.Listen(context.Background(), network, addr)
+	l, err := sharedAddr.Listen(context.Background(), network, addr)
 	if err != nil {
 		return nil, err
 	}
 	return listener{l}, nil
 }
 
-// shared sets SO_REUSEPORT on the socket before it is bound.
-var shared = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// sharedAddr sets SO_REUSEPORT on a socket before it is bound.
+var sharedAddr = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var err error
-	if cerr := c.Control(func(fd uintptr) {
+	if controlErr := c.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-	}); cerr != nil {
-		return cerr
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }}
@@ -194,7 +198,7 @@
 	return Wrap(c), nil
 }
 
-// Dial is that of a net.Dialer, for direct connections.
+// Dial is like net.Dialer.DialContext, but returns direct connections.
 func Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, network, addr)
--- a/internal/net/direct/direct_linux_test.go
+++ b/internal/net/direct/direct_linux_test.go
@@ -36,8 +36,8 @@
 	return a, b
 }
 
-// More than the sockets' buffers hold must come whole, though both sides have to wait at times.
-func TestAllComesWhole(t *testing.T) {
+// Data that exceeds the socket buffers must arrive completely, although both sides have to wait at times.
+func TestLargeTransferIsComplete(t *testing.T) {
 	a, b := pair(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	go func() {
@@ -49,11 +49,11 @@
 	}
 }
 
-func TestEndsAreThoseOfPackageNet(t *testing.T) {
+func TestErrorsMatchPackageNet(t *testing.T) {
 	a, b := pair(t)
 	a.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("past its deadline a read ends with %v", err)
+		t.Errorf("a read past its deadline returns %v", err)
 	}
 	ended := make(chan error)
 	go func() {
@@ -62,22 +62,22 @@
 	}()
 	b.Close()
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a read of a connection being closed ends with %v", err)
+		t.Errorf("a read of a connection being closed returns %v", err)
 	}
 	a.SetReadDeadline(time.Time{})
 	if _, err := a.Read(make([]byte, 1)); err == nil {
-		t.Error("a read from a peer that has gone ends well")
+		t.Error("a read from a closed peer succeeds")
 	}
 	for range 100 { // the first may still go into the buffer
 		if _, err := a.Write([]byte("x")); err != nil {
 			return
 		}
 	}
-	t.Error("writes to a peer that has gone end well")
+	t.Error("writes to a closed peer succeed")
 }
 
-// What comes unwanted is seen and left where it is, until it is wanted.
-func TestWhatIsUnwantedStaysUnread(t *testing.T) {
+// Data that arrives while it is unwanted is detected, and stays unread until it is wanted.
+func TestUnwantedDataStaysUnread(t *testing.T) {
 	a, b := pair(t)
 	var lock sync.Mutex
 	wanted := false
@@ -87,14 +87,14 @@
 		return string(buf[:n]), err
 	}
 	if a.(*Conn).Unread() {
-		t.Error("something unread before anything came")
+		t.Error("Unread is true before anything was received")
 	}
 	time.AfterFunc(time.Millisecond, func() { b.Write([]byte("noise")) })
 	if got, err := read(); got != "" || err != ErrUnwanted {
 		t.Errorf("unwanted: read %q, %v", got, err)
 	}
 	if !a.(*Conn).Unread() {
-		t.Error("what came is not seen")
+		t.Error("Unread is false after data was received")
 	}
 	wanted = true
 	if got, err := read(); got != "noise" || err != nil {
@@ -103,16 +103,16 @@
 	wanted = false
 	b.Close()
 	if _, err := read(); err != ErrUnwanted || !a.(*Conn).Unread() {
-		t.Errorf("the end of an idle connection: %v", err)
+		t.Errorf("closing of an idle connection: %v", err)
 	}
 	a.SetReadDeadline(time.Now().Add(-time.Second))
 	if _, err := read(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("past its deadline a read ends with %v", err)
+		t.Errorf("a read past its deadline returns %v", err)
 	}
 }
 
-// A second process of an upgrade listens at the address of the first while that still serves.
-func TestTheAddressIsShared(t *testing.T) {
+// During an upgrade, a second process listens on the address of the first while that still serves.
+func TestListenAddressCanBeShared(t *testing.T) {
 	first, err := Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 	second.Close()
 	c, err := net.Dial("tcp", first.Addr().String())
 	if err != nil {
-		t.Fatalf("the first listener no longer takes connections: %v", err)
+		t.Fatalf("the first listener no longer accepts connections: %v", err)
 	}
 	c.Close()
 }
--- a/internal/net/direct/direct_other.go
+++ b/internal/net/direct/direct_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-// Package direct has its own way of reading and writing on Linux only; elsewhere it is package net.
+// Package direct makes raw system calls on Linux only; on other systems it uses package net.
 package direct
 
 import (
@@ -8,10 +8,10 @@
 	"net"
 )
 
-// Listen is net.Listen.
+// Listen calls net.Listen.
 func Listen(network, addr string) (net.Listener, error) { return net.Listen(network, addr) }
 
-// Dial is that of a net.Dialer.
+// Dial calls net.Dialer.DialContext.
 func Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, network, addr)
--- a/internal/net/keyset/keyset.go
+++ b/internal/net/keyset/keyset.go
@@ -1,5 +1,5 @@
-// Package keyset keeps an issuer's public keys (RFC 7517) at hand: it reads them now and then, and keeps the
-// last good ones while they can't be read.
+// Package keyset caches the public keys of an issuer (RFC 7517). It fetches them periodically, and keeps the
+// last valid ones while they can't be fetched.
 package keyset
 
 import (
@@ -18,40 +18,41 @@
 	"dunespoke/internal/oauth/assertion"
 )
 
-// Options are what New needs.
+// Options configures a Set.
 type Options struct {
-	Addr  string // host:port
-	Host  string // for the Host header
-	Path  string
-	Dial  func(ctx context.Context, network, addr string) (net.Conn, error) // with TLS, where there is to be any
-	Every time.Duration
+	Addr string // host:port
+	Host string // value of the Host header; empty means Addr
+	Path string
+	// Dial opens a connection, including the TLS handshake if TLS is used.
+	Dial  func(ctx context.Context, network, addr string) (net.Conn, error)
+	Every time.Duration // interval between fetches
 	Log   zerolog.Logger
 }
 
-// Set is an issuer's keys as last read.
+// Set holds the keys of an issuer as last fetched. Keys is safe for concurrent use with Run.
 type Set struct {
 	Options
 	keys   atomic.Pointer[[]jose.JSONWebKey]
 	client *http.Client
 }
 
-// Limits of one reading, and the wait after one that failed.
+// Limits of a fetch, and the delay after a failed one, which is shorter if Options.Every is.
 const (
-	mostBytes = 64 << 10
-	patience  = 3 * time.Second
-	retry     = 5 * time.Second
+	maxResponseBytes = 64 << 10
+	requestTimeout   = 3 * time.Second
+	retryInterval    = 5 * time.Second
 )
 
-// New returns an empty set, to be filled by Run.
+// New returns an empty set, which Run fills.
 func New(o Options) *Set {
-	elsewhere := func(*http.Request, []*http.Request) error { return errRedirect }
-	return &Set{Options: o, client: &http.Client{Timeout: patience, CheckRedirect: elsewhere,
+	rejectRedirect := func(*http.Request, []*http.Request) error { return errRedirect }
+	return &Set{Options: o, client: &http.Client{Timeout: requestTimeout, CheckRedirect: rejectRedirect,
 		Transport: &http.Transport{DialContext: o.Dial, DisableKeepAlives: true}}}
 }
 
-var errRedirect = errors.New("keys elsewhere are not followed")
+var errRedirect = errors.New("redirects are not followed when fetching keys")
 
-// Keys returns the keys as last read.
+// Keys returns the keys as last fetched, or nil if none have been fetched.
 func (s *Set) Keys() []jose.JSONWebKey {
 	if keys := s.keys.Load(); keys != nil {
 		return *keys
@@ -59,15 +60,16 @@
 	return nil
 }
 
-// Run reads the keys until the context ends.
+// Run fetches the keys periodically until ctx is done. It logs only the first of consecutive failures.
 func (s *Set) Run(ctx context.Context) {
 	failed := false
 	for {
 		wait := s.Every
 		if err := s.read(ctx); err != nil {
-			wait = min(retry, s.Every)
+			wait = min(retryInterval, s.Every)
 			if !failed && ctx.Err() == nil {
-				s.Log.Warn().Str("code", "keys-not-read").Str("server", s.Addr).Err(err).Msg("the last ones stay in use")
+				s.Log.Warn().Str("code", "keys-not-read").Str("server", s.Addr).Err(err).
+					Msg("fetching keys failed; keeping the previous ones")
 			}
 			failed = true
 		} else {
@@ -81,8 +83,10 @@
 	}
 }
 
+// read fetches the keys once, and stores them if they are valid.
 func (s *Set) read(ctx context.Context) error {
-	// By plain HTTP as far as the client knows: what it dials has TLS already.
+	// The HTTP client uses plain HTTP, because the connections that Dial returns already use TLS if it is
+	// configured.
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Addr+s.Path, nil)
 	if err != nil {
 		return err
@@ -95,12 +99,12 @@
 		return err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, mostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
 	if err != nil {
 		return err
 	}
-	if res.StatusCode != http.StatusOK || len(text) > mostBytes {
-		return fmt.Errorf("status %d, %d bytes", res.StatusCode, len(text))
+	if res.StatusCode != http.StatusOK || len(text) > maxResponseBytes {
+		return fmt.Errorf("unexpected response: status %d, %d bytes", res.StatusCode, len(text))
 	}
 	keys, err := assertion.PublicKeys(text)
 	if err != nil {
--- a/internal/net/secure/secure.go
+++ b/internal/net/secure/secure.go
@@ -1,5 +1,6 @@
-// Package secure puts TLS on connections, by files that may change while they are in use. New connections go
-// by the files as last read; those that are open stay as they are. A file that can't be used changes nothing.
+// Package secure adds TLS to connections, configured by files that may change at run time. New connections
+// use the files as last loaded; open connections are not affected. If a changed file is not valid, the
+// previous configuration stays in use.
 package secure
 
 import (
@@ -18,18 +19,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Files are the TLS files of one side, all in PEM.
+// Files configures TLS for one side of a connection. All files are in PEM format.
 type Files struct {
-	Cert, Key string // this program's certificate, with those up to the root; may be empty for clients
-	CA        string // the roots that the other side's must come from; empty: the system's
-	Ask       bool   // whether a server asks its clients for a certificate, which they may leave out
-	Name      string // what a server's certificate must name; empty: the host that was dialled
+	Cert, Key string // the local certificate chain and its key; optional for clients
+	CA        string // the root certificates that the peer is verified against; empty means the system's
+	Ask       bool   // whether a server requests a client certificate, which clients may omit
+	Name      string // expected name in the certificate of the server; empty means the dialled host
 }
 
 // Dialer opens connections, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Side is one side of connections.
+// Side is the TLS configuration of one side of connections. It is safe for concurrent use.
 type Side struct {
 	files  Files
 	server bool
@@ -37,42 +38,42 @@
 	now    func() time.Time
 	conf   atomic.Pointer[tls.Config]
 
-	mu     sync.Mutex
-	stamps []stamp
-	leaf   *x509.Certificate
-	warned time.Time
+	mu          sync.Mutex
+	versions    []fileVersion
+	leaf        *x509.Certificate // nil if there is no local certificate
+	lastWarning time.Time
 }
 
-// stamp tells whether a file has changed.
-type stamp struct {
-	mod  time.Time
-	size int64
+// fileVersion identifies the version of a file. It is zero if the file is missing.
+type fileVersion struct {
+	modTime time.Time
+	size    int64
 }
 
-// Server reads the files of a side that takes connections: a certificate and its key.
+// Server loads the files of a side that accepts connections. A certificate and its key are required.
 func Server(f Files, log zerolog.Logger) (*Side, error) { return open(f, true, log) }
 
-// Client reads the files of a side that opens connections.
+// Client loads the files of a side that opens connections.
 func Client(f Files, log zerolog.Logger) (*Side, error) { return open(f, false, log) }
 
 func open(f Files, server bool, log zerolog.Logger) (*Side, error) {
 	s := &Side{files: f, server: server, log: log, now: time.Now}
-	s.stamps = s.look()
+	s.versions = s.fileVersions()
 	if err := s.read(); err != nil {
 		return nil, err
 	}
-	s.warn()
+	s.warnExpiry()
 	return s, nil
 }
 
-// Listener puts TLS on the connections of a listener. The handshake is made at the first read, by whoever
-// reads, so that a silent client holds up nobody.
+// Listener returns a listener that adds TLS to the connections of l. The handshake is made by the first read
+// or write of a connection, so that a client that sends nothing does not delay others.
 func (s *Side) Listener(l net.Listener) net.Listener {
 	return tls.NewListener(l, &tls.Config{MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return s.conf.Load(), nil }})
 }
 
-// Dial returns a dialer that makes a TLS handshake on each connection that another opens, within the same
+// Dial returns a dialer that makes a TLS handshake on each connection that plain opens, within the same
 // context.
 func (s *Side) Dial(plain Dialer) Dialer {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -87,7 +88,7 @@
 				nc.Close()
 				return nil, fmt.Errorf("tls: address %s: %w", addr, err)
 			}
-			conf = conf.Clone() // shares the cache of sessions
+			conf = conf.Clone() // the clone shares the session cache
 			conf.ServerName = host
 		}
 		c := tls.Client(nc, conf)
@@ -99,50 +100,52 @@
 	}
 }
 
-// errExpired says that a new certificate is over.
+// errExpired is returned if a new certificate has already expired.
 var errExpired = errors.New("the certificate has expired")
 
-// Reload reads the files again. If they can't be used, those in use stay, and the log says why.
+// Reload loads the files again. If they are not valid, it logs the error and the previous ones stay in use.
 func (s *Side) Reload() error {
 	s.mu.Lock()
-	s.stamps = s.look()
+	s.versions = s.fileVersions()
 	s.mu.Unlock()
 	err := s.read()
 	if err != nil {
 		s.log.Warn().Str("code", "certificate-not-taken").Str("file", s.name()).Err(err).
-			Msg("the files in use stay in use")
+			Msg("loading TLS files failed; keeping the previous ones")
 		return err
 	}
-	s.log.Info().Str("code", "certificate-taken").Str("file", s.name()).Time("until", s.until()).
-		Msg("TLS files read again")
-	s.warn()
+	s.log.Info().Str("code", "certificate-taken").Str("file", s.name()).Time("until", s.notAfter()).
+		Msg("TLS files reloaded")
+	s.warnExpiry()
 	return nil
 }
 
-// errNoRoots says that clients' certificates can't be traced to a root.
-var errNoRoots = errors.New("no roots for clients' certificates are set up")
+// errNoRoots is returned if there is no root, or no certificate, to verify a client by.
+var errNoRoots = errors.New("no client CA roots configured, or no client certificate")
 
-// Trust reports whether a client's chain of certificates ends in one of the roots in use.
+// Trust verifies the certificate chain of a client against the current roots.
 func (s *Side) Trust(chain []*x509.Certificate) error {
 	roots := s.conf.Load().ClientCAs
 	if roots == nil || len(chain) == 0 {
 		return errNoRoots
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range chain[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
-	_, err := chain[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: between,
+	_, err := chain[0].Verify(x509.VerifyOptions{Roots: roots, Intermediates: intermediates,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}})
 	return err
 }
 
-// watchEvery is how often files are looked at. Renewals come days ahead of an end.
-const watchEvery = 5 * time.Second
+// watchInterval is the interval between checks for changed files. Certificates are renewed days before
+// they expire.
+const watchInterval = 5 * time.Second
 
-// Watch looks for changed files until the context ends, and reads them again.
+// Watch checks for changed files, and reloads them, until ctx is done. It also warns of expiring
+// certificates.
 func (s *Side) Watch(ctx context.Context) {
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -154,36 +157,37 @@
 		changed := s.changed()
 		s.mu.Unlock()
 		if changed {
-			s.Reload() // which leaves its log line
+			s.Reload() // logs its outcome
 		}
-		s.warn()
+		s.warnExpiry()
 	}
 }
 
-// changed reports whether a file looks otherwise than when it was last read. A missing one may be about to
-// be renamed into its place.
+// changed reports whether a file has changed since it was last loaded. A missing file counts as a change, and
+// may be about to be replaced by a rename. It must be called with s.mu held.
 func (s *Side) changed() bool {
-	for i, now := range s.look() {
-		if now != s.stamps[i] {
+	for i, now := range s.fileVersions() {
+		if now != s.versions[i] {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Side) look() []stamp {
-	stamps := make([]stamp, 0, 3)
+// fileVersions returns the versions of the certificate, key and CA files, in this order.
+func (s *Side) fileVersions() []fileVersion {
+	versions := make([]fileVersion, 0, 3)
 	for _, path := range []string{s.files.Cert, s.files.Key, s.files.CA} {
-		var at stamp
+		var version fileVersion
 		if info, err := os.Stat(path); path != "" && err == nil {
-			at = stamp{info.ModTime(), info.Size()}
+			version = fileVersion{info.ModTime(), info.Size()}
 		}
-		stamps = append(stamps, at)
+		versions = append(versions, version)
 	}
-	return stamps
+	return versions
 }
 
-// read reads the files, and takes them if all are good.
+// read loads the files, and puts them to use if all are valid.
 func (s *Side) read() error {
 	conf := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: s.files.Name}
 	var leaf *x509.Certificate
@@ -202,16 +206,16 @@
 	if s.files.CA != "" {
 		text, err := os.ReadFile(s.files.CA)
 		if err != nil {
-			return fmt.Errorf("roots: %w", err)
+			return fmt.Errorf("CA roots: %w", err)
 		}
 		roots = x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(text) {
-			return fmt.Errorf("roots %s: no certificate in it", s.files.CA)
+			return fmt.Errorf("CA roots %s: file contains no certificate", s.files.CA)
 		}
 	}
 	switch {
 	case s.server && s.files.Ask:
-		conf.ClientCAs, conf.ClientAuth = roots, tls.RequestClientCert // looked at by Trust, or by whom it names
+		conf.ClientCAs, conf.ClientAuth = roots, tls.RequestClientCert // verified by Trust, or by the caller
 	case !s.server:
 		conf.RootCAs, conf.ClientSessionCache = roots, tls.NewLRUClientSessionCache(64)
 	}
@@ -222,26 +226,29 @@
 	return nil
 }
 
-// Ends of certificates are told so long ahead, and so often.
+// Warnings of the expiry of a certificate are logged from expiryWarningPeriod before it, at intervals of
+// expiryWarningInterval.
 const (
-	warnAhead = 14 * 24 * time.Hour
-	warnEvery = 12 * time.Hour
+	expiryWarningPeriod   = 14 * 24 * time.Hour
+	expiryWarningInterval = 12 * time.Hour
 )
 
-// warn tells on-call staff that the certificate in use ends soon.
-func (s *Side) warn() {
+// warnExpiry logs a warning for operators if the current certificate expires soon.
+func (s *Side) warnExpiry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if s.leaf == nil || s.leaf.NotAfter.Sub(now) > warnAhead || now.Sub(s.warned) < warnEvery {
+	if s.leaf == nil || s.leaf.NotAfter.Sub(now) > expiryWarningPeriod ||
+		now.Sub(s.lastWarning) < expiryWarningInterval {
 		return
 	}
-	s.warned = now
+	s.lastWarning = now
 	s.log.Warn().Str("code", "certificate-ends").Str("file", s.files.Cert).Time("until", s.leaf.NotAfter).
-		Msg("renew it")
+		Msg("certificate expires soon; renew it")
 }
 
-func (s *Side) until() time.Time {
+// notAfter returns the expiry time of the current certificate, or zero if there is none.
+func (s *Side) notAfter() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaf == nil {
@@ -250,4 +257,5 @@
 	return s.leaf.NotAfter
 }
 
+// name returns the file that identifies the side in log lines.
 func (s *Side) name() string { return cmp.Or(s.files.Cert, s.files.CA) }
--- a/internal/net/secure/secure_test.go
+++ b/internal/net/secure/secure_test.go
@@ -19,7 +19,7 @@
 	"dunespoke/internal/lab/ca"
 )
 
-// authority is a root for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	*ca.Authority
 	t   *testing.T
@@ -36,7 +36,7 @@
 	return &authority{a, t, dir}
 }
 
-// issue writes a certificate and its key for a name.
+// issue writes a certificate for name, valid for life, and its key.
 func (a *authority) issue(name string, life time.Duration) Files {
 	a.t.Helper()
 	p, err := a.Issue(name, life)
@@ -46,6 +46,7 @@
 	return Files{Cert: p.Cert, Key: p.Key}
 }
 
+// safeLog is a buffer that is safe for concurrent use.
 type safeLog struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -63,7 +64,7 @@
 	return l.Buffer.String()
 }
 
-// echo serves connections that send back what comes.
+// echo accepts connections and sends back the data it receives.
 func echo(t *testing.T, s *Side) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,8 +93,8 @@
 	return d.DialContext(ctx, network, addr)
 }
 
-// said sends a line and reads it back.
-func said(c net.Conn) error {
+// ping sends a message and reads the echo.
+func ping(c net.Conn) error {
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Write([]byte("ping")); err != nil {
 		return err
@@ -103,7 +104,7 @@
 		return err
 	}
 	if string(buf) != "ping" {
-		return errors.New("not what was sent")
+		return errors.New("the echo differs from the message")
 	}
 	return nil
 }
@@ -123,8 +124,8 @@
 	return s
 }
 
-// Certificates are changed again and again while connections are opened and used: none fails, and those that
-// were open before go on.
+// While certificates are replaced repeatedly, no new connection may fail, and connections that were open
+// before must keep working.
 func TestRotationUnderLoad(t *testing.T) {
 	a := newAuthority(t)
 	server := mustOpen(t, Server, a.issue("ingress", time.Hour), io.Discard)
@@ -144,7 +145,7 @@
 					t.Error(err)
 					return
 				}
-				if err := said(c); err != nil {
+				if err := ping(c); err != nil {
 					t.Error(err)
 				}
 				c.Close()
@@ -156,23 +157,23 @@
 		if err := server.Reload(); err != nil {
 			t.Error(err)
 		}
-		if err := said(old); err != nil {
-			t.Errorf("the connection that was open before: %v", err)
+		if err := ping(old); err != nil {
+			t.Errorf("the connection opened before the rotation: %v", err)
 		}
 	}
 	wait.Wait()
-	// One that was never here before: others may resume their sessions, and are shown no certificate.
+	// A new client is needed: others may resume their sessions and get no new certificate.
 	c, err := dial(mustOpen(t, Client, Files{CA: a.Root(), Name: "ingress"}, io.Discard), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	if got := c.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64(); got != a.Last() {
-		t.Errorf("certificate %d is shown, want the newest, %d", got, a.Last())
+		t.Errorf("server presents certificate %d, want the newest, %d", got, a.Last())
 	}
 }
 
-func TestABadNewFileLeavesTheOldInUse(t *testing.T) {
+func TestInvalidFileKeepsPreviousConfiguration(t *testing.T) {
 	a := newAuthority(t)
 	var log safeLog
 	files := a.issue("ingress", time.Hour)
@@ -195,19 +196,19 @@
 			}
 		}
 	}
-	for name, spoil := range map[string]func(){
+	for name, corrupt := range map[string]func(){
 		"no certificate": func() { os.WriteFile(files.Cert, []byte("nothing"), 0o600) },
-		"another's key": func() {
+		"key of another certificate": func() {
 			a.issue("other", time.Hour)
 			os.Rename(filepath.Join(a.dir, "other.key"), files.Key)
 		},
-		"gone":              func() { os.Remove(files.Cert) },
-		"no roots":          func() { os.WriteFile(files.CA, nil, 0o600) },
-		"expired by itself": func() { a.issue("ingress", -time.Hour) },
+		"gone":                func() { os.Remove(files.Cert) },
+		"no roots":            func() { os.WriteFile(files.CA, nil, 0o600) },
+		"expired certificate": func() { a.issue("ingress", -time.Hour) },
 	} {
-		spoil()
+		corrupt()
 		if server.Reload() == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 		c, err := dial(client, addr)
 		if err != nil {
@@ -222,16 +223,16 @@
 	}
 	for _, code := range []string{"certificate-not-taken", "certificate-taken", "certificate-ends"} {
 		if !strings.Contains(log.String(), code) {
-			t.Errorf("no line %s in the log", code)
+			t.Errorf("log has no line with code %s", code)
 		}
 	}
 }
 
-func TestWhoIsNotTrusted(t *testing.T) {
-	a, stranger := newAuthority(t), newAuthority(t)
+func TestUntrustedServersAreRejected(t *testing.T) {
+	a, untrusted := newAuthority(t), newAuthority(t)
 	addr := echo(t, mustOpen(t, Server, a.issue("ingress", time.Hour), io.Discard))
 	for name, files := range map[string]Files{
-		"another's root":     {CA: stranger.Root(), Name: "ingress"},
+		"another CA":         {CA: untrusted.Root(), Name: "ingress"},
 		"another name":       {CA: a.Root(), Name: "somebody"},
 		"the address's name": {CA: a.Root()}, // 127.0.0.1, which the certificate does not name
 		"the system's roots": {Name: "ingress"},
@@ -245,12 +246,12 @@
 	old := &tls.Dialer{Config: &tls.Config{MaxVersion: tls.VersionTLS11, InsecureSkipVerify: true}}
 	if c, err := old.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("TLS 1.1 is taken")
+		t.Error("TLS 1.1 is accepted")
 	}
 }
 
-// A server whose certificate is over is not asked: its clients see that at the handshake.
-func TestAnExpiredPeer(t *testing.T) {
+// A client must reject a server with an expired certificate at the handshake, before any request is sent.
+func TestExpiredServerIsRejected(t *testing.T) {
 	a := newAuthority(t)
 	server := mustOpen(t, Server, a.issue("ingress", time.Hour), io.Discard)
 	client := mustOpen(t, Client, Files{CA: a.Root(), Name: "ingress"}, io.Discard)
@@ -261,11 +262,11 @@
 	server.conf.Store(&tls.Config{Certificates: []tls.Certificate{expired}})
 	if c, err := dial(client, echo(t, server)); err == nil {
 		c.Close()
-		t.Error("connected to one whose certificate has expired")
+		t.Error("connected to a server with an expired certificate")
 	}
 }
 
-func TestChangesAreSeen(t *testing.T) {
+func TestChangedFilesAreDetected(t *testing.T) {
 	a := newAuthority(t)
 	s := mustOpen(t, Server, a.issue("ingress", time.Hour), io.Discard)
 	if s.changed() {
@@ -276,9 +277,9 @@
 		t.Fatal(err)
 	}
 	if !s.changed() {
-		t.Error("a change is not seen")
+		t.Error("a change is not detected")
 	}
 	if err := s.Reload(); err != nil || s.changed() {
-		t.Errorf("after reading again: %v", err)
+		t.Errorf("after reloading: %v", err)
 	}
 }
