--- a/agentcheck/agentcheck_test.go
+++ b/agentcheck/agentcheck_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func TestLinesOfTheAgentCheck(t *testing.T) {
+func TestAgentCheckLines(t *testing.T) {
 	for want, r := range map[string]Report{
 		"ready up 75%\n":  {State: Up, Weight: 75},
 		"ready up 1%\n":   {State: Up, Weight: 0}, // 0% would drain the server
@@ -58,7 +58,7 @@
 		for i, h := range []http.Handler{Health(report), Ready(report)} {
 			w := httptest.NewRecorder()
 			if h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil)); w.Code != want[i] {
-				t.Errorf("state %d, question %d: %d, want %d", state, i, w.Code, want[i])
+				t.Errorf("state %d, check %d: status %d, want %d", state, i, w.Code, want[i])
 			}
 			w = httptest.NewRecorder()
 			if h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", nil)); w.Code != 405 ||
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen takes connections of a side door, such as balancers' checks or operators' calls, until a
-// context ends.
+// Package listen accepts connections on auxiliary listeners, such as those for health checks of load
+// balancers and for management commands, until a context is done.
 package listen
 
 import (
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// Each hands every connection that the listener takes to take, until the context ends; then it closes the
-// listener and returns nil. A listener closed by anyone else is an error, named by what.
-func Each(ctx context.Context, l net.Listener, what string, take func(net.Conn)) error {
+// Each calls handle for every connection that l accepts, until ctx is done. Then it closes l and returns nil.
+// If l is closed otherwise, it returns an error with the prefix what. It accepts the
+// next connection only after handle has returned.
+func Each(ctx context.Context, l net.Listener, what string, handle func(net.Conn)) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
 		c, err := l.Accept()
@@ -24,10 +25,10 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("%s: %w", what, err)
-		case err != nil: // short of descriptors for a moment: callers come back
+		case err != nil: // such as a temporary lack of file descriptors; clients retry
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		take(c)
+		handle(c)
 	}
 }
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-func TestEachEndsWithItsContextAndFailsWithoutIt(t *testing.T) {
+func TestEachEndsWithContextAndFailsIfListenerCloses(t *testing.T) {
 	for _, byContext := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, end := context.WithCancel(t.Context())
-		taken := make(chan net.Conn)
+		accepted := make(chan net.Conn)
 		ended := make(chan error)
-		go func() { ended <- Each(ctx, l, "test", func(c net.Conn) { taken <- c }) }()
+		go func() { ended <- Each(ctx, l, "test", func(c net.Conn) { accepted <- c }) }()
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		(<-taken).Close()
+		(<-accepted).Close()
 		c.Close()
 		if byContext {
 			end()
@@ -28,7 +28,7 @@
 			l.Close()
 		}
 		if err := <-ended; (err == nil) != byContext {
-			t.Errorf("ended by the context %v: %v", byContext, err)
+			t.Errorf("ended by the context: %v, error: %v", byContext, err)
 		}
 		end()
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -1,6 +1,7 @@
-// Package mgmt answers operators' calls on a line listener: one call a connection, a line such as
-// "OFFLINE s3", answered by a line that begins with SUCCESS or FAILURE, and closed. What a call does is the
-// program's; this package reads, bounds and writes.
+// Package mgmt serves management commands of operators over a line protocol. A connection carries one
+// command, a line such as "OFFLINE s3". The reply starts with SUCCESS or FAILURE, unless it is a report, and
+// then the connection closes. The program implements the commands; this package reads and limits them and
+// writes replies.
 package mgmt
 
 import (
@@ -17,30 +18,30 @@
 	"dunespoke/internal/listen"
 )
 
-// Answer is what a call gets: a verdict, a reason on its line, and lines after it, such as figures.
-// Lines without a verdict are a report, such as figures, that stands for SUCCESS.
+// Answer is the reply to a command: a line with the result and an optional reason, followed by further lines.
+// A successful report, such as statistics, consists only of the further lines.
 type Answer struct {
 	OK     bool
 	Reason string
 	Lines  []string
-	Report bool // the lines alone
+	Report bool // omit the result line if OK is set
 }
 
-// Fail is a FAILURE with a reason.
+// Fail returns a FAILURE reply with a formatted reason.
 func Fail(format string, args ...any) Answer { return Answer{Reason: fmt.Sprintf(format, args...)} }
 
-// Handler answers a call: its verb in upper case, and the words after it.
+// Handler executes a command, given its verb in upper case and its arguments. It may be called concurrently.
 type Handler func(verb string, args []string) Answer
 
-// Bounds on callers. A caller gets its answer within a second; some connect and send nothing, and must not
-// keep out others, nor hold a goroutine for long.
+// Limits for clients. A reply takes less than a second. Clients that connect and send nothing must not block
+// others or occupy a goroutine for long.
 const (
-	callWait = 2 * time.Second // to send the line and take the answer
-	lineMost = 1 << 10
-	callers  = 64 // connections at once; more are answered FAILURE at once
+	callTimeout    = 2 * time.Second // for the client to send the line and read the reply
+	maxLineBytes   = 1 << 10         // maximum length of a command
+	maxConnections = 64              // concurrent connections; further ones get a FAILURE reply immediately
 )
 
-// Append words an answer.
+// Append appends the encoded reply to b.
 func (a Answer) Append(b []byte) []byte {
 	switch {
 	case a.Report && a.OK:
@@ -61,11 +62,11 @@
 	return b
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve handles commands on l until ctx is done.
 func Serve(ctx context.Context, l net.Listener, h Handler) error {
-	slots := make(chan struct{}, callers)
+	slots := make(chan struct{}, maxConnections)
 	return listen.Each(ctx, l, "mgmt", func(c net.Conn) {
-		c.SetDeadline(time.Now().Add(callWait))
+		c.SetDeadline(time.Now().Add(callTimeout))
 		select {
 		case slots <- struct{}{}:
 			go func() {
@@ -79,22 +80,22 @@
 	})
 }
 
-// call reads one line and answers it.
+// call reads one command from c, writes the reply and closes c.
 func call(c net.Conn, h Handler) {
 	defer c.Close()
-	r := bufio.NewReaderSize(c, lineMost)
+	r := bufio.NewReaderSize(c, maxLineBytes)
 	line, err := r.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		c.Write(Fail("a call is one line of at most %d bytes", lineMost).Append(nil))
+		c.Write(Fail("a call is one line of at most %d bytes", maxLineBytes).Append(nil))
 		return
-	case err != nil && !(errors.Is(err, io.EOF) && len(line) > 0): // a last line may lack its newline
+	case err != nil && !(errors.Is(err, io.EOF) && len(line) > 0): // the stream may end without a newline
 		return
 	}
 	c.Write(Call(string(bytes.TrimSpace(line)), h).Append(nil))
 }
 
-// Call answers one line by the handler.
+// Call parses one line and returns the reply of the handler.
 func Call(line string, h Handler) Answer {
 	words := strings.Fields(line)
 	if len(words) == 0 {
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestAnswersAreWordedByVerdict(t *testing.T) {
+func TestAnswerEncoding(t *testing.T) {
 	for want, a := range map[string]Answer{
 		"SUCCESS\n":                 {OK: true},
 		"FAILURE unknown id s9\n":   Fail("unknown id %s", "s9"),
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestCallsAreReadByWords(t *testing.T) {
+func TestCallSplitsWords(t *testing.T) {
 	var verb string
 	var args []string
 	h := func(v string, a []string) Answer { verb, args = v, a; return Answer{OK: true} }
@@ -31,12 +31,13 @@
 		t.Errorf("%+v: %q %q", a, verb, args)
 	}
 	if a := Call("   ", h); a.OK {
-		t.Error("an empty call succeeded")
+		t.Error("an empty command succeeded")
 	}
 }
 
-// One call a connection; a caller that sends nothing holds up nobody, and a line too long is refused.
-func TestEachConnectionGetsOneAnswer(t *testing.T) {
+// Each connection gets one reply. A client that sends nothing must not delay others, and a line that is too
+// long is refused.
+func TestEachConnectionGetsOneReply(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,10 +58,10 @@
 	}
 	defer silent.Close()
 	for line, want := range map[string]string{
-		"HEALTH\n":                       "SUCCESS\n",
-		"HEALTH":                         "SUCCESS\n", // closed without a newline
-		"NOPE\n":                         "FAILURE unknown call\n",
-		string(make([]byte, 2*lineMost)): "FAILURE a call is one line of at most 1024 bytes\n",
+		"HEALTH\n":                           "SUCCESS\n",
+		"HEALTH":                             "SUCCESS\n", // closed without a newline
+		"NOPE\n":                             "FAILURE unknown call\n",
+		string(make([]byte, 2*maxLineBytes)): "FAILURE a call is one line of at most 1024 bytes\n",
 	} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
