--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -131,12 +131,12 @@
 	f.Add("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc\r\n\r\nGET", uint8(9))
 	f.Fuzz(func(t *testing.T, stream string, piece uint8) {
 		limits := Limits{Head: 300, Body: 200}
-		whole, err := frame(NewRequests(limits), stream, len(stream)+1)
-		parts, errParts := frame(NewRequests(limits), stream, int(piece)+1)
-		if err == nil && errParts == nil && strings.Join(whole, "|") != strings.Join(parts, "|") {
-			t.Fatalf("%q when fed at once, %q in parts", whole, parts)
+		unsplit, err := frame(NewRequests(limits), stream, len(stream)+1)
+		split, errSplit := frame(NewRequests(limits), stream, int(piece)+1)
+		if err == nil && errSplit == nil && strings.Join(unsplit, "|") != strings.Join(split, "|") {
+			t.Fatalf("%q when fed at once, %q in parts", unsplit, split)
 		}
-		for _, msg := range whole {
+		for _, msg := range unsplit {
 			if r, err := new(Parser).Request([]byte(msg)); err == nil && len(r.Content) > limits.Body {
 				t.Fatalf("a body of %d bytes", len(r.Content))
 			}
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -8,10 +8,10 @@
 
 // Stream decodes a long-lived chunked response with one object per line. It is not safe for concurrent use.
 type Stream struct {
-	head   []byte
-	opened bool
+	head   []byte // the part of the head received so far; nil once it is complete
+	opened bool   // the head has been accepted
 	chunks Chunks
-	line   []byte
+	line   []byte // decoded bytes that have not been passed on as a line
 }
 
 // LongestObject is the maximum length of a line in bytes, enough for a list of tens of thousands of servers.
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -11,8 +11,8 @@
 )
 
 // Each calls handle for every connection that l accepts, until ctx is done. Then it closes l and returns nil.
-// If l is closed otherwise, it returns an error with the prefix what. It accepts the
-// next connection only after handle has returned.
+// If l is closed otherwise, it returns an error with the prefix what. It accepts the next
+// connection only after handle has returned.
 func Each(ctx context.Context, l net.Listener, what string, handle func(net.Conn)) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
 	for {
--- a/internal/mgmt/mgmt.go
+++ b/internal/mgmt/mgmt.go
@@ -33,7 +33,7 @@
 // Handler executes a command, given its verb in upper case and its arguments. It may be called concurrently.
 type Handler func(verb string, args []string) Answer
 
-// Limits for clients. A reply takes less than a second. Clients that connect and send nothing must not block
+// Limits for clients. Clients get a reply within a second. Those that connect and send nothing must not block
 // others or occupy a goroutine for long.
 const (
 	callTimeout    = 2 * time.Second // for the client to send the line and read the reply
