--- a/internal/controlplane/simulation/actions.go
+++ b/internal/controlplane/simulation/actions.go
@@ -12,7 +12,8 @@
 
 var _ node.Actions = (*actions)(nil)
 
-// actions is what a node sees of the simulation.
+// actions implements node.Actions for one process of a machine. Callbacks into the node are dropped once that
+// process has ended.
 type actions struct {
 	m      *Machine
 	starts int
@@ -24,8 +25,8 @@
 	if x.Observe != nil {
 		x.Observe(a.m, to, m)
 	}
-	if to == from && x.Tamper == nil { // as in the program: not copied
-		x.schedule(0, func() { a.m.act(a.starts, func() { a.m.controlNode.Step(x.Now, from, m) }) })
+	if to == from && x.Tamper == nil { // as in the server, a message to itself is not encoded
+		x.schedule(0, func() { a.m.execute(a.starts, func() { a.m.controlNode.Step(x.Now, from, m) }) })
 		return
 	}
 	b := message.MarshalAppend(nil, m)
@@ -33,21 +34,21 @@
 	if x.Probe != nil {
 		x.Probe.Sent(from, to, m, len(b))
 	}
-	if x.partitions[[2]string{from, to}] || x.refuse(a.m, to) {
+	if x.partitions[[2]string{from, to}] || x.refuseConnection(a.m, to) {
 		return
 	}
 	copied := new(message.Message)
 	var err error
-	x.run(to, func() { err = message.Unmarshal(b, copied) })
+	x.runMeasured(to, func() { err = message.Unmarshal(b, copied) })
 	if err != nil {
-		x.violate("%s sent what can't be read: %v", a.m.Name, err)
+		x.reportViolation("%s sent a message that cannot be decoded: %v", a.m.Name, err)
 		return
 	}
-	all := []Delivery{{To: to, Message: copied}}
+	deliveries := []Delivery{{To: to, Message: copied}}
 	if x.Network != nil && to != from {
-		all = x.Network(from, to, copied)
+		deliveries = x.Network(from, to, copied)
 	}
-	for _, d := range all {
+	for _, d := range deliveries {
 		x.deliver(from, d)
 	}
 }
@@ -55,7 +56,7 @@
 func (a *actions) Save(token uint64, r replica.PersistentState) {
 	m := a.m
 	m.diskBusyUntil = max(m.diskBusyUntil, m.cluster.Now) + m.syncTime
-	done := func() {
+	complete := func() {
 		if !m.up || m.starts != a.starts {
 			return
 		}
@@ -66,21 +67,21 @@
 			}
 			m.cluster.checkMemberships(m, &m.stored)
 		}
-		if !m.cluster.unsyncedSaves {
-			m.act(a.starts, func() { m.controlNode.HandleSaved(m.cluster.Now, token, ok) })
+		if !m.cluster.acknowledgesUnsyncedSaves {
+			m.execute(a.starts, func() { m.controlNode.HandleSaved(m.cluster.Now, token, ok) })
 		}
 	}
-	if m.cluster.unsyncedSaves {
+	if m.cluster.acknowledgesUnsyncedSaves {
 		m.cluster.schedule(0, func() {
-			m.act(a.starts, func() { m.controlNode.HandleSaved(m.cluster.Now, token, true) })
+			m.execute(a.starts, func() { m.controlNode.HandleSaved(m.cluster.Now, token, true) })
 		})
 	}
 	m.cluster.schedule(m.diskBusyUntil-m.cluster.Now, func() {
 		if m.diskHangs {
-			m.hangingSaves = append(m.hangingSaves, done)
+			m.hangingSaves = append(m.hangingSaves, complete)
 			return
 		}
-		done()
+		complete()
 	})
 }
 
@@ -93,16 +94,16 @@
 func (a *actions) ApplyConfig(version uint64, config []byte) {
 	m := a.m
 	if version <= m.version {
-		m.cluster.violate("%s went from r%d back to r%d", m.Name, m.version, version)
+		m.cluster.reportViolation("%s applied r%d and then r%d", m.Name, m.version, version)
 	}
 	if text, known := m.cluster.configs[version]; known && text != string(config) {
-		m.cluster.violate("%s: r%d has two contents", m.Name, version)
+		m.cluster.reportViolation("%s: r%d has two contents", m.Name, version)
 	}
 	m.cluster.configs[version] = string(config)
 	m.version, m.config = version, string(config)
 	for _, c := range m.cluster.Calls {
 		if c.Acknowledged && !c.Read && c.Version > version && c.EndedAt < m.cluster.Now-MaxStaleInForce {
-			m.cluster.violate("%s takes r%d, r%d was acknowledged %v ago", m.Name, version, c.Version,
+			m.cluster.reportViolation("%s applies r%d, r%d was acknowledged %v ago", m.Name, version, c.Version,
 				m.cluster.Now-c.EndedAt)
 			break
 		}
--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -12,11 +12,11 @@
 // in touch in the view before for some moments more, when a machine that has just started asks that one for
 // news, then it is not told that the change is complete, and tells it to nobody: no second core comes of it.
 // A member that tells it so is found.
-func TestAnIncompleteChangeIsNotTold(t *testing.T) {
+func TestIncompleteMembershipChangeIsNotReported(t *testing.T) {
 	play := func(defect bool) string {
-		s := given(t, 1)
-		a, b, c, asker := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
-		asker.Kill()
+		s := startScenario(t, 1)
+		a, b, c, newcomer := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
+		newcomer.Kill()
 		fresh := s.Add("z1")
 		fresh.Start()
 		s.Run(time.Second)
@@ -25,10 +25,10 @@
 		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
 		a.SetSyncTime(430 * time.Millisecond)
 		a.controlNode.Drain(s.Now)
-		s.then("the other has promised", time.Second,
+		s.eventually("the other has promised", time.Second,
 			func() bool { return a.Replica().State() == replica.StateInstalling })
 		b.Kill()
-		s.then("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
+		s.eventually("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
 			return len(c.stored.OutgoingMembers) > 0
 		})
 		if len(a.stored.OutgoingMembers)+len(b.stored.OutgoingMembers) > 0 || !c.Replica().ServingWithQuorum() {
@@ -36,23 +36,23 @@
 		}
 		if defect {
 			s.Tamper = func(to *Machine, m *message.Message) {
-				if response, ok := m.Body.(*message.WatchResponse); ok && to == asker {
+				if response, ok := m.Body.(*message.WatchResponse); ok && to == newcomer {
 					response.OutgoingMembers = nil
 				}
 			}
 		}
-		asker.Start()
+		newcomer.Start()
 		s.Run(20 * time.Millisecond)
 		a.Kill()
 		c.Kill()
 		s.Run(300 * time.Millisecond)
 		for _, m := range []*Machine{a, b} { // from here on there are two sides
-			for _, other := range []*Machine{c, fresh, asker} {
+			for _, other := range []*Machine{c, fresh, newcomer} {
 				s.Cut(m, other, true)
 			}
 		}
 		a.SetSyncTime(s.SyncTime)
-		s.seeds = []string{asker.node.Addr} // by the settings of that moment
+		s.seeds = []string{newcomer.node.Addr} // by the settings of that moment
 		c.Start()
 		a.Start()
 		b.Start()
@@ -74,9 +74,9 @@
 // hangs, when an operator sends the first configuration, then it is acknowledged within the users' bound from
 // the moment on at which the core is settled: the two others can hold it. The third becomes a member once it
 // can.
-func TestAFirstStartWithoutOneDisk(t *testing.T) {
+func TestFirstStartWithoutOneDisk(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
-		for what, hit := range map[string]func(m *Machine){
+		for what, inject := range map[string]func(m *Machine){
 			"full":      func(m *Machine) { m.FillDisk(true) },
 			"hangs":     func(m *Machine) { m.HangDisk(true) },
 			"not there": func(m *Machine) { m.removed = true },
@@ -84,17 +84,17 @@
 			s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 5}),
 				t, 0}
 			m := s.Machine(name)
-			hit(m)
+			inject(m)
 			s.StartAll()
 			s.Run(300 * time.Millisecond) // by which all have started
-			if took := s.change(s.Machine("z1-2")); took > quietPeriod+mostForAChange-time.Second {
+			if took := s.putNext(s.Machine("z1-2")); took > quietPeriod+maxChangeDuration-time.Second {
 				t.Errorf("%s %s: acknowledged after %v", name, what, took)
 			}
 			m.removed = false
 			s.heal(m)
-			s.then(name+" "+what+": it is a member", 8*time.Second, func() bool { return s.member(m) })
-			s.tolerant(time.Second)
-			s.ends(name + " " + what)
+			s.eventually(name+" "+what+": it is a member", 8*time.Second, func() bool { return s.isMember(m) })
+			s.awaitTolerance(time.Second)
+			s.checkRecovered(name + " " + what)
 		}
 	}
 }
@@ -102,17 +102,17 @@
 // Given a member that the first one doesn't hear, so that it can't be in a chain with that, when it proposes
 // a view, since it alone serves while the two others have not agreed yet, then it does not serve in the
 // view that it has proposed and is not in: what is acknowledged there does not come to its disk.
-func TestWhoProposesAViewWithoutItselfDoesNotServe(t *testing.T) {
-	s := given(t, 2)
+func TestProposerOutsideItsViewDoesNotServe(t *testing.T) {
+	s := startScenario(t, 2)
 	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 	w := checkStaleness(s.Cluster)
-	watching, proposed := s.Observe, false
+	observe, proposed := s.Observe, false
 	s.Observe = func(from *Machine, to string, m *message.Message) {
 		if from == b && m.Type() == message.TypePrepare { // for a moment it is heard
 			s.HealAll()
 			proposed = true
 		}
-		watching(from, to, m)
+		observe(from, to, m)
 	}
 	s.Network = func(_, to string, m *message.Message) []Delivery {
 		if m.Type() == message.TypePromise && to == a.node.Addr {
@@ -121,19 +121,19 @@
 		return []Delivery{{To: to, Message: m}}
 	}
 	s.CutOneWay(b, a, true)
-	s.then("it has proposed a view", 4*time.Second, func() bool { return proposed })
-	s.then("that serves", 2*time.Second, func() bool { return len(s.Chain()) > 0 })
+	s.eventually("it has proposed a view", 4*time.Second, func() bool { return proposed })
+	s.eventually("that serves", 2*time.Second, func() bool { return len(s.Chain()) > 0 })
 	s.CutOneWay(b, a, true)
 	s.Network = nil
 	for range 10 {
-		s.change(c)
+		s.putNext(c)
 		s.Run(500 * time.Millisecond)
 	}
 	if len(w.violations) > 0 {
 		t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
 	}
 	s.HealAll()
-	s.then("it is back", 4*time.Second, func() bool {
+	s.eventually("it is back", 4*time.Second, func() bool {
 		return s.ToleratedFailures() == 1 &&
 			b.Version() == s.version
 	})
@@ -145,18 +145,18 @@
 // Given a core whose disks all take long for each sync, up to the time after which one counts as failing,
 // when all processes are killed, then a view serves soon after their start, and stays: changes go through
 // it, slowly.
-func TestACoreStaysInItsViewWhereAllDisksAreSlow(t *testing.T) {
+func TestViewIsStableWithSlowDisks(t *testing.T) {
 	for _, syncTime := range []time.Duration{300, 500, 700, 850} {
 		syncTime *= time.Millisecond
-		s := given(t, 1)
+		s := startScenario(t, 1)
 		for _, m := range s.Replicas() {
 			m.SetSyncTime(syncTime)
 		}
 		s.restartAll()
-		s.then(syncTime.String()+": a view serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
+		s.eventually(syncTime.String()+": a view serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
 		epoch, _ := s.Machine("z1-1").Replica().View()
 		for range 6 {
-			if took := s.change(s.Machine("z3-2")); took > 4*syncTime+returnPath {
+			if took := s.putNext(s.Machine("z3-2")); took > 4*syncTime+responseMargin {
 				t.Errorf("%v: acknowledged after %v", syncTime, took)
 			}
 			s.Run(3 * time.Second)
--- a/internal/controlplane/simulation/blackout_test.go
+++ b/internal/controlplane/simulation/blackout_test.go
@@ -12,7 +12,7 @@
 // blackOut has all machines lose power at once, those without a disk too, and some lose their disks; then
 // all start again. It returns what went wrong: something that was acknowledged is gone, or nothing
 // serves.
-func (s *scenario) blackOut(wiped []*Machine) string {
+func (s *scenario) runBlackout(wiped []*Machine) string {
 	for _, m := range s.Machines {
 		m.PowerOff()
 	}
@@ -45,13 +45,13 @@
 }
 
 // choices returns all sets of at most so many machines, the empty one among them.
-func choices(machines []*Machine, most int) (sets [][]*Machine) {
+func subsets(machines []*Machine, maxSize int) (sets [][]*Machine) {
 	sets = [][]*Machine{nil}
-	if most == 0 {
+	if maxSize == 0 {
 		return sets
 	}
 	for i, m := range machines {
-		for _, rest := range choices(machines[i+1:], most-1) {
+		for _, rest := range subsets(machines[i+1:], maxSize-1) {
 			sets = append(sets, append([]*Machine{m}, rest...))
 		}
 	}
@@ -60,21 +60,21 @@
 
 // blackOutsInAChange plays a loss of all power at each step of a change, and right after its
 // acknowledgement, with each choice of disks that may be lost, and returns what went wrong first.
-func blackOutsInAChange(t *testing.T, survive int, step time.Duration, unsynced bool) string {
+func runBlackoutsDuringChange(t *testing.T, survive int, step time.Duration, unsynced bool) string {
 	replicasPerZone := survive
 	options := Options{Zones: 3, ReplicasPerZone: replicasPerZone, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: 11}
-	sets := len(choices(make([]*Machine, 3*replicasPerZone), survive))
+	sets := len(subsets(make([]*Machine, 3*replicasPerZone), survive))
 	for at := time.Duration(0); at <= changeDuration; at += step {
 		for set := range sets {
 			s := &scenario{New(options), t, 0}
-			s.unsyncedSaves = unsynced
+			s.acknowledgesUnsyncedSaves = unsynced
 			s.StartAll()
-			s.then("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
-			s.change(s.Machines[0])
+			s.eventually("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
+			s.putNext(s.Machines[0])
 			call := s.PutVersion(s.Machines[len(s.Machines)-1], s.version+1)
 			s.Until(func() bool { return call.Ended }, at)
-			if wrong := s.blackOut(choices(s.Replicas(), survive)[set]); wrong != "" {
+			if wrong := s.runBlackout(subsets(s.Replicas(), survive)[set]); wrong != "" {
 				return fmt.Sprintf("disks %d at %v: %s", set, at, wrong)
 			}
 		}
@@ -85,15 +85,15 @@
 // Given a change under way, when at any step of it all machines lose power, those without a disk too, and
 // as many as may be lost lose their disks, then what was acknowledged is read by all after they are back.
 // A disk that tells a save as done before it is synced is found.
-func TestABlackoutInAChangeLosesNothingAcknowledged(t *testing.T) {
+func TestBlackoutDuringChangeLosesNothingAcknowledged(t *testing.T) {
 	t.Parallel()
-	if wrong := blackOutsInAChange(t, 1, 2*time.Millisecond, false); wrong != "" {
+	if wrong := runBlackoutsDuringChange(t, 1, 2*time.Millisecond, false); wrong != "" {
 		t.Error(wrong)
 	}
-	if wrong := blackOutsInAChange(t, 2, 10*time.Millisecond, false); wrong != "" {
+	if wrong := runBlackoutsDuringChange(t, 2, 10*time.Millisecond, false); wrong != "" {
 		t.Error(wrong)
 	}
-	if blackOutsInAChange(t, 1, 2*time.Millisecond, true) == "" {
+	if runBlackoutsDuringChange(t, 1, 2*time.Millisecond, true) == "" {
 		t.Error("not found: a copy that counts before it is synced")
 	}
 }
@@ -102,29 +102,29 @@
 // step of it all machines lose power, and the one that comes loses its disk once more, or none does, then
 // nothing acknowledged is lost; and from the moment on at which the next loss can be tolerated, any disk
 // may go.
-func TestABlackoutInARepairLosesNothingAcknowledged(t *testing.T) {
+func TestBlackoutDuringRepairLosesNothingAcknowledged(t *testing.T) {
 	t.Parallel()
 	for _, sameAddress := range []bool{false, true} {
-		calm, _ := replacing(t, 0, sameAddress)
+		baseline, _ := replaceMember(t, 0, sameAddress)
 		for at := -60 * time.Millisecond; at <= 20*time.Millisecond; at += 4 * time.Millisecond {
-			for _, again := range []bool{false, true} {
-				s, fresh := replacing(t, calm.Now+at, sameAddress)
+			for _, wipedAgain := range []bool{false, true} {
+				s, fresh := replaceMember(t, baseline.Now+at, sameAddress)
 				call := s.PutVersion(s.Machine("z3-2"), s.version+1)
 				s.Until(func() bool { return call.Ended }, at%(12*time.Millisecond)+12*time.Millisecond)
 				var wiped []*Machine
-				if again {
+				if wipedAgain {
 					wiped = []*Machine{fresh}
 				}
-				if wrong := s.blackOut(wiped); wrong != "" {
-					t.Errorf("same address %v, disk lost again %v, at %v: %s", sameAddress, again, at, wrong)
+				if wrong := s.runBlackout(wiped); wrong != "" {
+					t.Errorf("same address %v, disk lost again %v, at %v: %s", sameAddress, wipedAgain, at, wrong)
 				}
 			}
 		}
 		for victim := range 3 {
-			s, _ := replacing(t, 0, sameAddress)
-			s.tolerant(4 * time.Second)
-			s.change(s.Machine("z2-2"))
-			if wrong := s.blackOut(s.Replicas()[victim : victim+1]); wrong != "" {
+			s, _ := replaceMember(t, 0, sameAddress)
+			s.awaitTolerance(4 * time.Second)
+			s.putNext(s.Machine("z2-2"))
+			if wrong := s.runBlackout(s.Replicas()[victim : victim+1]); wrong != "" {
 				t.Errorf("same address %v, disk %d lost after the repair: %s", sameAddress, victim, wrong)
 			}
 		}
--- a/internal/controlplane/simulation/clock.go
+++ b/internal/controlplane/simulation/clock.go
@@ -5,12 +5,15 @@
 	"time"
 )
 
+// event is a function that runs at a point in virtual time. Events at the same time run in the order in which
+// they were scheduled.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// eventQueue implements heap.Interface; the first event is the next to run.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -19,10 +22,10 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -30,17 +33,19 @@
 	return e
 }
 
+// schedule runs do after a delay in virtual time.
 func (c *Cluster) schedule(after time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.events, event{c.Now + after, c.seq, do})
 }
 
-// Run plays for a time.
+// Run advances the virtual time by d and runs the events that are due in it.
 func (c *Cluster) Run(d time.Duration) {
 	c.Until(func() bool { return false }, d)
 }
 
-// Until plays until a condition holds, and reports false if it does not within the limit.
+// Until runs events until done returns true, for at most limit in virtual time. It reports whether done
+// returned true.
 func (c *Cluster) Until(done func() bool, limit time.Duration) bool {
 	end := c.Now + limit
 	for len(c.events) > 0 && c.events[0].at <= end {
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -15,19 +15,19 @@
 )
 
 // domains are clusters that are to outlive the loss of a zone, and of a region.
-var domains = map[string]Options{
+var domainOptions = map[string]Options{
 	"zones": {Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, SurviveZones: 1},
 	"regions": {Zones: 6, ReplicasPerZone: 1, SurviveMachines: 1, SurviveZones: 1, SurviveRegions: 1,
 		ZonesPerRegion: 2},
 }
 
 // founded starts a cluster, and waits until what may be lost can be tolerated.
-func founded(t *testing.T, o Options) *scenario {
+func startTolerant(t *testing.T, o Options) *scenario {
 	t.Helper()
 	s := &scenario{New(o), t, 0}
 	s.StartAll()
-	s.tolerant(4 * time.Second)
-	s.change(s.Machines[0])
+	s.awaitTolerance(4 * time.Second)
+	s.putNext(s.Machines[0])
 	return s
 }
 
@@ -47,10 +47,10 @@
 // Given a core spread over zones, or regions, when one of them is lost whole with its disks right after an
 // acknowledgement, and another one right after the repair and an acknowledgement, then nothing acknowledged
 // is lost, the others serve, and the lost ones are taken in again.
-func TestAZoneOrRegionLostRightAfterARepair(t *testing.T) {
-	for name, o := range domains {
+func TestZoneOrRegionLostRightAfterRepair(t *testing.T) {
+	for name, o := range domainOptions {
 		for first := range 3 {
-			s := founded(t, o)
+			s := startTolerant(t, o)
 			for i := range 2 {
 				zones := []string{fmt.Sprintf("z%d", (first+i)%3+1)}
 				if o.SurviveRegions > 0 {
@@ -58,18 +58,18 @@
 					zones = []string{fmt.Sprintf("z%d", 2*region+1), fmt.Sprintf("z%d", 2*region+2)}
 				}
 				lost := s.replicasIn(zones...)
-				s.change(s.Machines[len(s.Machines)-1])
+				s.putNext(s.Machines[len(s.Machines)-1])
 				loseMachines(lost)
 				what := fmt.Sprintf("%s, %v, loss %d", name, zones, i+1)
-				s.then(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 4 })
-				s.change(s.Machines[0])
+				s.eventually(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 4 })
+				s.putNext(s.Machines[0])
 				if wrong := s.consistent(); wrong != "" {
 					t.Fatalf("%s: %s", what, wrong)
 				}
 				for _, m := range lost {
 					m.Start()
 				}
-				s.tolerant(6 * time.Second)
+				s.awaitTolerance(6 * time.Second)
 			}
 		}
 	}
@@ -78,27 +78,27 @@
 // Given any history of machines, zones and regions that are lost, each at the very moment from which that can
 // be tolerated, then all that operators hear is what one register would say, and the core is whole in the
 // end. A program that counts machines alone says too early that it can be tolerated, and is found.
-func TestDrawnHistoriesOfDomains(t *testing.T) {
+func TestRandomDomainHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(17)
 	params.MinSuccessfulTests = 3
 	p := gopter.NewProperties(params)
 	p.Property("one register", prop.ForAll(func(seed uint64) string {
-		o := domains[[]string{"zones", "regions"}[seed%2]]
+		o := domainOptions[[]string{"zones", "regions"}[seed%2]]
 		o.Seed = seed
-		return memberships(New(o))
+		return runMembershipHistory(New(o))
 	}, gen.UInt64()))
 	p.TestingRun(t)
-	o := domains["regions"]
+	o := domainOptions["regions"]
 	o.Seed = 16 // in the end one region has five of nine members, and nobody comes for the others
-	if wrong := memberships(New(o)); wrong != "" {
+	if wrong := runMembershipHistory(New(o)); wrong != "" {
 		t.Error(wrong)
 	}
-	o = domains["zones"]
+	o = domainOptions["zones"]
 	o.Seed = 7
 	x := New(o)
-	x.ignoresDomains = true
-	if memberships(x) == "" {
+	x.ignoresFailureDomains = true
+	if runMembershipHistory(x) == "" {
 		t.Error("the seeded defect is not found")
 	}
 }
@@ -107,18 +107,18 @@
 // one is away as a change comes, and then the zone of the three is lost with its disks, then the change was
 // not acknowledged before the other one had it: it is on a disk that is left. A chain that is long enough by
 // count alone acknowledges what is lost.
-func TestAChainIsSpreadOverZones(t *testing.T) {
-	play := func(countsAlone bool) (acked, kept bool, log string) {
+func TestChainIsSpreadOverZones(t *testing.T) {
+	play := func(ignoreDomains bool) (acked, kept bool, log string) {
 		x := New(Options{Zones: 2, ReplicasPerZone: 3, SurviveMachines: 1, SurviveZones: 1, Seed: 5})
 		x.Trace = func(line string) { log += line }
-		x.ignoresDomains = countsAlone
+		x.ignoresFailureDomains = ignoreDomains
 		away := x.Machine("z2-1")
 		x.Machines = x.Machines[:4]
 		x.seeds = []string{x.Machines[0].node.Addr, x.Machines[1].node.Addr, away.node.Addr}
 		s := &scenario{x, t, 0}
 		s.StartAll()
-		s.then("all four serve", 36*time.Second, func() bool { return len(s.Chain()) == 4 })
-		if !countsAlone {
+		s.eventually("all four serve", 36*time.Second, func() bool { return len(s.Chain()) == 4 })
+		if !ignoreDomains {
 			s.Run(31 * time.Second)
 		}
 		s.Isolate(away, true)
@@ -150,11 +150,11 @@
 
 // Given machines of which one zone's come late, or that are too many in one zone, then the first start waits
 // for a core that outlives a zone, and names one; counted alone, it names one that doesn't.
-func TestAFirstStartIsSpreadOverZones(t *testing.T) {
-	play := func(countsAlone bool) *scenario {
+func TestFirstStartIsSpreadOverZones(t *testing.T) {
+	play := func(ignoreDomains bool) *scenario {
 		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t,
 			0}
-		s.ignoresDomains = countsAlone
+		s.ignoresFailureDomains = ignoreDomains
 		for _, m := range s.Machines {
 			switch m.Name {
 			case "z2-2", "z2-3", "z2-4", "z2-5", "z3-2", "z3-3", "z3-4", "z3-5": // there are none
@@ -164,7 +164,7 @@
 				m.Start()
 			}
 		}
-		s.then("a core serves", 9*time.Second, func() bool {
+		s.eventually("a core serves", 9*time.Second, func() bool {
 			return len(s.Chain()) >= 3 &&
 				s.ToleratedFailures() >= 1
 		})
@@ -175,9 +175,9 @@
 	if !s.Tolerant() || len(s.Members()) != 3 {
 		t.Errorf("members %v, borne %v", s.Members(), s.Tolerant())
 	}
-	s.change(s.Machine("z1-5"))
+	s.putNext(s.Machine("z1-5"))
 	loseMachines(s.replicasIn("z1"))
-	s.change(s.Machine("z3-1"))
+	s.putNext(s.Machine("z3-1"))
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
@@ -191,33 +191,33 @@
 // Given a core that outlives a zone, when operators would remove the one member in a zone, then that is
 // refused with the reason; and a replacement within the zone is not. When a lost member's only successor is
 // of another zone, then it has the place, and gives it up to the next one by which a zone can be lost again.
-func TestMembersAreKeptSpread(t *testing.T) {
-	s := founded(t, Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
+func TestMembersStaySpreadOverZones(t *testing.T) {
+	s := startTolerant(t, Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
 		SurviveZones: 1, Seed: 3})
 	spare, at := s.Add("z2"), s.Machine("z1-2")
 	spare.Start()
 	s.Run(time.Second)
 	old := s.Machine("z3-1")
-	if ok, why := s.by(at, spare.node.Addr, old.node.Addr); ok || !strings.Contains(why, "loss of zone z2") {
+	if ok, why := s.changeMembers(at, spare.node.Addr, old.node.Addr); ok || !strings.Contains(why, "loss of zone z2") {
 		t.Errorf("z3's for another of z2: %v, %q", ok, why)
 	}
-	if ok, why := s.by(at, spare.node.Addr, s.Machine("z2-1").node.Addr); !ok {
+	if ok, why := s.changeMembers(at, spare.node.Addr, s.Machine("z2-1").node.Addr); !ok {
 		t.Errorf("within z2: %q", why)
 	}
-	s.tolerant(time.Second)
+	s.awaitTolerance(time.Second)
 	s.Add("z2").Start() // the one that operators have replaced doesn't come
 	s.Run(time.Second)
 	loseMachines([]*Machine{old})
-	s.then("one of z2 has the place", 8*time.Second, func() bool {
+	s.eventually("one of z2 has the place", 8*time.Second, func() bool {
 		return len(s.Members()) == 3 && !slices.Contains(s.Members(), old.node.Addr) && len(s.Chain()) == 3
 	})
 	if s.Run(time.Second); s.Tolerant() {
 		t.Errorf("z2 may be lost with two of the members %v", s.Members())
 	}
 	old.Start()
-	s.tolerant(4 * time.Second)
+	s.awaitTolerance(4 * time.Second)
 	if !slices.Contains(s.Members(), old.node.Addr) || len(s.Members()) != 3 {
 		t.Errorf("members %v", s.Members())
 	}
-	s.ends("after that")
+	s.checkRecovered("after that")
 }
--- a/internal/controlplane/simulation/halves_test.go
+++ b/internal/controlplane/simulation/halves_test.go
@@ -20,10 +20,10 @@
 }
 
 var partitions = []partition{
-	{"both ways", cutBothWays, nothingFollows},
+	{"both ways", cutBothWays, noFollowUp},
 	{"one way", func(s *scenario, half, rest []*Machine) {
 		forEachPair(half, rest, func(a, b *Machine) { s.CutOneWay(a, b, true) })
-	}, nothingFollows},
+	}, noFollowUp},
 	{"the others are killed as it has healed", cutBothWays,
 		func(_ *scenario, _, rest []*Machine, _ *rand.Rand) { endAll(rest, (*Machine).Kill) }},
 	{"both are restarted, one half after the other", cutBothWays,
@@ -39,14 +39,14 @@
 		cutBothWays(s, half, rest)
 		half[0].PowerOff()
 		half[0].WipeDisk()
-	}, nothingFollows},
+	}, noFollowUp},
 }
 
 func cutBothWays(s *scenario, half, rest []*Machine) {
 	forEachPair(half, rest, func(a, b *Machine) { s.Cut(a, b, true) })
 }
 
-func nothingFollows(*scenario, []*Machine, []*Machine, *rand.Rand) {}
+func noFollowUp(*scenario, []*Machine, []*Machine, *rand.Rand) {}
 
 func forEachPair(list, others []*Machine, do func(a, b *Machine)) {
 	for _, a := range list {
@@ -70,12 +70,12 @@
 
 // halved plays a core that is cut into two halves for some seconds, again and again, while operators,
 // other machines and those who ask for tokens reach both, and returns what went wrong.
-func halved(t *testing.T, how partition, seed uint64) string {
+func runPartitions(t *testing.T, p partition, seed uint64) string {
 	survive := 1 + int(seed%2)
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: seed}), t, 0}
 	rng := rand.New(rand.NewPCG(seed, 33))
-	tokens, staleness := s.watchAll()
+	tokens, staleness := s.observeAll()
 	s.StartAll()
 	disks := s.Replicas()
 	if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, 8*time.Second) {
@@ -84,25 +84,25 @@
 	for range 3 {
 		rng.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
 		half, rest := disks[:len(disks)/2], disks[len(disks)/2:]
-		how.cut(s, half, rest)
-		s.operate(staleness, rng, 1+rng.IntN(5))
+		p.cut(s, half, rest)
+		s.runOperators(staleness, rng, 1+rng.IntN(5))
 		s.HealAll()
-		how.after(s, half, rest, rng)
+		p.after(s, half, rest, rng)
 		s.Run(time.Duration(rng.IntN(600)) * time.Millisecond)
 		startAll(s.Machines)
 		began := s.Now
 		if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, recoveryTime) {
 			return fmt.Sprintf("%v after all are back the chain is %v", s.Now-began, s.Chain())
 		}
-		s.change(s.Machines[rng.IntN(len(s.Machines))])
+		s.putNext(s.Machines[rng.IntN(len(s.Machines))])
 		if !s.Until(s.Tolerant, recoveryTime) { // the next cut takes a disk only from a core that can lose one
 			return "no end of the repair"
 		}
 	}
 	s.Run(4 * time.Second)
 	switch {
-	case len(tokens.twice) > 0:
-		return tokens.twice[0]
+	case len(tokens.staleGrants) > 0:
+		return tokens.staleGrants[0]
 	case len(staleness.violations) > 0:
 		return staleness.violations[0]
 	case !s.Converged(s.version):
@@ -112,8 +112,8 @@
 }
 
 // watchAll has every word of every machine checked, and every machine with a disk asked for tokens.
-func (s *scenario) watchAll() (*allocatorProbe, *stalenessChecker) {
-	tokens := s.asking()
+func (s *scenario) observeAll() (*allocatorProbe, *stalenessChecker) {
+	tokens := s.probeAllocator()
 	observeTokens := s.Observe
 	staleness := checkStaleness(s.Cluster)
 	observeStaleness := s.Observe
@@ -126,9 +126,9 @@
 
 // operate has operators send changes, some of them under one version, and read, anywhere, while the
 // platform's list changes.
-func (s *scenario) operate(staleness *stalenessChecker, rng *rand.Rand, rounds int) {
+func (s *scenario) runOperators(staleness *stalenessChecker, rng *rand.Rand, rounds int) {
 	for range rounds {
-		staleness.change()
+		staleness.changeServers()
 		s.version += 1 + rng.Uint64N(2)
 		for i := range 2 {
 			s.Put(s.Machines[rng.IntN(len(s.Machines))], s.version, fmt.Sprint("text-", i))
@@ -142,12 +142,12 @@
 // go on at both, and the halves are restarted, killed or lose power in turn as it heals, then nothing
 // that was acknowledged is lost, nothing older is told than the bound allows, no two allocators grant,
 // and the whole core serves soon after all are back.
-func TestACoreInTwoHalves(t *testing.T) {
+func TestPartitionIntoTwoHalves(t *testing.T) {
 	t.Parallel()
-	for _, how := range partitions {
+	for _, p := range partitions {
 		for seed := range uint64(6) {
-			if wrong := halved(t, how, seed); wrong != "" {
-				t.Errorf("%s, seed %d: %s", how.name, seed, wrong)
+			if wrong := runPartitions(t, p, seed); wrong != "" {
+				t.Errorf("%s, seed %d: %s", p.name, seed, wrong)
 			}
 		}
 	}
--- a/internal/controlplane/simulation/killed_head_test.go
+++ b/internal/controlplane/simulation/killed_head_test.go
@@ -9,15 +9,15 @@
 
 // What is wanted after the process of the head was killed.
 const (
-	medianToAcknowledge = 500 * time.Millisecond
-	mostToAcknowledge   = 1500 * time.Millisecond // of 99 in 100
-	mostToRejoin        = time.Second             // from the process's start until all of the chain serve
+	maxMedianAcknowledgement = 500 * time.Millisecond
+	maxAcknowledgement       = 1500 * time.Millisecond // of 99 in 100
+	maxRejoin                = time.Second             // from the process's start until all of the chain serve
 )
 
 // Given a core that serves, when the process of the head is killed at any moment and a change is sent
 // through any machine, then it is acknowledged soon: the address of the head refuses connections, which
 // tells at once that no process listens there. The head is in the chain again soon after its start.
-func TestAKilledHeadIsMissedAtOnce(t *testing.T) {
+func TestKilledHeadIsDetectedImmediately(t *testing.T) {
 	t.Parallel()
 	var acknowledged, rejoined []time.Duration
 	for seed := range uint64(60) {
@@ -26,25 +26,25 @@
 			Seed: seed}), t, 0}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		s.StartAll()
-		s.then("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
-		s.change(s.Machines[0])
+		s.eventually("the chain serves", 8*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
+		s.putNext(s.Machines[0])
 		s.Run(time.Duration(rng.IntN(2000)) * time.Millisecond)
 		head := s.At(s.Chain()[0])
 		head.Kill()
-		const startsAgain = 300 * time.Millisecond
-		s.schedule(startsAgain, head.Start)
+		const restartDelay = 300 * time.Millisecond
+		s.schedule(restartDelay, head.Start)
 		began := s.Now
-		acknowledged = append(acknowledged, s.change(s.Machines[rng.IntN(len(s.Machines))]))
-		s.then("it is back", 5*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
-		rejoined = append(rejoined, s.Now-began-startsAgain)
+		acknowledged = append(acknowledged, s.putNext(s.Machines[rng.IntN(len(s.Machines))]))
+		s.eventually("it is back", 5*time.Second, func() bool { return len(s.Chain()) == len(s.Replicas()) })
+		rejoined = append(rejoined, s.Now-began-restartDelay)
 	}
 	slices.Sort(acknowledged)
 	slices.Sort(rejoined)
 	median, longest := acknowledged[len(acknowledged)/2], acknowledged[len(acknowledged)-1]
-	if median > medianToAcknowledge || longest > mostToAcknowledge {
+	if median > maxMedianAcknowledgement || longest > maxAcknowledgement {
 		t.Errorf("acknowledged after %v, median; %v at the most", median, longest)
 	}
-	if back := rejoined[len(rejoined)-1]; back > mostToRejoin {
+	if back := rejoined[len(rejoined)-1]; back > maxRejoin {
 		t.Errorf("back in the chain up to %v after its start", back)
 	}
 	t.Logf("acknowledged after %v (median) to %v; back %v (median) to %v after the start", median, longest,
@@ -54,8 +54,8 @@
 // Given a process that is killed again and again, when it comes back each time, then it is taken into the
 // chain at once only the first time: one that can't stay up changes the view no oftener than a link that
 // flaps.
-func TestAProcessThatIsKilledAgainAndAgainWaits(t *testing.T) {
-	s := given(t, 1)
+func TestRepeatedlyKilledProcessWaitsToRejoin(t *testing.T) {
+	s := startScenario(t, 1)
 	m := s.Machine("z2-1")
 	waits := make([]time.Duration, 3)
 	for i := range waits {
@@ -63,29 +63,29 @@
 		s.Run(200 * time.Millisecond)
 		m.Start()
 		began := s.Now
-		s.then("it is back", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
+		s.eventually("it is back", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
 		waits[i] = s.Now - began
 	}
-	if waits[0] > mostToRejoin || waits[1] < 700*time.Millisecond || waits[2] < 700*time.Millisecond {
+	if waits[0] > maxRejoin || waits[1] < 700*time.Millisecond || waits[2] < 700*time.Millisecond {
 		t.Errorf("back after %v", waits)
 	}
 }
 
 // Given a member behind a firewall that refuses what is sent to it, whose process lives on, then the
 // others do without it, nothing older is told by it, and it is back once it is reached again.
-func TestARefusalIsNoProofOfDeath(t *testing.T) {
+func TestRefusedConnectionIsNoProofOfDeath(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
-		s := given(t, 1)
-		tokens, staleness := s.watchAll()
+		s := startScenario(t, 1)
+		tokens, staleness := s.observeAll()
 		m := s.Machine(name)
 		s.Run(time.Second)
 		s.Refuse(m, true)
-		s.operate(staleness, rand.New(rand.NewPCG(1, 1)), 4)
+		s.runOperators(staleness, rand.New(rand.NewPCG(1, 1)), 4)
 		s.Refuse(m, false)
-		s.then("all are in the chain", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
-		s.change(s.Machine("z3-2"))
-		if len(tokens.twice) > 0 || len(staleness.violations) > 0 {
-			t.Errorf("%s: %v %v", name, tokens.twice, staleness.violations)
+		s.eventually("all are in the chain", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
+		s.putNext(s.Machine("z3-2"))
+		if len(tokens.staleGrants) > 0 || len(staleness.violations) > 0 {
+			t.Errorf("%s: %v %v", name, tokens.staleGrants, staleness.violations)
 		}
 		if wrong := s.consistent(); wrong != "" {
 			t.Errorf("%s: %s", name, wrong)
@@ -96,41 +96,41 @@
 // Given a core without a spare, when the process of any of its machines is told to stop, and ends once
 // the others do without it, then changes are acknowledged and tokens are given all the while: nobody has
 // to miss it first.
-func TestAProcessThatStopsIsNotMissed(t *testing.T) {
-	const most = 150 * time.Millisecond
+func TestOrderlyStopCausesNoInterruption(t *testing.T) {
+	const maxGap = 150 * time.Millisecond
 	for place := range 3 {
-		s := given(t, 1)
-		g := s.asking()
+		s := startScenario(t, 1)
+		g := s.probeAllocator()
 		s.Run(2 * time.Second)
-		g.pause = 0
+		g.longestGap = 0
 		m := s.At(s.Chain()[place])
 		m.controlNode.Drain(s.Now)
 		s.Run(time.Second)
 		m.controlNode.Leave(s.Now)
-		s.then("the others do without it", 300*time.Millisecond, m.controlNode.Left)
+		s.eventually("the others do without it", 300*time.Millisecond, m.controlNode.Left)
 		m.Kill()
-		if took := s.change(s.Machine("z2-2")); took > 2*most {
+		if took := s.putNext(s.Machine("z2-2")); took > 2*maxGap {
 			t.Errorf("place %d: acknowledged after %v", place, took)
 		}
 		s.Run(2 * time.Second)
-		if g.pause > most || len(g.twice) > 0 {
-			t.Errorf("place %d: no tokens for %v %v", place, g.pause, g.twice)
+		if g.longestGap > maxGap || len(g.staleGrants) > 0 {
+			t.Errorf("place %d: no tokens for %v %v", place, g.longestGap, g.staleGrants)
 		}
 		m.Start()
-		s.then("it is back", 2*time.Second, func() bool { return len(s.Chain()) == 3 })
+		s.eventually("it is back", 2*time.Second, func() bool { return len(s.Chain()) == 3 })
 	}
 }
 
 // Given a core of which too few would be left, when a process is about to end, then the view stays: it
 // serves to its end.
-func TestTheLastOnesDoNotLeave(t *testing.T) {
-	s := given(t, 1)
+func TestLastReplicasDoNotLeave(t *testing.T) {
+	s := startScenario(t, 1)
 	s.Machine("z3-1").PowerOff()
-	s.then("a view of two", 2*time.Second, func() bool { return len(s.Chain()) == 2 })
+	s.eventually("a view of two", 2*time.Second, func() bool { return len(s.Chain()) == 2 })
 	m := s.Machine("z2-1")
 	m.controlNode.Leave(s.Now)
 	s.Run(500 * time.Millisecond)
-	if took := s.change(s.Machine("z1-2")); took > 300*time.Millisecond || m.controlNode.Left() {
+	if took := s.putNext(s.Machine("z1-2")); took > 300*time.Millisecond || m.controlNode.Left() {
 		t.Errorf("acknowledged after %v, left %v", took, m.controlNode.Left())
 	}
 }
--- a/internal/controlplane/simulation/membership.go
+++ b/internal/controlplane/simulation/membership.go
@@ -9,18 +9,18 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// identity is who a member is: its address, and the id of its store.
+// identity identifies a member by its address and the id of its store.
 type identity struct {
 	addr string
 	id   uint64
 }
 
-// membershipHistory are all that were written on disks, by their membership epochs.
+// membershipHistory records the memberships that were written to disks, by membership epoch.
 type membershipHistory struct {
 	written      map[uint64][]message.Node
-	removed      map[uint64][]message.Node // by operators, as it goes with the membership
-	completed    map[uint64][]message.Node // the change to it was told as complete
-	storedEpochs map[identity]uint64       // the highest membership epoch that a disk has had
+	removed      map[uint64][]message.Node // the members removed by operators, stored with the membership
+	completed    map[uint64][]message.Node // memberships whose change was stored as complete
+	storedEpochs map[identity]uint64       // the highest membership epoch that a disk has stored
 }
 
 func newMembershipHistory() membershipHistory {
@@ -28,55 +28,59 @@
 	return membershipHistory{empty(), empty(), empty(), map[identity]uint64{}}
 }
 
-// checkMemberships holds all machines to one sequence of memberships: those of one epoch are the same;
-// and when a disk says that the change to one is complete, a majority of its members, and a majority of those
-// of the one before, have had it, or a later one, on their disks. So whoever goes by the one before, and asks
-// a majority of it, hears of the newer one; no two memberships are ever gone by at once.
+// checkMemberships checks what a machine stored against one sequence of memberships for the whole cluster:
+// all memberships with the same epoch are equal, and when a disk stores the change to a membership as
+// complete, a majority of its members and a majority of the previous membership's members have stored it or a
+// later one. A machine that uses the previous membership and queries a majority of it therefore learns of the
+// newer one, and no two memberships are ever in use at once.
 func (c *Cluster) checkMemberships(m *Machine, r *replica.PersistentState) {
 	if len(r.Members) == 0 {
 		return
 	}
-	history, g := &c.memberships, r.MembershipEpoch
-	if old, known := history.written[g]; known && !slices.Equal(old, r.Members) {
-		c.violate("%s is of the core %v by membership epoch %d, others of %v", m.Name, r.Members, g, old)
+	history, epoch := &c.memberships, r.MembershipEpoch
+	if old, known := history.written[epoch]; known && !slices.Equal(old, r.Members) {
+		c.reportViolation("%s stores members %v for membership epoch %d, others store %v", m.Name, r.Members,
+			epoch, old)
 	}
-	if old, known := history.removed[g]; known && !slices.Equal(old, r.RemovedMembers) {
-		c.violate("%s has %v as removed by membership epoch %d, others %v", m.Name, r.RemovedMembers, g, old)
+	if old, known := history.removed[epoch]; known && !slices.Equal(old, r.RemovedMembers) {
+		c.reportViolation("%s stores removed members %v for membership epoch %d, others store %v", m.Name,
+			r.RemovedMembers, epoch, old)
 	}
-	history.written[g], history.removed[g] = r.Members, r.RemovedMembers
-	who := identity{m.node.Addr, r.StoreID}
-	history.storedEpochs[who] = max(history.storedEpochs[who], g)
-	if _, known := history.completed[g]; known || len(r.OutgoingMembers) > 0 {
+	history.written[epoch], history.removed[epoch] = r.Members, r.RemovedMembers
+	member := identity{m.node.Addr, r.StoreID}
+	history.storedEpochs[member] = max(history.storedEpochs[member], epoch)
+	if _, known := history.completed[epoch]; known || len(r.OutgoingMembers) > 0 {
 		return
 	}
-	history.completed[g] = r.Members
-	order := slices.Sorted(maps.Keys(history.completed))
-	i := slices.Index(order, g)
-	c.checkQuorum(r.Members, g)
+	history.completed[epoch] = r.Members
+	completedEpochs := slices.Sorted(maps.Keys(history.completed))
+	i := slices.Index(completedEpochs, epoch)
+	c.checkMajorityStored(r.Members, epoch)
 	if i > 0 {
-		c.checkQuorum(history.completed[order[i-1]], g)
+		c.checkMajorityStored(history.completed[completedEpochs[i-1]], epoch)
 	}
-	if i < len(order)-1 { // it was told late
-		c.checkQuorum(r.Members, order[i+1])
+	if i < len(completedEpochs)-1 { // it was stored as complete after a later one
+		c.checkMajorityStored(r.Members, completedEpochs[i+1])
 	}
 }
 
-// checkQuorum holds a majority of a membership to having had a membership epoch, or a later one, on disk.
-func (c *Cluster) checkQuorum(registry []message.Node, epoch uint64) {
+// checkMajorityStored reports a violation unless a majority of the members has stored a membership epoch of
+// at least epoch.
+func (c *Cluster) checkMajorityStored(members []message.Node, epoch uint64) {
 	n := 0
-	for _, r := range registry {
+	for _, r := range members {
 		if c.memberships.storedEpochs[identity{r.Addr, r.StoreID}] >= epoch {
 			n++
 		}
 	}
-	if epoch > 0 && n <= len(registry)/2 {
-		c.violate("membership epoch %d is gone by, and %d of the %d members %v know it", epoch, n,
-			len(registry), registry)
+	if epoch > 0 && n <= len(members)/2 {
+		c.reportViolation("membership epoch %d is in use, but only %d of the %d members %v store it", epoch, n,
+			len(members), members)
 	}
 }
 
-// Replace takes a machine away for good, and adds another one with an empty disk in its zone, at a new
-// address. It is to be started.
+// Replace powers a machine off, removes it permanently and adds another one with an empty disk in its zone,
+// at a new address. The caller starts the new machine.
 func (c *Cluster) Replace(old *Machine) *Machine {
 	old.PowerOff()
 	old.removed = true
@@ -84,8 +88,8 @@
 	return c.Add(old.node.Zone)
 }
 
-// Add adds a machine with an empty disk to a zone, after the first start. It is to be started. Seeds are
-// written anew as it comes: any three that run, of the core or not.
+// Add adds a machine with an empty disk to a zone, after the cluster's first start. The caller starts it. The
+// seeds are replaced: by any three machines that run, members of the core or not.
 func (c *Cluster) Add(zone string) *Machine {
 	c.addedMachines++
 	c.seeds = nil
@@ -101,23 +105,24 @@
 	return m
 }
 
-// MemberChange is a change of members by hand.
+// MemberChange is an operator's request to change the members.
 type MemberChange struct {
 	Ended  bool
-	Answer *message.ChangeMembersResult // nil: there was none in time
+	Answer *message.ChangeMembersResult // nil if none arrived before the deadline
 }
 
-// ChangeMembers has a machine pass on a change of members by hand; without addresses it asks who they are.
+// ChangeMembers sends an operator's request through a machine: to add the member at address add and to remove
+// the one at address remove. With both empty it queries the members.
 func (c *Cluster) ChangeMembers(m *Machine, add, remove string) *MemberChange {
-	o := &MemberChange{}
-	m.act(m.starts, func() {
+	change := &MemberChange{}
+	m.execute(m.starts, func() {
 		m.controlNode.ChangeMembers(c.Now, add, remove,
-			func(answer *message.ChangeMembersResult, _ error) { o.Ended, o.Answer = true, answer })
+			func(answer *message.ChangeMembersResult, _ error) { change.Ended, change.Answer = true, answer })
 	})
-	return o
+	return change
 }
 
-// Members returns the addresses of the members by the newest membership epoch that is complete on some disk.
+// Members returns the addresses of the members of the newest membership that a disk has stored as complete.
 func (c *Cluster) Members() (list []string) {
 	newest := uint64(0)
 	for g := range c.memberships.completed {
@@ -129,28 +134,29 @@
 	return list
 }
 
-// Tolerant reports whether all that may be lost at once could be lost now, as all machines in service say.
+// Tolerant reports whether the configured losses can be tolerated now, according to all replicas that serve
+// with a quorum and are not frozen. It is false if there are none.
 func (c *Cluster) Tolerant() bool {
-	serves := false
+	tolerant := false
 	for _, m := range c.Replicas() {
 		if f := m.Replica(); f != nil && !m.frozen && f.ServingWithQuorum() {
-			if serves = f.ToleranceGap() == ""; !serves {
+			if tolerant = f.ToleranceGap() == ""; !tolerant {
 				return false
 			}
 		}
 	}
-	return serves
+	return tolerant
 }
 
-// ToleratedFailures is how many losses could be tolerated now, as the machines in service say; the fewest
-// that any of them does.
+// ToleratedFailures returns how many failures can be tolerated now: the minimum that a replica reports which
+// serves with a quorum and is not frozen. It is 0 if there is none.
 func (c *Cluster) ToleratedFailures() int {
-	spare := -1
+	tolerated := -1
 	for _, m := range c.Replicas() {
 		if f := m.Replica(); f != nil && !m.frozen && f.ServingWithQuorum() &&
-			(spare < 0 || f.ToleratedFailures() < spare) {
-			spare = f.ToleratedFailures()
+			(tolerated < 0 || f.ToleratedFailures() < tolerated) {
+			tolerated = f.ToleratedFailures()
 		}
 	}
-	return max(0, spare)
+	return max(0, tolerated)
 }
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -18,48 +18,48 @@
 )
 
 // member reports whether a machine is a member, with a vote, in a view that serves.
-func (s *scenario) member(m *Machine) bool {
+func (s *scenario) isMember(m *Machine) bool {
 	return slices.Contains(s.Members(), m.node.Addr) && slices.Contains(s.Chain(), m.node.Addr) &&
 		m.stored.CaughtUp && len(m.stored.OutgoingMembers) == 0
 }
 
 // tolerant waits until the next loss can be tolerated.
-func (s *scenario) tolerant(limit time.Duration) {
+func (s *scenario) awaitTolerance(limit time.Duration) {
 	s.t.Helper()
-	s.then("the next loss can be tolerated", limit, s.Tolerant)
+	s.eventually("the next loss can be tolerated", limit, s.Tolerant)
 }
 
 // Given a machine of the core that is gone for good, when another one with an empty disk starts in its
 // place, then that is a member within the users' sync_s, with all that was acknowledged; and the old one,
 // when it comes back with its disk, is refused, and comes back as a learner that nobody has room for.
-func TestAReplacedMachineBecomesAMember(t *testing.T) {
+func TestReplacementMachineBecomesAMember(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
-		s := given(t, 1)
+		s := startScenario(t, 1)
 		old := s.Machine(name)
 		old.Kill()
-		s.change(s.Machine("z2-2"))
+		s.putNext(s.Machine("z2-2"))
 		fresh := s.Add(old.node.Zone)
 		fresh.Start()
-		s.then("it is a member", 4*time.Second, func() bool { return s.member(fresh) })
-		s.tolerant(300 * time.Millisecond)
-		s.change(s.Machine("z1-2"))
+		s.eventually("it is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
+		s.awaitTolerance(300 * time.Millisecond)
+		s.putNext(s.Machine("z1-2"))
 		id := old.stored.StoreID
 		old.Start()
-		s.then("the old one has given up", 2*time.Second, func() bool {
+		s.eventually("the old one has given up", 2*time.Second, func() bool {
 			return !old.stored.CaughtUp && old.stored.StoreID != id && len(old.stored.Members) == 0
 		})
 		s.Run(4 * time.Second)
 		if slices.Contains(s.Members(), old.node.Addr) || len(s.Chain()) != 3 {
 			t.Errorf("members %v, chain %v", s.Members(), s.Chain())
 		}
-		s.then("all go by the newest", time.Second, func() bool { return s.Converged(s.version) })
+		s.eventually("all go by the newest", time.Second, func() bool { return s.Converged(s.version) })
 		for _, m := range s.Replicas() { // the next loss, at once
 			if m != old && m != fresh {
 				m.Kill()
 				break
 			}
 		}
-		s.change(s.Machine("z3-2"))
+		s.putNext(s.Machine("z3-2"))
 		if wrong := s.consistent(); wrong != "" {
 			t.Error(wrong)
 		}
@@ -69,24 +69,24 @@
 // Given changes under way, when every machine of the core is replaced in turn, three times over, each gone
 // for good, by one at another address with an empty disk, then nothing acknowledged is lost, and the
 // learners alone are the core.
-func TestTheWholeCoreIsReplacedInTurnThreeTimesOver(t *testing.T) {
-	s := given(t, 1)
+func TestReplacingAllMembersInTurnThreeTimes(t *testing.T) {
+	s := startScenario(t, 1)
 	core := s.Replicas()
 	for round := range 3 {
 		for i, old := range core {
 			fresh := s.Replace(old)
-			s.change(s.Machines[(round+i)%len(s.Machines)])
+			s.putNext(s.Machines[(round+i)%len(s.Machines)])
 			fresh.Start()
-			s.change(s.Machines[i])
-			s.then(fmt.Sprint(i, " of round ", round, " is a member"), 4*time.Second,
-				func() bool { return s.member(fresh) })
-			s.tolerant(time.Second)
+			s.putNext(s.Machines[i])
+			s.eventually(fmt.Sprint(i, " of round ", round, " is a member"), 4*time.Second,
+				func() bool { return s.isMember(fresh) })
+			s.awaitTolerance(time.Second)
 			core[i] = fresh
 		}
 	}
-	s.then("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
+	s.eventually("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
 	s.restartAll()
-	s.then("the newcomers serve", 4*time.Second,
+	s.eventually("the newcomers serve", 4*time.Second,
 		func() bool { return len(s.Chain()) == 3 && s.Converged(s.version) })
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
@@ -96,19 +96,19 @@
 // replacing plays a replacement under changes until a moment: one of the core is gone for good, and a
 // learner has started, at a new address or, with an empty disk, at the same. Without a moment it plays
 // until that is a member.
-func replacing(t *testing.T, until time.Duration, same bool) (s *scenario, fresh *Machine) {
+func replaceMember(t *testing.T, until time.Duration, sameAddress bool) (s *scenario, fresh *Machine) {
 	t.Helper()
-	s = given(t, 1)
-	if fresh = s.Machine("z1-1"); same {
+	s = startScenario(t, 1)
+	if fresh = s.Machine("z1-1"); sameAddress {
 		fresh.Kill()
 		fresh.WipeDisk()
 	} else {
 		fresh = s.Replace(fresh)
 	}
-	s.change(s.Machine("z2-1"))
+	s.putNext(s.Machine("z2-1"))
 	fresh.Start()
-	for until == 0 && !s.member(fresh) || s.Now < until {
-		s.change(s.Machine("z3-2"))
+	for until == 0 && !s.isMember(fresh) || s.Now < until {
+		s.putNext(s.Machine("z3-2"))
 		if s.Run(5 * time.Millisecond); until > 0 && s.Now+12*time.Millisecond > until {
 			s.Run(max(0, until-s.Now))
 		}
@@ -117,12 +117,12 @@
 }
 
 // ends holds a story to its end: all is well again, and nothing that was acknowledged is lost.
-func (s *scenario) ends(what string) {
+func (s *scenario) checkRecovered(what string) {
 	s.t.Helper()
-	s.then(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 2 })
-	s.change(s.Machine("z3-2"))
-	s.then(what+": all go by the newest", 4*time.Second, func() bool { return s.Converged(s.version) })
-	s.reads(s.Machine("z2-2"))
+	s.eventually(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 2 })
+	s.putNext(s.Machine("z3-2"))
+	s.eventually(what+": all go by the newest", 4*time.Second, func() bool { return s.Converged(s.version) })
+	s.readVersion(s.Machine("z2-2"))
 	if wrong := s.consistent(); wrong != "" {
 		s.t.Errorf("%s: %s", what, wrong)
 	}
@@ -130,17 +130,17 @@
 
 // Given a replacement, when at any moment around it all processes of the core are killed, or any one, and
 // start again with their disks, then nothing acknowledged is lost, and the learner is a member in the end.
-func TestKillsInTheMiddleOfAReplacement(t *testing.T) {
+func TestKillsDuringReplacement(t *testing.T) {
 	t.Parallel()
-	t.Run("new address", func(t *testing.T) { killsAround(t, false) })
-	t.Run("same address", func(t *testing.T) { killsAround(t, true) })
+	t.Run("new address", func(t *testing.T) { killDuringReplacement(t, false) })
+	t.Run("same address", func(t *testing.T) { killDuringReplacement(t, true) })
 }
 
-func killsAround(t *testing.T, same bool) {
-	calm, _ := replacing(t, 0, same)
+func killDuringReplacement(t *testing.T, sameAddress bool) {
+	baseline, _ := replaceMember(t, 0, sameAddress)
 	for at := -36 * time.Millisecond; at <= 12*time.Millisecond; at += 3 * time.Millisecond {
 		for victim := range 4 {
-			s, fresh := replacing(t, calm.Now+at, same)
+			s, fresh := replaceMember(t, baseline.Now+at, sameAddress)
 			c := s.Put(s.Machine("z3-2"), s.version+2, fmt.Sprint("racing-", at))
 			s.Run(time.Duration(victim) * time.Millisecond)
 			for i, m := range s.Replicas() {
@@ -153,9 +153,9 @@
 				m.Start()
 			}
 			what := fmt.Sprint("victim ", victim, " at ", at)
-			s.then(what+": it is a member", 8*time.Second, func() bool { return s.member(fresh) })
+			s.eventually(what+": it is a member", 8*time.Second, func() bool { return s.isMember(fresh) })
 			s.version = max(s.version, c.Version)
-			s.ends(what)
+			s.checkRecovered(what)
 		}
 	}
 }
@@ -163,20 +163,20 @@
 // Given a replacement, when at the moment from which the next loss can be tolerated, or within the steps
 // after it, any machine of the core is lost with its disk, right after a change, then nothing acknowledged is
 // lost, and the two that are left serve.
-func TestALossRightAfterARepair(t *testing.T) {
+func TestLossRightAfterRepair(t *testing.T) {
 	for after := time.Duration(0); after <= 16*time.Millisecond; after += 2 * time.Millisecond {
 		for victim := range 3 {
-			s, _ := replacing(t, 0, false)
-			s.tolerant(4 * time.Second)
+			s, _ := replaceMember(t, 0, false)
+			s.awaitTolerance(4 * time.Second)
 			s.Run(after)
-			s.change(s.Machine("z2-2"))
+			s.putNext(s.Machine("z2-2"))
 			m := s.Replicas()[victim]
 			m.Kill()
 			m.WipeDisk()
-			s.ends(fmt.Sprint("victim ", victim, " after ", after))
+			s.checkRecovered(fmt.Sprint("victim ", victim, " after ", after))
 			m.Start()
-			s.then("a wiped disk is a newcomer", 6*time.Second, func() bool { return s.member(m) })
-			s.tolerant(time.Second)
+			s.eventually("a wiped disk is a newcomer", 6*time.Second, func() bool { return s.isMember(m) })
+			s.awaitTolerance(time.Second)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 // Given any history of machines that are lost for good, wiped, cut off, frozen, stopped in order and added,
 // each at the very moment from which the next loss can be tolerated, when several operators race meanwhile,
 // then all that they hear is what one register would say, and the core is whole in the end.
-func TestDrawnHistoriesOfMembers(t *testing.T) {
+func TestRandomMembershipHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(13)
 	params.MinSuccessfulTests = 30
@@ -195,40 +195,40 @@
 		if seed%4 < 2 {
 			x.Network = networkNoise(seed, false)
 		}
-		return memberships(x)
+		return runMembershipHistory(x)
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
 
 // memberships draws a history of members, and returns what went wrong.
-func memberships(x *Cluster) string {
+func runMembershipHistory(x *Cluster) string {
 	rng := rand.New(rand.NewPCG(x.Seed, 4))
 	x.StartAll()
 	if !x.Until(func() bool { return x.Tolerant() }, 8*time.Second) {
 		return "no first start"
 	}
-	number := uint64(1)
+	version := uint64(1)
 	var lost []*Machine // that come back
-	seen := x.Now       // from when on a loss has been noticed: what is said to be tolerated counts it
+	noticedAt := x.Now  // from when on a loss has been noticed: what is said to be tolerated counts it
 	for range 10 {
 		for i := range 1 + rng.IntN(3) {
-			number += rng.Uint64N(2)
-			x.Put(x.Machines[rng.IntN(len(x.Machines))], number, fmt.Sprintf("t%d", i%2))
+			version += rng.Uint64N(2)
+			x.Put(x.Machines[rng.IntN(len(x.Machines))], version, fmt.Sprintf("t%d", i%2))
 			x.Run(time.Duration(rng.IntN(30)) * time.Millisecond)
 		}
 		if rng.IntN(3) > 0 {
-			repair(x, lost)
+			repairMachines(x, lost)
 			lost = nil
-			if !x.Until(func() bool { return x.Now >= seen && x.Tolerant() }, 12*time.Second) {
+			if !x.Until(func() bool { return x.Now >= noticedAt && x.Tolerant() }, 12*time.Second) {
 				return fmt.Sprint("no end of a repair; chain ", x.Chain(), ", members ", x.Members())
 			}
 		}
-		if x.Now >= seen && x.Tolerant() {
-			for m := range x.permitted(rng) {
+		if x.Now >= noticedAt && x.Tolerant() {
+			for m := range x.drawTolerableLoss(rng) {
 				switch rng.IntN(4) {
 				case 0:
 					if slices.Contains(x.Machines, m) {
-						x.replaceDrawn(m, rng)
+						x.replaceAfterDelay(m, rng)
 					}
 				case 1:
 					if m.up {
@@ -236,16 +236,16 @@
 					}
 					x.Run(time.Duration(rng.IntN(600)) * time.Millisecond)
 					m.Kill()
-					m.dark = rng.IntN(2) == 0 // and the machine is switched off
+					m.poweredOff = rng.IntN(2) == 0 // and the machine is switched off
 					lost = append(lost, m)
 				default:
 					if slices.Contains(x.Machines, m) {
 						lost = append(lost, m)
-						strike(x, m, rng)
+						injectFault(x, m, rng)
 					}
 				}
 			}
-			seen = x.Now + time.Second
+			noticedAt = x.Now + time.Second
 			if rng.IntN(4) == 0 {
 				x.Add("z1").Start()
 			}
@@ -253,16 +253,16 @@
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 {
-			repair(x, lost)
+			repairMachines(x, lost)
 			lost = nil
 		}
 		if rng.IntN(6) == 0 {
-			repair(x, x.Replicas())
+			repairMachines(x, x.Replicas())
 			x.restartAll()
 			lost = nil
 		}
 	}
-	repair(x, x.Replicas())
+	repairMachines(x, x.Replicas())
 	if !x.Until(func() bool { return x.Tolerant() }, 12*time.Second) {
 		return fmt.Sprint("no end of the last repair; chain ", x.Chain(), ", members ", x.Members())
 	}
@@ -279,14 +279,14 @@
 }
 
 // permitted draws a loss that is to be tolerated: of machines, or of all those of some zones or regions.
-func (c *Cluster) permitted(rng *rand.Rand) iter.Seq[*Machine] {
+func (c *Cluster) drawTolerableLoss(rng *rand.Rand) iter.Seq[*Machine] {
 	disks := c.Replicas()
 	var lost [][]string // zones
 	if c.SurviveZones > 0 {
-		lost = append(lost, c.draw(rng, c.SurviveZones, 1))
+		lost = append(lost, c.drawZones(rng, c.SurviveZones, 1))
 	}
 	if c.SurviveRegions > 0 {
-		lost = append(lost, c.draw(rng, c.SurviveRegions, c.ZonesPerRegion))
+		lost = append(lost, c.drawZones(rng, c.SurviveRegions, c.ZonesPerRegion))
 	}
 	if len(lost) == 0 || rng.IntN(len(lost)+1) == 0 {
 		return func(yield func(*Machine) bool) {
@@ -304,7 +304,7 @@
 }
 
 // draw draws the zones of some regions, each of so many zones.
-func (c *Cluster) draw(rng *rand.Rand, regions, zones int) (list []string) {
+func (c *Cluster) drawZones(rng *rand.Rand, regions, zones int) (list []string) {
 	for _, r := range rng.Perm(c.Zones / zones)[:regions] {
 		for z := range zones {
 			list = append(list, fmt.Sprintf("z%d", r*zones+z+1))
@@ -314,15 +314,15 @@
 }
 
 // replaceDrawn has another machine take the place of one that is gone, before or after that.
-func (c *Cluster) replaceDrawn(m *Machine, rng *rand.Rand) {
+func (c *Cluster) replaceAfterDelay(m *Machine, rng *rand.Rand) {
 	fresh := c.Replace(m)
 	c.schedule(time.Duration(rng.IntN(1200))*time.Millisecond, fresh.Start)
 }
 
 // Given a machine of the core that is told to stop while another one waits, then that takes its place
 // before the process has ended, however soon; where none waits, it stays a member until one does.
-func TestAMemberThatLeavesHandsOver(t *testing.T) {
-	s := given(t, 1)
+func TestDrainedMemberHandsOver(t *testing.T) {
+	s := startScenario(t, 1)
 	spare := s.Add("z1")
 	spare.Start()
 	s.Run(2 * time.Second)
@@ -335,8 +335,8 @@
 	if !head.controlNode.HandingOver() {
 		t.Error("its process doesn't wait for the other")
 	}
-	s.then("the other has taken its place", 500*time.Millisecond, func() bool { return s.member(spare) })
-	s.then("it knows", 100*time.Millisecond, func() bool {
+	s.eventually("the other has taken its place", 500*time.Millisecond, func() bool { return s.isMember(spare) })
+	s.eventually("it knows", 100*time.Millisecond, func() bool {
 		return !head.stored.CaughtUp && !head.controlNode.HandingOver()
 	})
 	if s.Until(func() bool { return c.Ended }, time.Second); !c.Acknowledged {
@@ -353,17 +353,17 @@
 	if !slices.Contains(s.Members(), s.Machine("z2-1").node.Addr) {
 		t.Errorf("one has left without a successor: %v", s.Members())
 	}
-	s.ends("after that")
+	s.checkRecovered("after that")
 }
 
 // by has an order by hand carried out or refused, as operators do: one without a clear answer is sent again.
-func (s *scenario) by(m *Machine, add, remove string) (ok bool, why string) {
+func (s *scenario) changeMembers(m *Machine, add, remove string) (ok bool, why string) {
 	s.t.Helper()
 	for range 6 {
-		o := s.ChangeMembers(m, add, remove)
-		if s.Until(func() bool { return o.Ended }, time.Second); o.Answer != nil {
+		change := s.ChangeMembers(m, add, remove)
+		if s.Until(func() bool { return change.Ended }, time.Second); change.Answer != nil {
 			s.Run(50 * time.Millisecond) // that it is complete is on the disks, too
-			return o.Answer.OK, o.Answer.Reason
+			return change.Answer.OK, change.Answer.Reason
 		}
 	}
 	s.t.Fatalf("add %q, remove %q: no answer", add, remove)
@@ -373,8 +373,8 @@
 // Given a core, when operators add, remove and replace members by hand, through any machine, under changes,
 // then it is done, also where the head itself is removed; and it is refused, with the reason, where it
 // would leave no quorum or nobody is there.
-func TestMembersChangeByHand(t *testing.T) {
-	s := given(t, 1)
+func TestOperatorMembershipChanges(t *testing.T) {
+	s := startScenario(t, 1)
 	a, b, spare, other := s.Machine("z1-1"), s.Machine("z2-1"), s.Add("z1"), s.Add("z2")
 	spare.Start()
 	other.Start()
@@ -410,7 +410,7 @@
 			s.Run(time.Second)
 		}
 		put := s.PutVersion(at, s.version+1)
-		ok, why := s.by(at, addr(c.add), addr(c.remove))
+		ok, why := s.changeMembers(at, addr(c.add), addr(c.remove))
 		if ok != (c.why == "") || !strings.Contains(why, c.why) || len(s.Members()) != c.members {
 			t.Fatalf("add %q, remove %q: %v %q, members %v", addr(c.add), addr(c.remove), ok, why, s.Members())
 		}
@@ -426,24 +426,24 @@
 // removedMember plays a member that operators remove while it runs, or while it is cut off from the members
 // and hears of it from a seed without a disk; it is started again, and so are all. It returns whether that is
 // a member again, though nobody has added it.
-func removedMember(t *testing.T, cut bool, spoil func(*Machine, *replica.PersistentState)) (s *scenario,
+func restartRemovedMember(t *testing.T, isolated bool, spoil func(*Machine, *replica.PersistentState)) (s *scenario,
 	m *Machine,
-	back bool) {
+	rejoined bool) {
 	t.Helper()
-	s = given(t, 1)
+	s = startScenario(t, 1)
 	s.Spoil = spoil
 	m = s.Machine("z3-1")
-	if s.Isolate(m, cut); cut {
+	if s.Isolate(m, isolated); isolated {
 		s.Run(time.Second)
 	}
-	if ok, why := s.by(s.Machine("z1-2"), "", m.node.Addr); !ok {
+	if ok, why := s.changeMembers(s.Machine("z1-2"), "", m.node.Addr); !ok {
 		t.Fatal(why)
 	}
-	s.then("it has given up", 8*time.Second, func() bool {
+	s.eventually("it has given up", 8*time.Second, func() bool {
 		if m.controlNode.Replica().IsUninitialized() {
 			return true
 		}
-		if s.seeds = []string{s.Machine("z2-2").node.Addr}; cut && m.up {
+		if s.seeds = []string{s.Machine("z2-2").node.Addr}; isolated && m.up {
 			m.Kill()
 			m.Start()
 			s.Run(time.Second)
@@ -456,7 +456,7 @@
 	m.Start()
 	s.Run(3 * time.Second)
 	s.restartAll()
-	s.then("the others serve", 4*time.Second, func() bool { return len(s.Chain()) >= 2 })
+	s.eventually("the others serve", 4*time.Second, func() bool { return len(s.Chain()) >= 2 })
 	s.Run(4 * time.Second)
 	return s, m, slices.Contains(s.Members(), m.node.Addr)
 }
@@ -464,20 +464,20 @@
 // Given a member that operators have removed, while it ran or was cut off, when it is started again, and all
 // are, and the core is smaller than it should be, then it stays out, until operators add it; another learner
 // comes. One that forgets that it was removed is found.
-func TestARemovalByHandSticks(t *testing.T) {
+func TestOperatorRemovalPersists(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		s, m, back := removedMember(t, cut, nil)
+		s, m, back := restartRemovedMember(t, cut, nil)
 		if back {
 			t.Errorf("cut %v: it is back in %v", cut, s.Members())
 		}
 		fresh := s.Add("z3")
 		fresh.Start()
-		s.then("another one comes", 4*time.Second, func() bool { return s.member(fresh) })
-		if ok, why := s.by(s.Machine("z1-2"), m.node.Addr, ""); !ok || !s.member(m) || m.stored.RemovedByOperator {
+		s.eventually("another one comes", 4*time.Second, func() bool { return s.isMember(fresh) })
+		if ok, why := s.changeMembers(s.Machine("z1-2"), m.node.Addr, ""); !ok || !s.isMember(m) || m.stored.RemovedByOperator {
 			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
 		}
-		s.ends("after that")
-		if _, _, back := removedMember(t, cut,
+		s.checkRecovered("after that")
+		if _, _, back := restartRemovedMember(t, cut,
 			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false }); !back {
 			t.Errorf("cut %v: the seeded defect is not found", cut)
 		}
@@ -486,32 +486,32 @@
 
 // Given a core in which one of three is lost, when operators would remove one of the two others, then that is
 // refused for want of a quorum; and removing the one that is lost is not.
-func TestAChangeByHandLeavesAQuorum(t *testing.T) {
-	s := given(t, 1)
+func TestOperatorChangeLeavesAQuorum(t *testing.T) {
+	s := startScenario(t, 1)
 	s.Machine("z3-1").Kill()
 	s.Run(2 * time.Second)
 	at := s.Machine("z1-2")
-	if ok, why := s.by(at, "", s.Machine("z2-1").node.Addr); ok || !strings.Contains(why, "no quorum") {
+	if ok, why := s.changeMembers(at, "", s.Machine("z2-1").node.Addr); ok || !strings.Contains(why, "no quorum") {
 		t.Errorf("one of the two that are left: %v %q", ok, why)
 	}
-	if ok, why := s.by(at, "", s.Machine("z3-1").node.Addr); !ok {
+	if ok, why := s.changeMembers(at, "", s.Machine("z3-1").node.Addr); !ok {
 		t.Errorf("the lost one: %q", why)
 	}
-	s.ends("after that")
+	s.checkRecovered("after that")
 }
 
 // handedOver plays a change that is acknowledged while one of three is away, a member that is replaced
 // then, and the loss of the only other one that has the change: the successor has to have it. What is
 // seeded takes hold as the successor starts.
-func handedOver(t *testing.T, seed func(s *scenario, fresh *Machine)) (wrong string) {
+func handOverWithMemberAway(t *testing.T, inject func(s *scenario, fresh *Machine)) (wrong string) {
 	t.Helper()
-	s := given(t, 1)
+	s := startScenario(t, 1)
 	away, old, left := s.Machine("z3-1"), s.Machine("z1-1"), s.Machine("z2-1")
 	away.Kill()
-	s.change(left) // old and left have it
+	s.putNext(left) // old and left have it
 	s.Run(time.Second)
 	fresh := s.Add("z1")
-	seed(s, fresh)
+	inject(s, fresh)
 	fresh.Start()
 	old.controlNode.Drain(s.Now)
 	s.Until(func() bool { return slices.Contains(s.Members(), fresh.node.Addr) }, 6*time.Second)
@@ -536,21 +536,21 @@
 
 // partitionedChange plays a core that has replaced a machine; that comes back beside one of the others, and
 // the two are cut off from the rest while operators are at both sides.
-func partitionedChange(t *testing.T, seed func(s *scenario, old, peer *Machine)) (wrong string) {
+func partitionAfterReplacement(t *testing.T, inject func(s *scenario, old, peer *Machine)) (wrong string) {
 	t.Helper()
-	s := given(t, 1)
+	s := startScenario(t, 1)
 	old, peer := s.Machine("z1-1"), s.Machine("z2-1")
 	old.Kill()
 	fresh := s.Add("z1")
 	fresh.Start()
-	s.then("it is a member", 4*time.Second, func() bool { return s.member(fresh) })
-	s.tolerant(time.Second)
+	s.eventually("it is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
+	s.awaitTolerance(time.Second)
 	peer.Kill()
 	for _, m := range s.Machines {
 		s.Cut(old, m, m != peer)
 		s.Cut(peer, m, m != old)
 	}
-	seed(s, old, peer)
+	inject(s, old, peer)
 	old.Start()
 	peer.Start()
 	s.Run(3 * time.Second)
@@ -565,49 +565,49 @@
 }
 
 // Given what must not be done as members change, when it is done, then it is told; and without it nothing is.
-func TestSeededDefectsOfMembersAreFound(t *testing.T) {
-	of := func(kind message.Type, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
+func TestInjectedMembershipDefectsAreDetected(t *testing.T) {
+	onReceive := func(kind message.Type, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
 		return func(at *Machine, m *message.Message) {
 			if at == to && m.Type() == kind {
 				do(m)
 			}
 		}
 	}
-	never := func(*scenario, *Machine) {}
-	if wrong := handedOver(t, never); wrong != "" {
+	noDefect := func(*scenario, *Machine) {}
+	if wrong := handOverWithMemberAway(t, noDefect); wrong != "" {
 		t.Errorf("without a defect: %s", wrong)
 	}
-	if wrong := partitionedChange(t, func(*scenario, *Machine, *Machine) {}); wrong != "" {
+	if wrong := partitionAfterReplacement(t, func(*scenario, *Machine, *Machine) {}); wrong != "" {
 		t.Errorf("without a defect: %s", wrong)
 	}
 	for name, wrong := range map[string]string{
-		"a change agreed by the new members alone": handedOver(t, func(s *scenario, _ *Machine) {
+		"a change agreed by the new members alone": handOverWithMemberAway(t, func(s *scenario, _ *Machine) {
 			s.Spoil = func(_ *Machine, r *replica.PersistentState) { r.OutgoingMembers = nil }
 		}),
-		"a newcomer that votes before it is caught up": handedOver(t, func(s *scenario, fresh *Machine) {
+		"a newcomer that votes before it is caught up": handOverWithMemberAway(t, func(s *scenario, fresh *Machine) {
 			s.Spoil = func(m *Machine, r *replica.PersistentState) {
 				if m == fresh {
 					r.Value = replica.Value{}
 				}
 			}
 		}),
-		"a member that leaves before its successor has the state": handedOver(t,
+		"a member that leaves before its successor has the state": handOverWithMemberAway(t,
 			func(s *scenario, fresh *Machine) {
-				s.Tamper = of(message.TypeInstallView, fresh, func(m *message.Message) {
+				s.Tamper = onReceive(message.TypeInstallView, fresh, func(m *message.Message) {
 					install := m.Body.(*message.InstallView)
 					install.Version, install.Config, install.AcceptedVersions = 0, nil, nil
 				})
 			}),
-		"a removed member that votes under its old life": partitionedChange(t, func(_ *scenario, old,
+		"a removed member that votes under its old life": partitionAfterReplacement(t, func(_ *scenario, old,
 			peer *Machine) {
 			// Its vote counts beside that of one which has forgotten the change.
 			peer.stored.Members, peer.stored.MembershipEpoch = old.stored.Members, old.stored.MembershipEpoch
 		}),
 		"a wiped disk that votes under its old life": func() string {
-			s := given(t, 1)
+			s := startScenario(t, 1)
 			a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 			c.Kill()
-			s.change(a) // a and b have it
+			s.putNext(a) // a and b have it
 			a.Kill()
 			b.Kill()
 			was := b.stored
@@ -630,10 +630,10 @@
 // Given a first start, when any two of its three seeds are killed at any moment of it and start again with
 // what is on their disks, and with settings that know of no first start, then one core is named, and it
 // serves with all machines; so it is if one of the two has lost its disk besides.
-func TestAFirstStartOutlivesTwoSeeds(t *testing.T) {
+func TestFirstStartSurvivesLossOfTwoSeeds(t *testing.T) {
 	for spared := range 3 {
 		for at := time.Duration(0); at < 1100*time.Millisecond; at += 20 * time.Millisecond {
-			if wrong := twoSeedsLost(spared, at, at%(80*time.Millisecond) == 0); wrong != "" {
+			if wrong := killTwoSeeds(spared, at, at%(80*time.Millisecond) == 0); wrong != "" {
 				t.Errorf("all but seed %d killed at %v: %s", spared, at, wrong)
 			}
 		}
@@ -642,10 +642,10 @@
 
 // Given any first start, when one seed loses its disk at any moment of it, another one is killed and all
 // are cut off from each other, then no two cores are named, and once all is well one serves.
-func TestDrawnFirstStartsWithALostDisk(t *testing.T) {
+func TestRandomFirstStartsWithLostDisk(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(100) {
-		if wrong := lostSeed(seed); wrong != "" {
+		if wrong := runFirstStartWithLostDisk(seed); wrong != "" {
 			t.Errorf("seed %d: %s", seed, wrong)
 		}
 	}
@@ -654,17 +654,17 @@
 // Given a core that two seeds have named, when one of them is cut off and the other has lost its disk, then
 // the third names no other core with that. A seed that says that it can't have forgotten what it promised,
 // and has, is found.
-func TestASeedThatForgotNamesNoOtherCore(t *testing.T) {
-	if wrong := forgetful(nil); wrong != "" {
+func TestSeedWithLostDiskBootstrapsNoOtherCore(t *testing.T) {
+	if wrong := loseSeedDiskAfterBootstrap(nil); wrong != "" {
 		t.Error(wrong)
 	}
-	if forgetful(func(_ *Machine, r *replica.PersistentState) { r.Bootstrap.Trusted = true }) == "" {
+	if loseSeedDiskAfterBootstrap(func(_ *Machine, r *replica.PersistentState) { r.Bootstrap.Trusted = true }) == "" {
 		t.Error("the seeded defect is not found")
 	}
 }
 
 // forgetful plays that, and returns what went wrong.
-func forgetful(spoil func(*Machine, *replica.PersistentState)) (wrong string) {
+func loseSeedDiskAfterBootstrap(spoil func(*Machine, *replica.PersistentState)) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, Seed: 3})
 	a, known, b, c := x.Machine("z1-1"), x.Machine("z1-2"), x.Machine("z2-1"), x.Machine("z3-1")
 	x.Cut(a, x.Machine("z2-2"), true)
@@ -694,7 +694,7 @@
 }
 
 // lostSeed draws a first start in which a seed loses its disk, and returns what went wrong.
-func lostSeed(seed uint64) (wrong string) {
+func runFirstStartWithLostDisk(seed uint64) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1, SurviveMachines: 1,
 		Seed: seed})
 	rng := rand.New(rand.NewPCG(seed, 6))
@@ -706,7 +706,7 @@
 		x.schedule(time.Duration(rng.IntN(1+rng.IntN(2)*2000))*time.Millisecond, m.Start)
 	}
 	x.Run(time.Duration(600+rng.IntN(500)) * time.Millisecond)
-	again := func(m *Machine, wipe bool) {
+	restart := func(m *Machine, wipe bool) {
 		m.Kill()
 		m.startedBefore = true
 		if wipe {
@@ -728,13 +728,13 @@
 			x.HealAll()
 		}
 		if i == wiped {
-			again(seeds[lost], true)
+			restart(seeds[lost], true)
 		} else {
-			again(seeds[(lost+1)%3], false) // always the same: so no more than two forget what is not on disk
+			restart(seeds[(lost+1)%3], false) // always the same: so no more than two forget what is not on disk
 		}
 		x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
-	repair(x, x.Replicas())
+	repairMachines(x, x.Replicas())
 	if !x.Until(func() bool { return x.ToleratedFailures() >= 1 }, 15*time.Second) {
 		return "no core serves"
 	}
@@ -742,7 +742,7 @@
 }
 
 // twoSeedsLost plays a first start in which all seeds but one are killed, and returns what went wrong.
-func twoSeedsLost(spared int, at time.Duration, wiped bool) (wrong string) {
+func killTwoSeeds(spared int, at time.Duration, wiped bool) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: uint64(at)})
 	x.StartAll()
 	x.Run(at)
@@ -771,8 +771,8 @@
 
 // Given a machine of the core whose disk takes nothing, or that hears nobody, while another one waits, then
 // that takes its place as for one that is silent; and when all is well again, it is a learner.
-func TestAMachineThatIsOfNoUseIsReplaced(t *testing.T) {
-	for name, strike := range map[string]func(s *scenario, m *Machine, on bool){
+func TestMemberWithFailedDiskOrNoInboundLinksIsReplaced(t *testing.T) {
+	for name, setFault := range map[string]func(s *scenario, m *Machine, on bool){
 		"disk": func(_ *scenario, m *Machine, on bool) { m.FillDisk(on) },
 		"ears": func(s *scenario, m *Machine, on bool) {
 			for _, other := range s.Machines {
@@ -780,44 +780,44 @@
 			}
 		},
 	} {
-		s := given(t, 1)
+		s := startScenario(t, 1)
 		spare := s.Add("z1")
 		spare.Start()
 		s.Run(time.Second)
 		m := s.Machine("z1-1")
-		strike(s, m, true)
-		s.change(s.Machine("z2-2"))
-		s.then(name+": the other is a member", 4*time.Second, func() bool { return s.member(spare) })
-		s.tolerant(time.Second)
-		strike(s, m, false)
-		s.then(name+": it has given up", 3*time.Second, func() bool { return !m.stored.CaughtUp })
-		s.ends(name)
+		setFault(s, m, true)
+		s.putNext(s.Machine("z2-2"))
+		s.eventually(name+": the other is a member", 4*time.Second, func() bool { return s.isMember(spare) })
+		s.awaitTolerance(time.Second)
+		setFault(s, m, false)
+		s.eventually(name+": it has given up", 3*time.Second, func() bool { return !m.stored.CaughtUp })
+		s.checkRecovered(name)
 	}
 }
 
 // Given a machine of the core that is heard and hears nobody, or not one of the others, when changes go on
 // for some seconds, then none is held up, and it is back when the cut ends.
-func TestAMachineThatIsHeardAndHearsNobodyIsLeftOut(t *testing.T) {
+func TestMemberThatCannotReceiveIsExcluded(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for _, from := range []string{"", "z1-1", "z2-1", "z3-1"} {
-			s := given(t, 1)
-			deaf := s.Machine(name)
+			s := startScenario(t, 1)
+			receiver := s.Machine(name)
 			for _, m := range s.Machines {
-				s.CutOneWay(m, deaf, m != deaf && (from == "" || from == m.Name))
+				s.CutOneWay(m, receiver, m != receiver && (from == "" || from == m.Name))
 			}
 			s.Run(2 * time.Second)
-			held, n := time.Duration(0), 0
+			delayed, n := time.Duration(0), 0
 			for end := s.Now + 4*time.Second; s.Now < end; n++ {
-				if took := s.change(s.Machine("z3-2")); took > 100*time.Millisecond {
-					held += took
+				if took := s.putNext(s.Machine("z3-2")); took > 100*time.Millisecond {
+					delayed += took
 				}
 			}
-			if held > 0 {
-				t.Errorf("%s hears nothing of %q: held up for %v of 4 s, %d changes", name, from, held, n)
+			if delayed > 0 {
+				t.Errorf("%s hears nothing of %q: held up for %v of 4 s, %d changes", name, from, delayed, n)
 			}
 			s.HealAll()
-			s.then("it is back", 4*time.Second,
-				func() bool { return s.ToleratedFailures() == 1 && deaf.Version() == s.version })
+			s.eventually("it is back", 4*time.Second,
+				func() bool { return s.ToleratedFailures() == 1 && receiver.Version() == s.version })
 		}
 	}
 }
@@ -825,9 +825,9 @@
 // Given a member whose disk is lost while a second one takes no view, when another disk is to be the member
 // at its address, then the change is not complete before that second one has it: the vote of the new disk
 // is not the old one's. Counted as that, it is found.
-func TestAnotherDiskIsNotTheMemberBefore(t *testing.T) {
+func TestNewDiskAtAnAddressIsANewMember(t *testing.T) {
 	play := func(spoil func(*Machine, *replica.PersistentState)) (complete bool, wrong string) {
-		s := given(t, 1)
+		s := startScenario(t, 1)
 		s.Spoil = spoil
 		lost, third := s.Machine("z1-1"), s.Machine("z3-1")
 		s.Network = func(_, to string, m *message.Message) []Delivery {
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -7,25 +7,25 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// Delivery is a message that comes, so long after the delay of the link. It is not to be changed any more.
+// Delivery is a message to deliver. The message must not be modified.
 type Delivery struct {
 	To      string
-	After   time.Duration
+	After   time.Duration // in addition to the delay of the link
 	Message *message.Message
 }
 
-// Cut partitions two machines from each other, or ends that.
+// Cut sets whether messages between two machines are dropped in both directions.
 func (c *Cluster) Cut(a, b *Machine, cut bool) {
 	c.partitions[[2]string{a.node.Addr, b.node.Addr}] = cut
 	c.partitions[[2]string{b.node.Addr, a.node.Addr}] = cut
 }
 
-// CutOneWay drops what one machine sends to another, or ends that.
+// CutOneWay sets whether messages from one machine to another are dropped.
 func (c *Cluster) CutOneWay(from, to *Machine, cut bool) {
 	c.partitions[[2]string{from.node.Addr, to.node.Addr}] = cut
 }
 
-// Isolate partitions a machine from the others with a disk, or ends that.
+// Isolate sets whether a machine is cut off from all other machines with a disk.
 func (c *Cluster) Isolate(m *Machine, cut bool) {
 	for _, other := range c.Replicas() {
 		if other != m {
@@ -34,22 +34,23 @@
 	}
 }
 
-// SlowOneWay has what one machine sends to another take longer by so much: it waits in some buffer.
+// SlowOneWay adds a delay to messages from one machine to another, as a full buffer on the way does.
 func (c *Cluster) SlowOneWay(from, to *Machine, d time.Duration) {
 	c.slowLinks[[2]string{from.node.Addr, to.node.Addr}] = d
 }
 
-// Refuse has a firewall refuse what others send to a machine, whose process lives on, or ends that.
+// Refuse sets whether a firewall refuses what other machines send to a machine. Its process keeps running.
 func (c *Cluster) Refuse(m *Machine, refuse bool) { c.refusing[m.node.Addr] = refuse }
 
-// HealAll ends all partitions, slow links and refusals.
+// HealAll removes all partitions, added delays and firewalls.
 func (c *Cluster) HealAll() {
 	clear(c.partitions)
 	clear(c.slowLinks)
 	clear(c.refusing)
 }
 
-// clone returns a message with a body of its own, so that a test can change what one receiver gets.
+// clone returns a copy of a message and of its body, so that a test can modify what one receiver gets. What
+// the body's fields refer to is shared.
 func clone(m *message.Message) *message.Message {
 	copied := *m
 	body := reflect.New(reflect.TypeOf(m.Body).Elem())
@@ -58,13 +59,14 @@
 	return &copied
 }
 
-// connected reports whether packets pass between two machines, in both directions.
+// connected reports whether messages pass between two machines in both directions.
 func (c *Cluster) connected(a, b *Machine) bool {
-	there, back := [2]string{a.node.Addr, b.node.Addr}, [2]string{b.node.Addr, a.node.Addr}
-	return !c.partitions[there] && !c.partitions[back]
+	forward, reverse := [2]string{a.node.Addr, b.node.Addr}, [2]string{b.node.Addr, a.node.Addr}
+	return !c.partitions[forward] && !c.partitions[reverse]
 }
 
-// resetConnections ends all connections of a machine: the processes at their other ends hear of it.
+// resetConnections resets all connections of a machine and notifies the processes at their other ends, after
+// the link's latency.
 func (c *Cluster) resetConnections(m *Machine) {
 	for _, peer := range c.Machines {
 		if peer == m || !peer.up {
@@ -73,29 +75,30 @@
 		start := peer.starts
 		c.schedule(c.Latency, func() {
 			if c.connected(m, peer) {
-				peer.act(start, func() { peer.controlNode.HandleDisconnected(c.Now, m.node.Addr) })
+				peer.execute(start, func() { peer.controlNode.HandleDisconnected(c.Now, m.node.Addr) })
 			}
 		})
 	}
 }
 
-// refuse tells a machine's process that an address refuses connections, if a machine there is on and can
-// be reached, and runs no process, or stands behind a firewall that refuses. It reports whether that is
-// so.
-func (c *Cluster) refuse(caller *Machine, addr string) bool {
-	called := c.At(addr)
-	if called == nil || called == caller || called.dark || called.removed || !c.connected(caller, called) ||
-		called.up && !c.refusing[addr] {
+// refuseConnection reports whether addr refuses a connection from caller, and if so notifies the caller's
+// process after the link's latency. An address refuses if its machine is powered on and connected to the
+// caller, and runs no process or is behind a firewall that refuses.
+func (c *Cluster) refuseConnection(caller *Machine, addr string) bool {
+	callee := c.At(addr)
+	if callee == nil || callee == caller || callee.poweredOff || callee.removed ||
+		!c.connected(caller, callee) || callee.up && !c.refusing[addr] {
 		return false
 	}
 	start := caller.starts
 	c.schedule(c.Latency, func() {
-		caller.act(start, func() { caller.controlNode.HandleRefused(c.Now, addr) })
+		caller.execute(start, func() { caller.controlNode.HandleRefused(c.Now, addr) })
 	})
 	return true
 }
 
-// deliver has a message come to whoever has the address by then.
+// deliver schedules a message for the machine that has the address when the message arrives. It is lost if
+// the machine is down or the link is cut by then.
 func (c *Cluster) deliver(from string, d Delivery) {
 	delay := c.Latency/3 + time.Duration(c.rng.Int64N(int64(c.Latency)*2/3)) +
 		c.slowLinks[[2]string{from, d.To}]
@@ -104,11 +107,11 @@
 			if m.node.Addr != d.To || !m.up || c.partitions[[2]string{from, d.To}] {
 				continue
 			}
-			came := clone(d.Message)
+			received := clone(d.Message)
 			if c.Tamper != nil {
-				c.Tamper(m, came)
+				c.Tamper(m, received)
 			}
-			m.act(m.starts, func() { m.controlNode.Step(c.Now, from, came) })
+			m.execute(m.starts, func() { m.controlNode.Step(c.Now, from, received) })
 		}
 	})
 }
--- a/internal/controlplane/simulation/operator.go
+++ b/internal/controlplane/simulation/operator.go
@@ -9,19 +9,20 @@
 	"dunespoke/internal/controlplane/client"
 )
 
-// Call is a call of the operator.
+// Call is an operator's request: a read of the newest configuration or a put.
 type Call struct {
-	Read         bool   // it asks for the newest; otherwise it sends a configuration
-	Version      uint64 // that was sent, or read
+	Read         bool   // it reads the newest configuration; otherwise it puts one
+	Version      uint64 // the version that was put or read
 	Text         string
-	Acknowledged bool // or read
-	Conflict     bool // it was rejected: the version has another content
+	Acknowledged bool // the put was acknowledged or the read succeeded
+	Conflict     bool // the put was rejected because the version has another content
 	Ended        bool
 	StartedAt    time.Duration
-	EndedAt      time.Duration // when it ended
+	EndedAt      time.Duration // set when Ended is
 }
 
-func (c *Cluster) begin(m *Machine, call *Call) *Call {
+// startCall records a call through a machine. A call through a machine that is down ends immediately.
+func (c *Cluster) startCall(m *Machine, call *Call) *Call {
 	call.StartedAt = c.Now
 	c.Calls = append(c.Calls, call)
 	if !m.up {
@@ -30,7 +31,8 @@
 	return call
 }
 
-// PutVersion sends a configuration to a machine, which answers or not. Its text is the same for each number.
+// PutVersion puts a configuration through a machine, without waiting for the response. Its text depends only
+// on the version.
 func (c *Cluster) PutVersion(m *Machine, version uint64) *Call {
 	if c.ConfigOf != nil {
 		return c.Put(m, version, string(c.ConfigOf(version)))
@@ -38,14 +40,14 @@
 	return c.Put(m, version, fmt.Sprintf("r%d", version))
 }
 
-// Put sends a configuration with a text of its own.
+// Put puts a configuration with the given text through a machine, without waiting for the response.
 func (c *Cluster) Put(m *Machine, version uint64, text string) *Call {
-	call := c.begin(m, &Call{Version: version, Text: text})
+	call := c.startCall(m, &Call{Version: version, Text: text})
 	if call.Ended {
 		return call
 	}
-	m.act(m.starts, func() {
-		if c.answersAlone && version <= m.version {
+	m.execute(m.starts, func() {
+		if c.answersLocally && version <= m.version {
 			call.Ended, call.EndedAt, call.Acknowledged = true, c.Now, true
 			return
 		}
@@ -61,35 +63,36 @@
 	return call
 }
 
-// PutUntilAcknowledged sends a configuration to one machine after another until it is acknowledged, as
-// operators do, and returns how long that took; ok is false if it was not within the limit.
+// PutUntilAcknowledged puts a configuration through one machine after another until it is acknowledged, as
+// operators do. It waits up to one second for each machine. It returns the total time, and false for ok if
+// the limit passed first.
 func (c *Cluster) PutUntilAcknowledged(first *Machine, version uint64,
 	limit time.Duration) (took time.Duration, ok bool) {
 	began := c.Now
-	for at := slices.Index(c.Machines, first); c.Now < began+limit; at++ {
-		m := c.Machines[at%len(c.Machines)]
+	for i := slices.Index(c.Machines, first); c.Now < began+limit; i++ {
+		m := c.Machines[i%len(c.Machines)]
 		call := c.PutVersion(m, version)
 		c.Until(func() bool { return call.Ended || !m.up }, time.Second)
 		if call.Acknowledged {
 			return c.Now - began, true
 		}
-		if !m.up { // the connection is refused: the next one at once, but not for nothing
+		if !m.up { // the connection is refused, which takes some time too
 			c.Run(10 * time.Millisecond)
 		}
 	}
 	return limit, false
 }
 
-// Read asks a machine for the newest configuration. One that is older than what was acknowledged before the
-// request violates the invariant.
+// Read requests the newest configuration from a machine, without waiting for the response. A response older
+// than a version that was acknowledged before the request is an invariant violation.
 func (c *Cluster) Read(m *Machine) *Call {
-	call := c.begin(m, &Call{Read: true})
+	call := c.startCall(m, &Call{Read: true})
 	if call.Ended {
 		return call
 	}
 	before := c.acknowledged
-	m.act(m.starts, func() {
-		if c.answersAlone {
+	m.execute(m.starts, func() {
+		if c.answersLocally {
 			call.Ended, call.EndedAt, call.Acknowledged, call.Version, call.Text = true, c.Now, true, m.version,
 				m.config
 			return
@@ -101,19 +104,20 @@
 				return
 			}
 			if call.Version < before {
-				c.violate("%s reads r%d after r%d was acknowledged", m.Name, call.Version, before)
+				c.reportViolation("%s reads r%d after r%d was acknowledged", m.Name, call.Version, before)
 			}
 		})
 	})
 	return call
 }
 
-// Converged reports whether every machine that runs goes by a version.
+// Converged reports whether every running machine has applied exactly this version.
 func (c *Cluster) Converged(version uint64) bool {
 	return !slices.ContainsFunc(c.Machines, func(m *Machine) bool { return m.up && m.version != version })
 }
 
-// Chain returns the machines of the view that serves, as those in service see it; nil: none is.
+// Chain returns the addresses of the replicas of the view in service, from head to tail, as the first replica
+// that serves with a quorum and is not frozen reports them. It returns nil if there is none.
 func (c *Cluster) Chain() []string {
 	for _, m := range c.Replicas() {
 		if m.up && !m.frozen && m.controlNode.Replica().ServingWithQuorum() {
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -15,25 +15,25 @@
 
 // The bounds of the rules, by their names on the users' pages.
 const (
-	applyWithin = 2 * time.Second // apply_s
-	quietPeriod = 3 * time.Second // quiet_s
-	callerWaits = time.Second     // of silence, after which a caller goes on
-	returnPath  = 50 * time.Millisecond
+	maxApplyDelay  = 2 * time.Second // apply_s
+	quietPeriod    = 3 * time.Second // quiet_s
+	callerTimeout  = time.Second     // of silence, after which a caller goes on
+	responseMargin = 50 * time.Millisecond
 	// confirm_s: no orderly change waits longer for its acknowledgement.
-	mostForAChange = 4 * time.Second
+	maxChangeDuration = 4 * time.Second
 )
 
 // Given the times that the program goes by, then what follows from them keeps within the rules.
-func TestTheBoundsOfStaleness(t *testing.T) {
-	for what, c := range map[string]struct{ got, most time.Duration }{
-		"who asks a silent machine asks the next": {client.FailoverTimeout, applyWithin},
-		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, applyWithin},
-		"an older configuration comes into force": {MaxStaleInForce, applyWithin},
+func TestTimeoutsKeepStalenessBounds(t *testing.T) {
+	for what, c := range map[string]struct{ got, limit time.Duration }{
+		"who asks a silent machine asks the next": {client.FailoverTimeout, maxApplyDelay},
+		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, maxApplyDelay},
+		"an older configuration comes into force": {MaxStaleInForce, maxApplyDelay},
 		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietPeriod},
-		"a call is answered":                      {client.CallTimeout, callerWaits - returnPath},
+		"a call is answered":                      {client.CallTimeout, callerTimeout - responseMargin},
 	} {
-		if c.got > c.most {
-			t.Errorf("%s after %v, %v is allowed", what, c.got, c.most)
+		if c.got > c.limit {
+			t.Errorf("%s after %v, %v is allowed", what, c.got, c.limit)
 		}
 	}
 }
@@ -41,46 +41,46 @@
 // stalenessChecker holds every word of every machine to what a majority has agreed on more than the bound
 // ago.
 type stalenessChecker struct {
-	x          *Cluster
+	cluster    *Cluster
 	watches    map[watchKey]uint64  // the version that the question came with
 	views      map[uint64]viewStart // by epoch
 	newest     uint64               // of these
-	last       map[statement]time.Duration
-	lists      map[process]message.EndpointList // that was told last
+	lastClaims map[claim]time.Duration
+	lists      map[processStart]message.EndpointList // that was told last
 	violations []string
 }
 
 type watchKey struct {
-	from       string
-	life, call uint64
+	from                   string
+	incarnation, requestID uint64
 }
 
 // viewStart is when a view was first in service, and how many lists the platform had told by then.
 type viewStart struct {
-	at     time.Duration
-	serial int
+	at         time.Duration
+	listNumber int
 }
 
-type process struct {
+type processStart struct {
 	m      *Machine
 	number int
 }
 
-type statement struct {
+type claim struct {
 	from *Machine
 	kind message.Type
 }
 
 func checkStaleness(x *Cluster) *stalenessChecker {
-	w := &stalenessChecker{x: x, watches: map[watchKey]uint64{}, views: map[uint64]viewStart{},
-		last:  map[statement]time.Duration{},
-		lists: map[process]message.EndpointList{}}
+	w := &stalenessChecker{cluster: x, watches: map[watchKey]uint64{}, views: map[uint64]viewStart{},
+		lastClaims: map[claim]time.Duration{},
+		lists:      map[processStart]message.EndpointList{}}
 	x.Observe = w.observe
 	return w
 }
 
 // serial tells the platform's lists apart: each has one server, named by its number.
-func serial(list []message.Endpoint) int {
+func listNumber(list []message.Endpoint) int {
 	if len(list) == 0 {
 		return 0
 	}
@@ -89,12 +89,12 @@
 }
 
 // change has the platform tell another list.
-func (w *stalenessChecker) change() {
-	w.x.Servers = []message.Endpoint{{ID: strconv.Itoa(serial(w.x.Servers) + 1)}}
+func (w *stalenessChecker) changeServers() {
+	w.cluster.Servers = []message.Endpoint{{ID: strconv.Itoa(listNumber(w.cluster.Servers) + 1)}}
 }
 
-func (w *stalenessChecker) violate(from *Machine, format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v %s ", w.x.Now-time.Hour, from.Name)+fmt.Sprintf(format,
+func (w *stalenessChecker) reportViolation(from *Machine, format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v %s ", w.cluster.Now-time.Hour, from.Name)+fmt.Sprintf(format,
 		args...))
 }
 
@@ -103,7 +103,7 @@
 	switch body := m.Body.(type) {
 	case *message.Heartbeat:
 		if _, known := w.views[body.Epoch]; body.Epoch > 0 && !known {
-			w.views[body.Epoch] = viewStart{w.x.Now, serial(w.x.Servers)}
+			w.views[body.Epoch] = viewStart{w.cluster.Now, listNumber(w.cluster.Servers)}
 			w.newest = max(w.newest, body.Epoch)
 		}
 		return
@@ -118,13 +118,13 @@
 		w.checkEndpoints(from, body.Endpoints)
 		return
 	}
-	if succeeds(m) {
-		w.last[statement{from, m.Type()}] = w.x.Now
+	if claimsSuccess(m) {
+		w.lastClaims[claim{from, m.Type()}] = w.cluster.Now
 	}
 }
 
 // succeeds reports whether a message says that something was done, or that it is so.
-func succeeds(m *message.Message) bool {
+func claimsSuccess(m *message.Message) bool {
 	switch body := m.Body.(type) {
 	case *message.WatchResponse:
 		return body.Fresh
@@ -149,8 +149,8 @@
 // checkEpoch holds a word that is told under an epoch to the views that were in service more than the bound
 // ago.
 func (w *stalenessChecker) checkEpoch(from *Machine, what string, epoch uint64, ok bool) {
-	if v := w.views[w.newest]; ok && epoch < w.newest && w.x.Now > v.at+replica.MaxStaleness {
-		w.violate(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
+	if v := w.views[w.newest]; ok && epoch < w.newest && w.cluster.Now > v.at+replica.MaxStaleness {
+		w.reportViolation(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
 	}
 }
 
@@ -171,9 +171,9 @@
 			version, stale = p.Version, p.Stale
 		}
 	}
-	for _, c := range w.x.Calls {
-		if !stale && c.Acknowledged && !c.Read && c.Version > version && w.x.Now > c.EndedAt+replica.MaxStaleness {
-			w.violate(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.x.Now-c.EndedAt)
+	for _, c := range w.cluster.Calls {
+		if !stale && c.Acknowledged && !c.Read && c.Version > version && w.cluster.Now > c.EndedAt+replica.MaxStaleness {
+			w.reportViolation(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.cluster.Now-c.EndedAt)
 		}
 	}
 	if response.Endpoints != nil {
@@ -184,13 +184,13 @@
 // checkEndpoints holds a list to its token: it was read when that epoch's view was in service, and tokens
 // only rise.
 func (w *stalenessChecker) checkEndpoints(from *Machine, l *message.EndpointList) {
-	of := process{from, from.starts}
-	if old := w.lists[of]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
-		w.violate(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
+	sender := processStart{from, from.starts}
+	if old := w.lists[sender]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
+		w.reportViolation(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
 	}
-	w.lists[of] = *l
-	if v, known := w.views[l.Epoch]; known && serial(l.Endpoints) < v.serial {
-		w.violate(from, "tells list %d as one of %d, which began with %d", serial(l.Endpoints), l.Epoch, v.serial)
+	w.lists[sender] = *l
+	if v, known := w.views[l.Epoch]; known && listNumber(l.Endpoints) < v.listNumber {
+		w.reportViolation(from, "tells list %d as one of %d, which began with %d", listNumber(l.Endpoints), l.Epoch, v.listNumber)
 	}
 }
 
@@ -200,8 +200,8 @@
 	hit  func(s *scenario, m *Machine)
 	// It can't know what a majority goes by: nothing that counts is said after the bound. What a majority has
 	// said may come late, and is true all the same.
-	mute bool
-	late time.Duration
+	silences     bool
+	messageDelay time.Duration
 }
 
 var faults = []fault{
@@ -264,7 +264,7 @@
 }
 
 // allocatorGap are the kinds of words that claim to be the newest, or to be held by a majority.
-var allocatorGap = []message.Type{
+var authoritativeTypes = []message.Type{
 	message.TypeWatchResponse,
 	message.TypeCommitted,
 	message.TypeConflict,
@@ -274,18 +274,18 @@
 
 // twentySeconds has a machine of the core in trouble for that long, while operators go on at the others and
 // at this one, and the platform's list changes. It returns the longest that a change took.
-func twentySeconds(s *scenario, w *stalenessChecker, m *Machine, hit func(*scenario,
+func runFaultForTwentySeconds(s *scenario, w *stalenessChecker, m *Machine, hit func(*scenario,
 	*Machine)) (longest time.Duration) {
 	others := s.others(m)
 	hit(s, m)
 	began := s.Now
 	for i := 0; s.Now < began+20*time.Second; i++ {
-		w.change()
+		w.changeServers()
 		s.version += 3
 		s.Put(m, s.version, "in-trouble")
 		s.Read(m)
 		s.Put(m, s.version-3, "another")
-		took, ok := s.changeAt(others, i, s.version)
+		took, ok := s.putAtAny(others, i, s.version)
 		if !ok {
 			s.version += 3
 		}
@@ -297,7 +297,7 @@
 }
 
 // changeAt sends a change to one of some machines after another until it has a clear answer.
-func (s *scenario) changeAt(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
+func (s *scenario) putAtAny(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
 	began := s.Now
 	for i := first; s.Now < began+8*time.Second; i++ {
 		c := s.Put(list[i%len(list)], version, "in-order")
@@ -312,38 +312,38 @@
 func (s *scenario) heal(m *Machine) {
 	m.SetSyncTime(5 * time.Millisecond)
 	m.HangDisk(false)
-	repair(s.Cluster, []*Machine{m})
+	repairMachines(s.Cluster, []*Machine{m})
 }
 
 // Given any machine of the core in any trouble for twenty seconds, when operators go on and servers come and
 // go, then it tells nothing older than the bound, neither confirms nor refuses, and passes those on who ask
 // it, within the second that they wait; the others go on, and when it is over all go by the newest.
-func TestTwentySecondsOutOfTouch(t *testing.T) {
+func TestTwentySecondFaults(t *testing.T) {
 	t.Parallel()
-	for _, tr := range faults {
+	for _, f := range faults {
 		for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
-			t.Run(tr.name+" "+name, func(t *testing.T) {
-				s := given(t, 2)
+			t.Run(f.name+" "+name, func(t *testing.T) {
+				s := startScenario(t, 2)
 				s.ReadTime = 700 * time.Millisecond
 				w := checkStaleness(s.Cluster)
 				m, first, began := s.Machine(name), len(s.Calls), s.Now
-				if took := twentySeconds(s, w, m, tr.hit); took > mostForAChange {
+				if took := runFaultForTwentySeconds(s, w, m, f.hit); took > maxChangeDuration {
 					t.Errorf("a change took %v at the others", took)
 				}
-				for _, kind := range allocatorGap {
-					most := replica.MaxWatchSilence
+				for _, kind := range authoritativeTypes {
+					limit := replica.MaxWatchSilence
 					if kind != message.TypeWatchResponse && kind != message.TypeTokenGrant {
-						most += tr.late
+						limit += f.messageDelay
 					}
-					if at := w.last[statement{m, kind}]; tr.mute && at > began+most {
+					if at := w.lastClaims[claim{m, kind}]; f.silences && at > began+limit {
 						t.Errorf("it says %d for %v more", kind, at-began)
 					}
 				}
 				for _, c := range s.Calls[first:] {
-					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerWaits-returnPath {
+					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerTimeout-responseMargin {
 						t.Errorf("%+v has its answer after %v", *c, took)
 					}
-					if !c.Ended && !m.frozen && c.StartedAt < s.Now-callerWaits {
+					if !c.Ended && !m.frozen && c.StartedAt < s.Now-callerTimeout {
 						t.Errorf("%+v has no answer", *c)
 					}
 				}
@@ -355,8 +355,8 @@
 					t.Errorf("read %+v; not all go by it", *c)
 				}
 				for _, other := range s.Machines {
-					if serial(other.Endpoints()) != serial(s.Servers) {
-						t.Errorf("%s goes by list %d of %d", other.Name, serial(other.Endpoints()), serial(s.Servers))
+					if listNumber(other.Endpoints()) != listNumber(s.Servers) {
+						t.Errorf("%s goes by list %d of %d", other.Name, listNumber(other.Endpoints()), listNumber(s.Servers))
 					}
 				}
 				if len(s.Chain()) != 3 {
@@ -375,10 +375,10 @@
 
 // Given the faults that this was made against, when a machine is in trouble for twenty seconds, then they are
 // told.
-func TestSeededDefectsOfTheQuorumAreFound(t *testing.T) {
+func TestInjectedQuorumDefectsAreDetected(t *testing.T) {
 	for _, d := range []struct {
-		what, trouble, machine string
-		seed                   func(x *Cluster)
+		what, faultName, machine string
+		inject                   func(x *Cluster)
 	}{
 		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
 			func(x *Cluster) {
@@ -389,7 +389,7 @@
 				}
 			}},
 		{"a list that was read under an epoch is told under the next", "frozen", "z1-1",
-			func(x *Cluster) { x.lateToken = true }},
+			func(x *Cluster) { x.epochAtReadEnd = true }},
 		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
 			func(x *Cluster) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
@@ -399,17 +399,17 @@
 				}
 			}},
 		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
-			func(x *Cluster) { x.answersAlone = true }},
+			func(x *Cluster) { x.answersLocally = true }},
 	} {
-		s := given(t, 2)
+		s := startScenario(t, 2)
 		s.ReadTime = 2 * time.Second
 		w := checkStaleness(s.Cluster)
-		d.seed(s.Cluster)
-		w.change()
+		d.inject(s.Cluster)
+		w.changeServers()
 		s.Run(2 * time.Second) // reading
-		i := slices.IndexFunc(faults, func(tr fault) bool { return tr.name == d.trouble })
-		took := twentySeconds(s, w, s.Machine(d.machine), faults[i].hit)
-		if took <= mostForAChange && len(w.violations) == 0 && s.consistent() == "" {
+		i := slices.IndexFunc(faults, func(tr fault) bool { return tr.name == d.faultName })
+		took := runFaultForTwentySeconds(s, w, s.Machine(d.machine), faults[i].hit)
+		if took <= maxChangeDuration && len(w.violations) == 0 && s.consistent() == "" {
 			t.Errorf("not found: %s", d.what)
 		}
 	}
@@ -417,15 +417,15 @@
 
 // Given a machine that comes back, with a list from before it was cut off, as the one that reads the list,
 // when the platform is down, then nobody goes back to that: it is told the newest, and passes it on.
-func TestAReaderThatComesBackTellsNoOldList(t *testing.T) {
-	s := given(t, 2)
+func TestReturningReaderPublishesNoOldList(t *testing.T) {
+	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
 	reader := s.Machine("z3-1")
-	w.change()
+	w.changeServers()
 	s.Run(2 * time.Second)
 	s.Isolate(reader, true)
 	s.Run(3 * time.Second)
-	w.change()
+	w.changeServers()
 	s.Run(2 * time.Second)
 	s.PlatformDown = true
 	newcomer := s.Machine("z2-1")
@@ -433,18 +433,18 @@
 	s.HealAll()
 	s.Run(2 * time.Second)
 	newcomer.Start()
-	s.then("all go by the newest", 8*time.Second, func() bool {
+	s.eventually("all go by the newest", 8*time.Second, func() bool {
 		return len(s.Chain()) == 3 && !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
-			return serial(m.Endpoints()) != serial(s.Servers)
+			return listNumber(m.Endpoints()) != listNumber(s.Servers)
 		})
 	})
 	for _, name := range []string{"z2-2", "z3-2"} { // which ask the learner, and the reader
 		s.Machine(name).Kill()
 		s.Machine(name).Start()
 	}
-	s.then("those that start now, too", 5*time.Second, func() bool {
+	s.eventually("those that start now, too", 5*time.Second, func() bool {
 		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
-			return serial(m.Endpoints()) != serial(s.Servers)
+			return listNumber(m.Endpoints()) != listNumber(s.Servers)
 		})
 	})
 	if len(w.violations) > 0 {
@@ -455,8 +455,8 @@
 // Given a machine of the chain that is never told what is done, when changes go down the chain through it,
 // then it tells nothing old: it knows by the next that what came before is done, and leaves off if none
 // comes.
-func TestAMachineThatIsNotToldWhatIsDone(t *testing.T) {
-	s := given(t, 2)
+func TestReplicaWithoutCommitNotificationsReportsNothingStale(t *testing.T) {
+	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
 	s.Tamper = func(to *Machine, m *message.Message) {
 		if to.Name != "z2-1" {
@@ -470,7 +470,7 @@
 		}
 	}
 	for range 30 {
-		s.change(s.Machine("z1-2"))
+		s.putNext(s.Machine("z1-2"))
 		s.Run(200 * time.Millisecond)
 	}
 	s.Run(2 * time.Second)
@@ -481,8 +481,8 @@
 
 // Given a machine that stands still for twenty seconds with an answer on its way to it, when changes were
 // acknowledged meanwhile, then it doesn't go by that answer when it wakes.
-func TestAResponseThatWasDelayedIsNotTaken(t *testing.T) {
-	s := given(t, 1)
+func TestDelayedResponseIsIgnored(t *testing.T) {
+	s := startScenario(t, 1)
 	m := s.Machine("z1-2")
 	s.Observe = func(_ *Machine, to string, told *message.Message) {
 		response, ok := told.Body.(*message.WatchResponse)
@@ -490,41 +490,41 @@
 			m.Freeze()
 		}
 	}
-	s.change(s.Machine("z2-2"))
+	s.putNext(s.Machine("z2-2"))
 	s.Run(time.Second)
 	if !m.frozen {
 		t.Fatal("it was told nothing")
 	}
 	s.Observe = nil
-	s.change(s.Machine("z2-2"))
+	s.putNext(s.Machine("z2-2"))
 	s.Run(20 * time.Second)
 	m.Thaw()
-	s.then("it goes by the newest, and by nothing older before", 2*time.Second,
+	s.eventually("it goes by the newest, and by nothing older before", 2*time.Second,
 		func() bool { return m.Version() == s.version })
 }
 
 // Given a list that comes three seconds late to a machine of the core, when the next one came before it, then
 // those who start, and ask that machine, go by the next one.
-func TestALateEndpointListIsNotTaken(t *testing.T) {
-	s := given(t, 2)
+func TestLateEndpointListIsIgnored(t *testing.T) {
+	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
 	s.Network = func(_, to string, m *message.Message) []Delivery {
 		late := time.Duration(0)
 		update, ok := m.Body.(*message.EndpointUpdate)
-		if ok && to == s.Machine("z2-1").node.Addr && serial(update.Endpoints.Endpoints) == 1 {
+		if ok && to == s.Machine("z2-1").node.Addr && listNumber(update.Endpoints.Endpoints) == 1 {
 			late = 3 * time.Second
 		}
 		return []Delivery{{to, late, m}}
 	}
-	w.change()
+	w.changeServers()
 	s.Run(time.Second)
-	w.change()
+	w.changeServers()
 	s.Run(2600 * time.Millisecond)
 	s.PlatformDown = true
 	m := s.Machine("z2-2")
 	m.Kill()
 	m.Start()
-	s.then("it has the newest", time.Second, func() bool { return serial(m.Endpoints()) == 2 })
+	s.eventually("it has the newest", time.Second, func() bool { return listNumber(m.Endpoints()) == 2 })
 	if len(w.violations) > 0 {
 		t.Error(w.violations[0])
 	}
@@ -533,17 +533,17 @@
 // Given any history of cuts, freezes, slow links and disks, of the machines that may be lost together and of
 // any without a disk, and of all at once, when operators go on, then no word is older than the bound, all
 // answers are those of one register, and all go by the newest in the end.
-func TestDrawnTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(14) {
-		if wrong := words(t, seed); wrong != "" {
+		if wrong := runFaultHistory(t, seed); wrong != "" {
 			t.Errorf("seed %d: %s", seed, wrong)
 		}
 	}
 }
 
 // words draws a history, and returns what went wrong.
-func words(t *testing.T, seed uint64) string {
+func runFaultHistory(t *testing.T, seed uint64) string {
 	survive := 1 + int(seed%2)
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
 		Seed: seed}), t, 0}
@@ -571,7 +571,7 @@
 			}
 		}
 		for range 1 + rng.IntN(6) {
-			w.change()
+			w.changeServers()
 			s.version += rng.Uint64N(3)
 			s.Put(s.Machines[rng.IntN(len(s.Machines))], max(1, s.version), fmt.Sprint("t", rng.IntN(2)))
 			s.Read(s.Machines[rng.IntN(len(s.Machines))])
--- a/internal/controlplane/simulation/simulation.go
+++ b/internal/controlplane/simulation/simulation.go
@@ -1,8 +1,8 @@
-// Package simulation plays a cluster in memory, in virtual time: many machines with the control plane of the
-// true program, and links, disks and clocks of its own that fail when told to. It checks the invariants all
-// the while: a configuration in force never goes back within an incarnation, one version means one content,
-// and what is acknowledged is what is read. It runs thousands of times faster than real time, and repeats by
-// its seed.
+// Package simulation simulates a cluster in memory, in virtual time: machines run the control plane of the
+// server on simulated links, disks and clocks, in which tests inject faults. It checks invariants throughout:
+// the applied configuration's version never decreases within an incarnation, a version has one content, and
+// reads return what was acknowledged. It runs thousands of times faster than real time, and is deterministic
+// for a seed. It is not safe for concurrent use.
 package simulation
 
 import (
@@ -16,55 +16,58 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// MaxStaleInForce is how long after an acknowledgement an older configuration may come into force at most:
-// what a machine tells is as old as it may be, and is taken for as long as its answer is awaited.
+// MaxStaleInForce is the maximum time after an acknowledgement at which a machine may still apply an older
+// configuration: a response may carry state that is MaxStaleness old, and is accepted until ResponseTimeout
+// after the request.
 const MaxStaleInForce = replica.MaxStaleness + client.ResponseTimeout
 
-// Options say what a cluster is made of.
+// Options configure a cluster.
 type Options struct {
 	Zones           int
 	ReplicasPerZone int // machines with a disk in each zone
-	GatewaysPerZone int // and without
-	SurviveMachines int // machines with a disk that may be lost at once
-	// SurviveZones and SurviveRegions are as SurviveMachines; a region is so many zones in a row, one where that
-	// is 0.
+	GatewaysPerZone int // machines without a disk in each zone
+	SurviveMachines int // machines with a disk that may be lost at the same time
+	// SurviveZones and SurviveRegions are the zones and regions that may be lost at the same time. A region
+	// consists of ZonesPerRegion consecutive zones, one if that is 0.
 	SurviveZones, SurviveRegions, ZonesPerRegion int
 
 	Seed     uint64
-	Latency  time.Duration // one way, at most; at least a third of it
-	SyncTime time.Duration // of a disk
-	Trace    func(line string)
-	// Network says what becomes of a message between two machines; nil: it is delivered once.
+	Latency  time.Duration     // maximum one-way delay, the minimum is a third of it; 0 means 2 ms
+	SyncTime time.Duration     // of each save to a disk; 0 means 5 ms
+	Trace    func(line string) // receives the nodes' log events; may be nil
+	// Network returns the deliveries of a message between two machines. If it is nil, each message is delivered
+	// once.
 	Network  func(from, to string, m *message.Message) []Delivery
 	Probe    Probe                       // may be nil
-	ConfigOf func(version uint64) []byte // of the configurations that are sent; nil: short ones
+	ConfigOf func(version uint64) []byte // the configurations that PutVersion sends; nil means short ones
 }
 
-// Probe measures what machines do.
+// Probe measures the work of machines.
 type Probe interface {
-	// Sent is told of each message from one machine's address to another, and of its bytes without the replica.
+	// Sent is called for each message that a machine sends, with the addresses and the message's encoded size in
+	// bytes, without its frame.
 	Sent(from, to string, m *message.Message, size int)
-	// Run runs a piece of the work of the machine at an address: it calls do, once. What comes is decoded in the
-	// midst of the sender's work, and is the receiver's.
+	// Run calls do exactly once and accounts its work to the machine at addr. Calls nest: a message is decoded
+	// for the receiver during a call for the sender.
 	Run(addr string, do func())
 }
 
-// Cluster is all machines, and what is between them.
+// Cluster is a simulated cluster: its machines, the network between them and its operators.
 type Cluster struct {
 	Options
 	Now      time.Duration
 	Machines []*Machine
-	Servers  []message.Endpoint // as the platform lists them
-	Messages int                // sent so far, those that got lost among them
-	Bytes    int                // of these, without their frames
-	Calls    []*Call            // of operators, in the order in which they began
-	// ReadTime is how long the platform takes for its list; PlatformDown: for ever.
+	Servers  []message.Endpoint // the platform's list of servers
+	Messages int                // sent so far, including lost ones
+	Bytes    int                // of Messages, without their frames
+	Calls    []*Call            // of operators, in the order in which they started
+	// ReadTime is how long a read of the platform's list takes. While PlatformDown is set, no read starts.
 	ReadTime     time.Duration
 	PlatformDown bool
-	// Observe is called with each message that a machine sends, before it may get lost; it may be nil.
+	// Observe is called with each message that a machine sends, before it may be lost. It may be nil.
 	Observe func(from *Machine, to string, m *message.Message)
-	// Tamper changes what a machine is about to take, and Spoil what a disk is about to hold: a test that plays
-	// a defect shows what finds it. Both may be nil.
+	// Tamper modifies a message before a machine receives it, and Spoil modifies a state that was saved to a
+	// disk. Tests use them to inject defects and to check that these are detected. Both may be nil.
 	Tamper func(to *Machine, m *message.Message)
 	Spoil  func(m *Machine, r *replica.PersistentState)
 
@@ -73,25 +76,26 @@
 	seq           int
 	partitions    map[[2]string]bool
 	slowLinks     map[[2]string]time.Duration
-	refusing      map[string]bool // by address: a firewall refuses what others send there
+	refusing      map[string]bool // addresses behind a firewall that refuses connections
 	seeds         []string
-	acknowledged  uint64
+	acknowledged  uint64 // the highest version that was acknowledged
 	violations    []string
-	configs       map[uint64]string // by version: one content each
+	configs       map[uint64]string // the content of each applied version
 	memberships   membershipHistory
-	addedMachines int    // machines that came after the first start
-	incarnations  uint64 // of all processes so far
-
-	// Defects that a test plays: a list is told under the epoch at its end, and a machine answers calls out of
-	// what it goes by itself.
-	lateToken, answersAlone bool
-	// And one whose processes count machines alone, and know nothing of zones and regions.
-	ignoresDomains bool
-	// And one whose disks tell a save as done before it is synced.
-	unsyncedSaves bool
+	addedMachines int    // machines added after the first start
+	incarnations  uint64 // the number of processes started so far
+
+	// Defects that tests inject. With epochAtReadEnd, a list of servers is published under the epoch at the end
+	// of its read instead of at the start. With answersLocally, a machine answers operators' calls from the
+	// configuration that it has applied.
+	epochAtReadEnd, answersLocally bool
+	// Processes tolerate losses of machines only, and ignore zones and regions.
+	ignoresFailureDomains bool
+	// Disks report a save as successful before it is synced.
+	acknowledgesUnsyncedSaves bool
 }
 
-// New returns a cluster whose machines are all off.
+// New returns a cluster. None of its machines is started.
 func New(o Options) *Cluster {
 	c := &Cluster{
 		Options:     o,
@@ -124,9 +128,9 @@
 	return c
 }
 
-// tolerance is what every process is told of what may be lost at once.
+// tolerance returns the losses that every process is configured to tolerate.
 func (c *Cluster) tolerance() replica.FaultTolerance {
-	if c.ignoresDomains {
+	if c.ignoresFailureDomains {
 		return replica.FaultTolerance{Machines: c.SurviveMachines}
 	}
 	t := replica.FaultTolerance{Machines: c.SurviveMachines, Zones: c.SurviveZones, Regions: c.SurviveRegions,
@@ -137,14 +141,14 @@
 	return t
 }
 
-// Violations returns the invariants that were violated so far.
+// Violations returns descriptions of the invariant violations so far.
 func (c *Cluster) Violations() []string { return c.violations }
 
-func (c *Cluster) violate(format string, args ...any) {
+func (c *Cluster) reportViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.Now)+fmt.Sprintf(format, args...))
 }
 
-// Machine returns a machine.
+// Machine returns the machine with a name, nil if there is none.
 func (c *Cluster) Machine(name string) *Machine {
 	for _, m := range c.Machines {
 		if m.Name == name {
@@ -154,7 +158,7 @@
 	return nil
 }
 
-// At returns the machine of an address.
+// At returns the machine with an address, nil if there is none.
 func (c *Cluster) At(addr string) *Machine {
 	for _, m := range c.Machines {
 		if m.node.Addr == addr {
@@ -164,12 +168,12 @@
 	return nil
 }
 
-// Replicas returns the machines with a disk.
+// Replicas returns the machines with a disk. The caller may modify the slice.
 func (c *Cluster) Replicas() []*Machine {
 	return slices.DeleteFunc(slices.Clone(c.Machines), func(m *Machine) bool { return !m.hasDisk })
 }
 
-// StartAll starts every machine, all but at once.
+// StartAll schedules the start of every machine, each at a random time within the next 200 ms.
 func (c *Cluster) StartAll() {
 	for _, m := range c.Machines {
 		c.schedule(time.Duration(c.rng.IntN(200))*time.Millisecond, m.Start)
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -15,38 +15,41 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// scenario is a test told as given, when, then, over a cluster in memory.
+// scenario is a simulated cluster with the state of one test.
 type scenario struct {
 	*Cluster
 	t       *testing.T
-	version uint64
+	version uint64 // of the latest change
 }
 
-// given starts a cluster of three zones, with a disk in each, and waits until it serves.
-func given(t *testing.T, others int) *scenario {
+// startScenario starts a cluster of three zones, each with one replica and some gateways, and waits until it
+// serves and all machines have applied a first change.
+func startScenario(t *testing.T, gatewaysPerZone int) *scenario {
 	t.Helper()
-	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: others, SurviveMachines: 1,
-		Seed: 7}), t, 0}
+	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: gatewaysPerZone,
+		SurviveMachines: 1, Seed: 7}), t, 0}
 	s.StartAll()
-	s.then("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
-	s.change(s.Machines[0])
-	s.then("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
+	s.eventually("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
+	s.putNext(s.Machines[0])
+	s.eventually("all have applied it", 2*time.Second, func() bool { return s.Converged(s.version) })
 	return s
 }
 
-// then waits for something that must come to pass.
-func (s *scenario) then(what string, limit time.Duration, done func() bool) {
+// eventually runs the cluster until done returns true, and fails the test if that takes longer than limit or
+// an invariant was violated.
+func (s *scenario) eventually(what string, limit time.Duration, done func() bool) {
 	s.t.Helper()
 	if !s.Until(done, limit) {
-		s.t.Fatalf("after %v, not so: %s", limit, what)
+		s.t.Fatalf("not within %v: %s", limit, what)
 	}
 	if b := s.Violations(); len(b) > 0 {
-		s.t.Fatalf("promises broken: %v", b)
+		s.t.Fatalf("invariants violated: %v", b)
 	}
 }
 
-// change sends a change to one machine after another until it is acknowledged, as operators do.
-func (s *scenario) change(first *Machine) time.Duration {
+// putNext puts the next version through one machine after another until it is acknowledged, and returns how
+// long that took.
+func (s *scenario) putNext(first *Machine) time.Duration {
 	s.t.Helper()
 	s.version += 3
 	took, ok := s.PutUntilAcknowledged(first, s.version, 8*time.Second)
@@ -56,8 +59,8 @@
 	return took
 }
 
-// reads asks a machine for the newest configuration until it answers.
-func (s *scenario) reads(m *Machine) uint64 {
+// readVersion reads the newest configuration from a machine, with retries, and returns its version.
+func (s *scenario) readVersion(m *Machine) uint64 {
 	s.t.Helper()
 	for range 8 {
 		c := s.Read(m)
@@ -66,23 +69,25 @@
 			return c.Version
 		}
 	}
-	s.t.Fatalf("%s: no answer", m.Name)
+	s.t.Fatalf("%s: no response", m.Name)
 	return 0
 }
 
+// After a first start, every machine must list all machines, and a gateway must read the acknowledged
+// version.
 func TestFirstStart(t *testing.T) {
-	s := given(t, 4)
-	s.then("everyone is a member", 5*time.Second, func() bool {
+	s := startScenario(t, 4)
+	s.eventually("all machines list all 15 machines", 5*time.Second, func() bool {
 		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return m.Nodes() != 15 })
 	})
-	if got := s.reads(s.Machine("z3-4")); got != s.version {
+	if got := s.readVersion(s.Machine("z3-4")); got != s.version {
 		t.Errorf("read r%d, want r%d", got, s.version)
 	}
 }
 
-// Given a first start, when any seed is killed at any moment of it, with its disk or without, then one core
-// is named, and it serves with all machines in the end.
-func TestAFirstStartOutlivesAnySeed(t *testing.T) {
+// Any seed is killed at any time during a first start, with its disk lost in half of the cases. One core must
+// be formed, and must serve with all replicas in the end.
+func TestFirstStartSurvivesLossOfAnySeed(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for at := 100 * time.Millisecond; at < 1100*time.Millisecond; at += 40 * time.Millisecond {
 			s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
@@ -95,26 +100,27 @@
 			}
 			s.Run(600 * time.Millisecond)
 			s.Machine(name).Start()
-			s.then(fmt.Sprint("all three serve, ", name, " killed at ", at), 9*time.Second,
+			s.eventually(fmt.Sprint("all three serve, ", name, " killed at ", at), 9*time.Second,
 				func() bool { return len(s.Chain()) == 3 })
-			s.change(s.Machines[1])
+			s.putNext(s.Machines[1])
 		}
 	}
 }
 
-// Given any first start, when seeds die, lose their disks and are cut off, then no two cores are named, and
-// once all is well one serves.
-func TestDrawnFirstStarts(t *testing.T) {
+// During random first starts, seeds are killed, lose their disks and are partitioned. No two cores may be
+// formed, and one must serve once all faults are repaired.
+func TestRandomFirstStarts(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 150
 	p := gopter.NewProperties(params)
-	p.Property("one core", prop.ForAll(firstStart, gen.UInt64()))
+	p.Property("one core", prop.ForAll(runFirstStart, gen.UInt64()))
 	p.TestingRun(t)
 }
 
-// firstStart draws a first start with faults, and returns what went wrong.
-func firstStart(seed uint64) string {
+// runFirstStart runs a first start with random faults. It returns a description of the failure, "" if there
+// is none.
+func runFirstStart(seed uint64) string {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1, SurviveMachines: 1,
 		Seed: seed})
 	rng := rand.New(rand.NewPCG(seed, 5))
@@ -122,7 +128,7 @@
 	seeds := slices.DeleteFunc(x.Replicas(), func(m *Machine) bool {
 		return !slices.Contains(x.seeds, m.node.Addr)
 	})
-	for _, m := range x.Machines { // some come late, and founders differ in whom they have heard of
+	for _, m := range x.Machines { // some start late, and seeds have discovered different machines
 		x.schedule(time.Duration(rng.IntN(1+rng.IntN(2)*3000))*time.Millisecond, m.Start)
 	}
 	for range 2 + rng.IntN(8) {
@@ -134,7 +140,7 @@
 			x.CutOneWay(a, b, a != b)
 		case 2:
 			x.Isolate(a, true)
-		case 3: // always the same: two seeds that forget their votes are more than is tolerated
+		case 3: // always the same seed: two that lose their votes exceed the tolerance
 			seeds[0].Kill()
 			x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 			seeds[0].Start()
@@ -143,7 +149,7 @@
 		}
 		x.Run(time.Duration(rng.IntN(1200)) * time.Millisecond)
 	}
-	repair(x, disks)
+	repairMachines(x, disks)
 	if !x.Until(func() bool { return len(x.Chain()) >= 2 }, 15*time.Second) {
 		return "no core serves"
 	}
@@ -153,39 +159,45 @@
 	return ""
 }
 
-func TestTheLossOfAnyMachineOfTheChainHoldsUpAcknowledgementsBriefly(t *testing.T) {
+// When any replica is killed, a change must be acknowledged within three seconds, and the replica must rejoin
+// the chain with the newest version after its restart.
+func TestLossOfAnyChainMemberDelaysAcknowledgementsBriefly(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		t.Run(name, func(t *testing.T) {
-			s := given(t, 2)
+			s := startScenario(t, 2)
 			s.Machine(name).Kill()
-			if took := s.change(s.Machine("z2-3")); took > 3*time.Second {
+			if took := s.putNext(s.Machine("z2-3")); took > 3*time.Second {
 				t.Errorf("took %v", took)
 			}
 			s.Machine(name).Start()
-			s.then("it is back in the chain", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
-			s.then("with the newest", time.Second, func() bool { return s.Machine(name).Version() == s.version })
+			s.eventually("it is back in the chain", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
+			s.eventually("with the newest", time.Second, func() bool { return s.Machine(name).Version() == s.version })
 		})
 	}
 }
 
-func TestAReplicaThatAcknowledgedAndLostItsDiskIsRepaired(t *testing.T) {
-	s := given(t, 1)
-	s.change(s.Machine("z1-1"))
+// A replica that acknowledged a change and then lost its disk must catch up after its restart and serve
+// again.
+func TestReplicaThatLostItsDiskAfterAcknowledgingIsRepaired(t *testing.T) {
+	s := startScenario(t, 1)
+	s.putNext(s.Machine("z1-1"))
 	m := s.Machine("z1-1")
 	m.Kill()
 	m.WipeDisk()
 	s.Run(300 * time.Millisecond)
 	m.Start()
-	s.then("it is whole, and serves", 4*time.Second, func() bool {
+	s.eventually("it has caught up and serves", 4*time.Second, func() bool {
 		return m.Replica().PersistentState().CaughtUp && m.Replica().PersistentState().Version == s.version &&
 			m.Replica().ServingWithQuorum()
 	})
-	s.change(m)
+	s.putNext(m)
 }
 
-func TestAllLosePowerAndOneItsDisk(t *testing.T) {
-	s := given(t, 1)
-	s.change(s.Machine("z2-1"))
+// After all processes were killed and one disk was lost, the acknowledged version must be applied everywhere
+// and be readable through the wiped replica.
+func TestAllKilledAndOneLosesItsDisk(t *testing.T) {
+	s := startScenario(t, 1)
+	s.putNext(s.Machine("z2-1"))
 	for _, m := range s.Machines {
 		m.Kill()
 	}
@@ -194,96 +206,108 @@
 	for _, m := range s.Machines {
 		m.Start()
 	}
-	s.then("all are back", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
-	if got := s.reads(s.Machine("z2-1")); got != s.version {
+	s.eventually("all are back", 5*time.Second,
+		func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
+	if got := s.readVersion(s.Machine("z2-1")); got != s.version {
 		t.Errorf("read r%d, want r%d", got, s.version)
 	}
 }
 
-func TestAnOldHeadThatWakesChangesNothing(t *testing.T) {
-	s := given(t, 1)
+// A head is frozen with a put in flight, and the others continue without it. After it is thawed, it must not
+// read an older version, the put must not be acknowledged without being applied, and all must agree.
+func TestThawedFormerHeadChangesNothing(t *testing.T) {
+	s := startScenario(t, 1)
 	head := s.Machine("z1-1")
-	c := s.PutVersion(head, s.version+100) // on its way when the machine stops
+	c := s.PutVersion(head, s.version+100) // in flight when the machine is frozen
 	head.Freeze()
-	s.change(s.Machine("z2-1"))
-	s.then("the others go on without it", 4*time.Second,
+	s.putNext(s.Machine("z2-1"))
+	s.eventually("the others serve without it", 4*time.Second,
 		func() bool { return s.Machine("z3-1").Version() == s.version })
 	head.Thaw()
 	s.Run(5 * time.Second)
-	if want := s.Machine("z2-2").Version(); s.reads(head) < want {
-		t.Errorf("the head that woke is behind")
+	if want := s.Machine("z2-2").Version(); s.readVersion(head) < want {
+		t.Errorf("the thawed head reads an older version")
 	}
 	if c.Acknowledged && s.Machine("z2-2").Version() != s.version+100 {
-		t.Errorf("acknowledged and not in force")
+		t.Errorf("acknowledged but not applied")
 	}
-	s.then("all agree", 2*time.Second, func() bool { return s.Converged(s.Machine("z2-2").Version()) })
+	s.eventually("all agree", 2*time.Second, func() bool { return s.Converged(s.Machine("z2-2").Version()) })
 }
 
-func TestACutOffMachineTellsNothingOld(t *testing.T) {
-	s := given(t, 2)
-	alone := s.Machine("z3-1")
-	s.Isolate(alone, true)
+// When a replica is isolated, the machines that watch it must receive the next change from others within
+// 1.8 s, and it must rejoin after the partition.
+func TestIsolatedMachineReportsNothingStale(t *testing.T) {
+	s := startScenario(t, 2)
+	isolated := s.Machine("z3-1")
+	s.Isolate(isolated, true)
 	s.Run(100 * time.Millisecond)
-	s.change(s.Machine("z1-1"))
+	s.putNext(s.Machine("z1-1"))
 	acked := s.Now
-	s.then("those who asked it ask others", 2*time.Second,
+	s.eventually("its watchers watch other replicas", 2*time.Second,
 		func() bool { return s.Machine("z3-2").Version() == s.version })
 	if took := s.Now - acked; took > 1800*time.Millisecond {
-		t.Errorf("the zone of the machine that was cut off heard after %v", took)
+		t.Errorf("the zone of the isolated machine received the change after %v", took)
 	}
 	s.HealAll()
-	s.then("it is back", 4*time.Second,
-		func() bool { return len(s.Chain()) == 3 && alone.Version() == s.version })
+	s.eventually("it is back", 4*time.Second,
+		func() bool { return len(s.Chain()) == 3 && isolated.Version() == s.version })
 }
 
-func TestAFullOrHangingDiskIsDoneWithout(t *testing.T) {
-	s := given(t, 1)
+// The chain must exclude a replica whose disk is full, and include it again once there is space. A head whose
+// disk takes three seconds for each sync must not delay a change for longer than 3.5 s.
+func TestReplicaWithFullOrSlowDiskIsExcluded(t *testing.T) {
+	s := startScenario(t, 1)
 	s.Machine("z2-1").FillDisk(true)
-	s.change(s.Machine("z1-1"))
-	s.then("the chain is two", 3*time.Second, func() bool { return len(s.Chain()) == 2 })
+	s.putNext(s.Machine("z1-1"))
+	s.eventually("the chain has two replicas", 3*time.Second, func() bool { return len(s.Chain()) == 2 })
 	s.Machine("z2-1").FillDisk(false)
-	s.then("and three again", 6*time.Second, func() bool { return len(s.Chain()) == 3 })
+	s.eventually("the chain has three replicas again", 6*time.Second, func() bool { return len(s.Chain()) == 3 })
 	s.Machine("z1-1").SetSyncTime(3 * time.Second)
-	if took := s.change(s.Machine("z2-2")); took > 3500*time.Millisecond {
-		t.Errorf("a head whose disk hangs held up a change for %v", took)
+	if took := s.putNext(s.Machine("z2-2")); took > 3500*time.Millisecond {
+		t.Errorf("a head with a slow disk delayed a change by %v", took)
 	}
 }
 
-func TestServersAreHeardOfByAllAndAgainAfterTheReaderIsStartedAnew(t *testing.T) {
-	s := given(t, 2)
-	all := func(n int) func() bool {
+// All machines must receive changes of the platform's list of servers, also when the endpoint reader is
+// restarted before the others detect that it failed.
+func TestEndpointsReachAllMachinesAlsoAfterReaderRestart(t *testing.T) {
+	s := startScenario(t, 2)
+	knownServers := func(n int) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool { return len(m.Endpoints()) != n })
 		}
 	}
 	s.Servers = []message.Endpoint{{ID: "a"}, {ID: "b"}}
-	s.then("all know two", 2*time.Second, all(2))
+	s.eventually("all have two servers", 2*time.Second, knownServers(2))
 	s.Servers = append(s.Servers, message.Endpoint{ID: "c"})
-	s.then("all know three", 2*time.Second, all(3))
+	s.eventually("all have three servers", 2*time.Second, knownServers(3))
 	reader := s.Machine("z3-1")
 	if epoch, ok := reader.controlNode.HoldsRole(s.Now, replica.EndpointReader); !ok {
 		t.Fatalf("the tail does not read the list under %d", epoch)
 	}
 	reader.Kill()
 	s.Run(180 * time.Millisecond)
-	reader.Start() // before anyone has missed it
+	reader.Start() // before the others detect its failure
 	s.Servers = s.Servers[:1]
-	s.then("all know one", 4*time.Second, all(1))
+	s.eventually("all have one server", 4*time.Second, knownServers(1))
 }
 
-func TestRaceOfTwoOperators(t *testing.T) {
-	s := given(t, 1)
+// Two operators put versions 50 and 47 at the same time, and an even older one follows. All must be
+// acknowledged, and version 50 must stay applied.
+func TestConcurrentPutsOfTwoOperators(t *testing.T) {
+	s := startScenario(t, 1)
 	a, b := s.PutVersion(s.Machine("z1-2"), 50), s.PutVersion(s.Machine("z3-2"), 47)
-	s.then("both are acknowledged", time.Second, func() bool { return a.Acknowledged && b.Acknowledged })
-	s.then("the higher is in force", time.Second, func() bool { return s.Converged(50) })
+	s.eventually("both are acknowledged", time.Second, func() bool { return a.Acknowledged && b.Acknowledged })
+	s.eventually("all have applied the higher", time.Second, func() bool { return s.Converged(50) })
 	c := s.PutVersion(s.Machine("z2-2"), 12)
-	s.then("an older one is acknowledged, too", time.Second, func() bool { return c.Acknowledged })
+	s.eventually("an older one is acknowledged, too", time.Second, func() bool { return c.Acknowledged })
 	s.Run(time.Second)
-	s.then("and changes nothing", time.Second, func() bool { return s.Converged(50) })
+	s.eventually("and changes nothing", time.Second, func() bool { return s.Converged(50) })
 }
 
+// One of three replicas alone must not acknowledge a change, and the call must end.
 func TestNoAcknowledgementWithoutAMajority(t *testing.T) {
-	s := given(t, 1)
+	s := startScenario(t, 1)
 	s.Machine("z1-1").Kill()
 	s.Machine("z2-1").Kill()
 	c := s.PutVersion(s.Machine("z3-1"), s.version+1)
@@ -293,11 +317,13 @@
 	}
 }
 
-func TestAMachineThatLostItsDiskHasNoVote(t *testing.T) {
-	s := given(t, 1)
+// A change is stored by two of three replicas. One of them loses its disk, and restarts with the third while
+// the other is down: the two must not serve, as neither has the change.
+func TestReplicaThatLostItsDiskHasNoVote(t *testing.T) {
+	s := startScenario(t, 1)
 	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 	c.Kill()
-	s.change(a) // a and b have it
+	s.putNext(a) // stored by a and b
 	a.Kill()
 	b.Kill()
 	b.WipeDisk()
@@ -305,16 +331,17 @@
 	c.Start()
 	s.Run(5 * time.Second)
 	if chain := s.Chain(); chain != nil {
-		t.Fatalf("%v serve without the newest, which is on the third alone", chain)
+		t.Fatalf("%v serve without the newest version, which only the third stores", chain)
 	}
 	a.Start()
-	s.then("all have it", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
+	s.eventually("all have it", 5*time.Second,
+		func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
 }
 
-// Given a core that has lost the disks of two of three, when operators found it anew from the third, then all
-// go by what that had.
-func TestACoreFoundedAnewFromOneStoreServes(t *testing.T) {
-	s := given(t, 1)
+// A core of three has lost two disks, and operators restore it from the third. All machines must apply the
+// configuration of that disk.
+func TestCoreRestoredFromOneStoreServes(t *testing.T) {
+	s := startScenario(t, 1)
 	left := s.Machine("z2-1").stored
 	for _, m := range s.Machines {
 		m.Kill()
@@ -322,10 +349,10 @@
 	left.PromisedEpoch += 1 << 20
 	left.Epoch, left.Chain = left.PromisedEpoch, nil
 	left.StoreID, left.MembershipEpoch, left.Members = 0, left.Epoch, slices.Clone(left.Members)
-	for i := range left.Members { // as storage.Restore does: the document is the same for all
+	for i := range left.Members { // as storage.Restore does, which writes the same state for all
 		left.Members[i].StoreID = left.Epoch
 	}
-	s.memberships = newMembershipHistory() // its memberships are of another sequence
+	s.memberships = newMembershipHistory() // the restored core starts a new sequence of memberships
 	for _, m := range s.Replicas() {
 		m.stored = left
 		s.memberships.storedEpochs[identity{m.node.Addr, left.Epoch}] = left.Epoch
@@ -333,28 +360,29 @@
 	for _, m := range s.Machines {
 		m.Start()
 	}
-	s.then("all go by it", 5*time.Second, func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
-	s.change(s.Machine("z3-2"))
+	s.eventually("all have applied it", 5*time.Second,
+		func() bool { return s.Converged(s.version) && len(s.Chain()) == 3 })
+	s.putNext(s.Machine("z3-2"))
 }
 
-// Given any history of losses that are to be tolerated, when it is over, then what was acknowledged is there,
-// all machines agree, and no promise was broken on the way.
-func TestDrawnHistories(t *testing.T) {
+// After a random history of losses within the tolerance, everything acknowledged must be readable, all
+// machines must agree, and no invariant may have been violated.
+func TestRandomHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 12
 	p := gopter.NewProperties(params)
 	p.Property("nothing acknowledged is lost", prop.ForAll(func(seed uint64) string {
-		return history(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed})
+		return runHistory(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed})
 	}, gen.UInt64()))
 	p.Property("with more machines", prop.ForAll(func(seed uint64) string {
-		return history(Options{Zones: 3, ReplicasPerZone: 2, GatewaysPerZone: 1, SurviveMachines: 2, Seed: seed})
+		return runHistory(Options{Zones: 3, ReplicasPerZone: 2, GatewaysPerZone: 1, SurviveMachines: 2, Seed: seed})
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
 
-// history draws faults and changes, and returns what went wrong.
-func history(o Options) string {
+// runHistory runs random faults and changes. It returns a description of the failure, "" if there is none.
+func runHistory(o Options) string {
 	x := New(o)
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	x.StartAll()
@@ -363,7 +391,7 @@
 	}
 	disks := x.Replicas()
 	version := uint64(1)
-	var lost []*Machine // that count as lost now
+	var lost []*Machine // within the tolerance, until repaired
 	for range 12 {
 		for range 1 + rng.IntN(3) {
 			version += 1 + rng.Uint64N(5)
@@ -374,22 +402,22 @@
 			m := disks[rng.IntN(len(disks))]
 			if !slices.Contains(lost, m) {
 				lost = append(lost, m)
-				strike(x, m, rng)
+				injectFault(x, m, rng)
 			}
 		}
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 && len(lost) > 0 {
-			repair(x, lost)
+			repairMachines(x, lost)
 			lost = nil
-			x.Run(4 * time.Second) // after which it counts again
+			x.Run(4 * time.Second) // after which it can be lost again
 		}
-		if rng.IntN(8) == 0 { // all processes at once: what is on the disks is all there is
+		if rng.IntN(8) == 0 { // kill all processes, so that only the disks' contents remain
 			for _, m := range x.Machines {
 				m.Kill()
 			}
 			x.Run(500 * time.Millisecond)
-			repair(x, disks)
+			repairMachines(x, disks)
 			for _, m := range x.Machines {
 				m.Start()
 			}
@@ -397,7 +425,7 @@
 			x.Run(4 * time.Second)
 		}
 	}
-	repair(x, disks)
+	repairMachines(x, disks)
 	x.Run(6 * time.Second)
 	if b := x.Violations(); len(b) > 0 {
 		return b[0]
@@ -409,17 +437,17 @@
 	x.Run(2 * time.Second)
 	switch {
 	case !c.Acknowledged:
-		return "the newest configuration can't be read"
+		return "the newest configuration cannot be read"
 	case c.Version < x.acknowledged:
 		return fmt.Sprintf("r%d was acknowledged, r%d is left", x.acknowledged, c.Version)
 	case !x.Converged(c.Version):
-		return "not all go by the newest"
+		return "not all have applied the newest version"
 	}
 	return ""
 }
 
-// strike has a machine fail in one of many ways.
-func strike(x *Cluster, m *Machine, rng *rand.Rand) {
+// injectFault injects one of eight faults, chosen at random, into a machine.
+func injectFault(x *Cluster, m *Machine, rng *rand.Rand) {
 	switch rng.IntN(8) {
 	case 0:
 		m.Kill()
@@ -442,10 +470,10 @@
 	}
 }
 
-// repair ends all faults.
-func repair(x *Cluster, lost []*Machine) {
+// repairMachines ends all network faults, and frees the disks of the given machines, thaws and starts them.
+func repairMachines(x *Cluster, machines []*Machine) {
 	x.HealAll()
-	for _, m := range lost {
+	for _, m := range machines {
 		m.FillDisk(false)
 		if m.frozen {
 			m.Thaw()
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -26,43 +26,43 @@
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
-		taken, c := state.(string), input.(*Call)
+		accepted, c := state.(string), input.(*Call)
 		text, known := "", false
-		held := uint64(0)
-		for entry := range strings.FieldsSeq(taken) {
-			number, t, _ := strings.Cut(entry, "=")
-			held, _ = strconv.ParseUint(number, 10, 64)
-			if held == c.Version {
+		newest := uint64(0)
+		for entry := range strings.FieldsSeq(accepted) {
+			key, t, _ := strings.Cut(entry, "=")
+			newest, _ = strconv.ParseUint(key, 10, 64)
+			if newest == c.Version {
 				text, known = t, true
 			}
 		}
 		switch {
 		case c.Read:
-			return c.Version == held && c.Text == text, taken
+			return c.Version == newest && c.Text == text, accepted
 		case c.Conflict:
-			return known && text != c.Text, taken
+			return known && text != c.Text, accepted
 		case c.Acknowledged && known && text != c.Text:
-			return false, taken
-		case c.Version > held: // one without a clear answer may have taken effect at any time, or never
-			taken += fmt.Sprintf("%d=%s ", c.Version, c.Text)
+			return false, accepted
+		case c.Version > newest: // one without a clear answer may have taken effect at any time, or never
+			accepted += fmt.Sprintf("%d=%s ", c.Version, c.Text)
 		}
-		return true, taken
+		return true, accepted
 	},
 }
 
 // history is what operators asked and heard. A change without a clear answer stays open for ever. Of several
 // such with one text under one number the first stands for all: it may take effect wherever a later one may,
 // and a second time changes nothing.
-func (c *Cluster) history() (list []porcupine.Operation) {
-	type order struct {
+func (c *Cluster) operations() (list []porcupine.Operation) {
+	type put struct {
 		version uint64
 		text    string
 	}
-	open := map[order]bool{}
+	open := map[put]bool{}
 	for _, call := range c.Calls {
 		end := int64(call.EndedAt)
 		if !call.Acknowledged && !call.Conflict {
-			o := order{call.Version, call.Text}
+			o := put{call.Version, call.Text}
 			if end = math.MaxInt64; call.Read || open[o] {
 				continue
 			}
@@ -78,7 +78,7 @@
 	if b := c.Violations(); len(b) > 0 {
 		return b[0]
 	}
-	if r := porcupine.CheckOperationsTimeout(register, c.history(), 20*time.Second); r != porcupine.Ok {
+	if r := porcupine.CheckOperationsTimeout(register, c.operations(), 20*time.Second); r != porcupine.Ok {
 		return fmt.Sprintf("the history is %s as one of the register", cmp.Or(string(r), "unknown"))
 	}
 	return ""
@@ -97,10 +97,10 @@
 
 // twoUnderOneNumber plays an order that is left on a head which is cut off, and another one under its number
 // that is acknowledged by the others; then all are killed, the cut ends, and they start again.
-func twoUnderOneNumber(t *testing.T, tamper func(*Machine, *message.Message),
+func putTwoTextsUnderOneVersion(t *testing.T, tamper func(*Machine, *message.Message),
 	spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
-	s := given(t, 2)
+	s := startScenario(t, 2)
 	s.Spoil = spoil
 	head := s.Machine("z1-1")
 	s.Isolate(head, true)
@@ -134,8 +134,8 @@
 // Given an order that was left on the disk of a head which was cut off, when another one under its number was
 // acknowledged, then that stands for ever: on all disks, in force everywhere, acknowledged whenever it is
 // sent again; the other is dropped, and told as a conflict.
-func TestOneContentAVersion(t *testing.T) {
-	s := twoUnderOneNumber(t, nil, nil)
+func TestOneContentPerVersion(t *testing.T) {
+	s := putTwoTextsUnderOneVersion(t, nil, nil)
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
@@ -152,22 +152,22 @@
 }
 
 // Given the faults that this was made against, when the same is played, then it is told.
-func TestSeededDefectsOfTheValueAreFound(t *testing.T) {
+func TestInjectedValueDefectsAreDetected(t *testing.T) {
 	for name, s := range map[string]*scenario{
-		"what is newest is told by the number alone": twoUnderOneNumber(t, nil,
+		"what is newest is told by the number alone": putTwoTextsUnderOneVersion(t, nil,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedEpoch = 0 }),
-		"confirmed without a look at the text": twoUnderOneNumber(t, func(_ *Machine, m *message.Message) {
+		"confirmed without a look at the text": putTwoTextsUnderOneVersion(t, func(_ *Machine, m *message.Message) {
 			if conflict, ok := m.Body.(*message.Conflict); ok {
 				m.Body = &message.Committed{Version: conflict.Version}
 			}
 		}, nil),
-		"what was taken is refused when it is sent again": twoUnderOneNumber(t,
+		"what was taken is refused when it is sent again": putTwoTextsUnderOneVersion(t,
 			func(_ *Machine, m *message.Message) {
 				if committed, ok := m.Body.(*message.Committed); ok && m.RequestID != 0 {
 					m.Body = &message.Conflict{Version: committed.Version}
 				}
 			}, nil),
-		"past numbers are forgotten by a restart": pastNumbers(t,
+		"past numbers are forgotten by a restart": resendOldVersions(t,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedVersions = nil }),
 	} {
 		if s.consistent() == "" {
@@ -177,9 +177,9 @@
 }
 
 // pastNumbers plays orders that are sent again when later ones stand.
-func pastNumbers(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *scenario {
+func resendOldVersions(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
-	s := given(t, 1)
+	s := startScenario(t, 1)
 	s.Spoil = spoil
 	for v := uint64(10); v < 14; v++ {
 		s.Put(s.Machines[v%6], v, "first")
@@ -196,14 +196,14 @@
 
 // Given several orders, when the first ones are sent again with later ones in force, after all were started
 // again, then each is acknowledged with its own text, and another text under its number is a conflict.
-func TestAnOrderSentAgainAfterLaterOnes(t *testing.T) {
-	s := pastNumbers(t, nil)
+func TestResendingAfterLaterVersions(t *testing.T) {
+	s := resendOldVersions(t, nil)
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
-	again := s.Calls[len(s.Calls)-3:]
-	if !again[0].Acknowledged || !again[1].Conflict || !again[2].Acknowledged {
-		t.Errorf("%+v, %+v, %+v", again[0], again[1], again[2])
+	resent := s.Calls[len(s.Calls)-3:]
+	if !resent[0].Acknowledged || !resent[1].Conflict || !resent[2].Acknowledged {
+		t.Errorf("%+v, %+v, %+v", resent[0], resent[1], resent[2])
 	}
 	if !s.Converged(13) {
 		t.Error("r13 is not in force everywhere")
@@ -213,20 +213,20 @@
 // Given any history of losses that are to be tolerated, when several operators race for numbers with unlike
 // texts, send again what had no clear answer, and old orders come once more, then all that they hear is what
 // one register would say, and one text is in force everywhere in the end.
-func TestDrawnRaces(t *testing.T) {
+func TestRandomRaces(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(11)
 	params.MinSuccessfulTests = 40
 	p := gopter.NewProperties(params)
 	p.Property("one register", prop.ForAll(func(seed uint64) string {
-		return races(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
+		return runRaces(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
 			SurviveMachines: 1 + int(seed%2), Seed: seed})
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
 
 // races draws a history with unlike texts, and returns what went wrong.
-func races(o Options) string {
+func runRaces(o Options) string {
 	x := New(o)
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	x.StartAll()
@@ -234,14 +234,14 @@
 	if !x.Until(func() bool { return len(x.Chain()) == len(disks) }, 8*time.Second) {
 		return "no first start"
 	}
-	number := uint64(1)
+	latest := uint64(1)
 	var lost []*Machine
 	for range 9 {
 		for i := range 2 + rng.IntN(3) {
 			if rng.IntN(3) == 0 {
-				number += 1 + rng.Uint64N(3)
+				latest += 1 + rng.Uint64N(3)
 			}
-			version, text := max(1, number-rng.Uint64N(2)), fmt.Sprintf("t%d", i%2)
+			version, text := max(1, latest-rng.Uint64N(2)), fmt.Sprintf("t%d", i%2)
 			m := x.Machines[rng.IntN(len(x.Machines))]
 			x.Put(m, version, text)
 			x.Run(time.Duration(rng.IntN(30)) * time.Millisecond)
@@ -249,24 +249,24 @@
 		if len(lost) < o.SurviveMachines {
 			if m := disks[rng.IntN(len(disks))]; !slices.Contains(lost, m) {
 				lost = append(lost, m)
-				strike(x, m, rng)
+				injectFault(x, m, rng)
 			}
 		}
 		x.Run(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		x.Read(x.Machines[rng.IntN(len(x.Machines))])
 		if rng.IntN(2) == 0 && len(lost) > 0 {
-			repair(x, lost)
+			repairMachines(x, lost)
 			lost = nil
 			x.Run(4 * time.Second) // after which it counts again
 		}
 		if rng.IntN(6) == 0 {
-			repair(x, disks)
+			repairMachines(x, disks)
 			x.restartAll()
 			lost = nil
 			x.Run(4 * time.Second)
 		}
 	}
-	repair(x, disks)
+	repairMachines(x, disks)
 	x.Run(6 * time.Second)
 	c := x.Read(x.Machines[len(x.Machines)-1])
 	x.Run(2 * time.Second)
@@ -288,7 +288,7 @@
 }
 
 // Given a seed, when what it draws is played again, then every message and byte is the same.
-func TestASimulationRepeatsByItsSeed(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(6) {
 		var first [2]int
 		for play := range 3 {
@@ -298,10 +298,10 @@
 			x.Run(3 * time.Second)
 			for range 6 {
 				x.Put(x.Machines[rng.IntN(len(x.Machines))], 1+rng.Uint64N(9), fmt.Sprint(rng.IntN(2)))
-				strike(x, x.Replicas()[rng.IntN(6)], rng)
+				injectFault(x, x.Replicas()[rng.IntN(6)], rng)
 				x.Run(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			}
-			repair(x, x.Replicas())
+			repairMachines(x, x.Replicas())
 			x.Run(4 * time.Second)
 			got := [2]int{x.Messages, x.Bytes}
 			if play == 0 {
