--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -8,10 +8,10 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// Given a change of members that only the learner has on its disk, and a member that has heard of it and is
-// in touch in the view before for some moments more, when a machine that has just started asks that one for
-// news, then it is not told that the change is complete, and tells it to nobody: no second core comes of it.
-// A member that tells it so is found.
+// A membership change is stored on the learner's disk only, and a member that has received it still serves
+// in the previous view for a moment. A newly started machine that watches this member must not receive the
+// change as complete and pass it on, as that could form a second core. The injected defect, a response that
+// reports the change as complete, must be detected.
 func TestIncompleteMembershipChangeIsNotReported(t *testing.T) {
 	play := func(defect bool) string {
 		s := startScenario(t, 1)
@@ -22,17 +22,17 @@
 		s.Run(time.Second)
 		s.Cut(a, c, true)
 		s.CutOneWay(fresh, b, true)
-		s.Run(200 * time.Millisecond) // it is not missed yet, and is when the others promise
+		s.Run(200 * time.Millisecond) // not yet detected as failed; that happens when the others promise
 		a.SetSyncTime(430 * time.Millisecond)
 		a.controlNode.Drain(s.Now)
-		s.eventually("the other has promised", time.Second,
+		s.eventually("a has sent its promise", time.Second,
 			func() bool { return a.Replica().State() == replica.StateInstalling })
 		b.Kill()
-		s.eventually("the one that missed the proposal has heard of the change", 2*time.Second, func() bool {
+		s.eventually("c, which missed the proposal, has stored the change", 2*time.Second, func() bool {
 			return len(c.stored.OutgoingMembers) > 0
 		})
 		if len(a.stored.OutgoingMembers)+len(b.stored.OutgoingMembers) > 0 || !c.Replica().ServingWithQuorum() {
-			t.Fatal("the others have it, or it is out of touch already")
+			t.Fatal("the others store the change, or c no longer serves with a quorum")
 		}
 		if defect {
 			s.Tamper = func(to *Machine, m *message.Message) {
@@ -46,13 +46,13 @@
 		a.Kill()
 		c.Kill()
 		s.Run(300 * time.Millisecond)
-		for _, m := range []*Machine{a, b} { // from here on there are two sides
+		for _, m := range []*Machine{a, b} { // partition the machines into two sides
 			for _, other := range []*Machine{c, fresh, newcomer} {
 				s.Cut(m, other, true)
 			}
 		}
 		a.SetSyncTime(s.SyncTime)
-		s.seeds = []string{newcomer.node.Addr} // by the settings of that moment
+		s.seeds = []string{newcomer.node.Addr} // as configured at that time
 		c.Start()
 		a.Start()
 		b.Start()
@@ -66,27 +66,26 @@
 		t.Error(wrong)
 	}
 	if play(true) == "" {
-		t.Error("the seeded defect is not found")
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// Given a first start in which one of three machines with a disk is not there, or its disk takes nothing or
-// hangs, when an operator sends the first configuration, then it is acknowledged within the users' bound from
-// the moment on at which the core is settled: the two others can hold it. The third becomes a member once it
-// can.
+// In a first start, one of three machines with a disk is missing, or its disk is full or hangs. The first
+// configuration must be acknowledged within the specified bound after the quiet period, as the two others can
+// store it. The third must become a member once it works.
 func TestFirstStartWithoutOneDisk(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for what, inject := range map[string]func(m *Machine){
-			"full":      func(m *Machine) { m.FillDisk(true) },
-			"hangs":     func(m *Machine) { m.HangDisk(true) },
-			"not there": func(m *Machine) { m.removed = true },
+			"full":    func(m *Machine) { m.FillDisk(true) },
+			"hangs":   func(m *Machine) { m.HangDisk(true) },
+			"missing": func(m *Machine) { m.removed = true },
 		} {
 			s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 5}),
 				t, 0}
 			m := s.Machine(name)
 			inject(m)
 			s.StartAll()
-			s.Run(300 * time.Millisecond) // by which all have started
+			s.Run(300 * time.Millisecond) // until all have started
 			if took := s.putNext(s.Machine("z1-2")); took > quietPeriod+maxChangeDuration-time.Second {
 				t.Errorf("%s %s: acknowledged after %v", name, what, took)
 			}
@@ -99,16 +98,16 @@
 	}
 }
 
-// Given a member that the first one doesn't hear, so that it can't be in a chain with that, when it proposes
-// a view, since it alone serves while the two others have not agreed yet, then it does not serve in the
-// view that it has proposed and is not in: what is acknowledged there does not come to its disk.
+// A member whose messages do not reach the first replica cannot be in a chain with it. While the two others
+// have not agreed on a view, only this member serves, and it proposes a view without itself. It must not
+// serve in that view, as changes that are acknowledged there do not reach its disk.
 func TestProposerOutsideItsViewDoesNotServe(t *testing.T) {
 	s := startScenario(t, 2)
 	a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 	w := checkStaleness(s.Cluster)
 	observe, proposed := s.Observe, false
 	s.Observe = func(from *Machine, to string, m *message.Message) {
-		if from == b && m.Type() == message.TypePrepare { // for a moment it is heard
+		if from == b && m.Type() == message.TypePrepare { // its messages get through for a moment
 			s.HealAll()
 			proposed = true
 		}
@@ -122,7 +121,7 @@
 	}
 	s.CutOneWay(b, a, true)
 	s.eventually("it has proposed a view", 4*time.Second, func() bool { return proposed })
-	s.eventually("that serves", 2*time.Second, func() bool { return len(s.Chain()) > 0 })
+	s.eventually("the view serves", 2*time.Second, func() bool { return len(s.Chain()) > 0 })
 	s.CutOneWay(b, a, true)
 	s.Network = nil
 	for range 10 {
@@ -130,7 +129,7 @@
 		s.Run(500 * time.Millisecond)
 	}
 	if len(w.violations) > 0 {
-		t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
+		t.Errorf("%d stale messages, the first: %s", len(w.violations), w.violations[0])
 	}
 	s.HealAll()
 	s.eventually("it is back", 4*time.Second, func() bool {
@@ -142,9 +141,9 @@
 	}
 }
 
-// Given a core whose disks all take long for each sync, up to the time after which one counts as failing,
-// when all processes are killed, then a view serves soon after their start, and stays: changes go through
-// it, slowly.
+// All disks of the core are slow, up to the time after which a disk counts as failed, and all processes are
+// restarted. A view must serve soon after that and must not change, and changes must be acknowledged within a
+// few sync times.
 func TestViewIsStableWithSlowDisks(t *testing.T) {
 	for _, syncTime := range []time.Duration{300, 500, 700, 850} {
 		syncTime *= time.Millisecond
@@ -162,7 +161,7 @@
 			s.Run(3 * time.Second)
 		}
 		if later, _ := s.Machine("z1-1").Replica().View(); later != epoch {
-			t.Errorf("%v: other views came, %d after %d", syncTime, later, epoch)
+			t.Errorf("%v: the view changed, epoch %d after %d", syncTime, later, epoch)
 		}
 		if wrong := s.consistent(); wrong != "" {
 			t.Error(wrong)
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -11,18 +11,18 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// gateway asks every machine of the core for tokens all the time, each under the epoch that this one knows,
-// and holds their grants to one allocator at a time.
+// allocatorProbe requests tokens from all replicas every 10 ms, from each under the epoch of its own view,
+// and checks that there is one allocator at a time.
 type allocatorProbe struct {
 	s           *scenario
 	calls       uint64
-	epoch       uint64        // newest under which tokens were given
-	lastGrant   time.Duration // when any were given last
-	longestGap  time.Duration // the longest without any
-	staleGrants []string
+	epoch       uint64        // the highest under which tokens were granted
+	lastGrant   time.Duration // time of the last grant
+	longestGap  time.Duration // the longest time between grants
+	staleGrants []string      // grants under an older epoch than an earlier grant
 }
 
-// asking begins to ask.
+// probeAllocator starts a probe. It replaces the cluster's Observe.
 func (s *scenario) probeAllocator() *allocatorProbe {
 	g := &allocatorProbe{s: s, lastGrant: s.Now}
 	s.Observe = func(from *Machine, _ string, m *message.Message) {
@@ -47,27 +47,29 @@
 	return g
 }
 
+// granted records a grant of tokens.
 func (g *allocatorProbe) granted(from *Machine, epoch uint64) {
 	if epoch < g.epoch {
-		g.staleGrants = append(g.staleGrants, fmt.Sprintf("%v: %s gives under %d, another gave under %d", g.s.Now-time.Hour,
-			from.Name, epoch, g.epoch))
+		g.staleGrants = append(g.staleGrants, fmt.Sprintf("%v: %s grants under epoch %d, after a grant under %d",
+			g.s.Now-time.Hour, from.Name, epoch, g.epoch))
 		return
 	}
 	g.epoch, g.longestGap, g.lastGrant = epoch, max(g.longestGap, g.s.Now-g.lastGrant), g.s.Now
 }
 
-// allocator is the machine that is the allocator; nil: none does.
+// allocator returns the machine that is the quota allocator of the view in service, nil if there is none.
 func (c *Cluster) allocator() *Machine {
 	return c.At(replica.RoleHolder(c.Chain(), replica.QuotaAllocator))
 }
 
-// halves are troubles in which a machine is in touch with some of the core and not with others: one that
-// is the allocator hears a majority in its view until the moment at which there is another.
+// partialFaults are faults in which a machine can reach some replicas and not others, or fails for a short
+// time. An allocator with such a fault can receive from a majority in its view until a new view is formed.
 var partialFaults = []fault{
-	{name: "not heard by one", hit: func(s *scenario, m *Machine) { s.CutOneWay(m, s.nextReplica(m), true) }},
-	{name: "does not hear one", hit: func(s *scenario, m *Machine) { s.CutOneWay(s.nextReplica(m), m, true) }},
-	{name: "not heard by one, and hears nobody as that makes another view", hit: func(s *scenario, m *Machine) {
-		s.CutOneWay(m, s.nextReplica(m), true)
+	{name: "not received by one", hit: func(s *scenario, m *Machine) { s.CutOneWay(m, s.nextReplica(m), true) }},
+	{name: "does not receive from one",
+		hit: func(s *scenario, m *Machine) { s.CutOneWay(s.nextReplica(m), m, true) }},
+	{name: "not received by one, then receives nothing", hit: func(s *scenario, m *Machine) {
+		s.CutOneWay(m, s.nextReplica(m), true) // which causes a view change
 		s.schedule(time.Duration(800+s.rng.IntN(100))*time.Millisecond, func() {
 			for _, other := range s.others(m) {
 				s.CutOneWay(other, m, true)
@@ -78,13 +80,13 @@
 	{name: "killed", hit: func(_ *scenario, m *Machine) { m.Kill() }},
 	{name: "loses power", hit: func(_ *scenario, m *Machine) { m.PowerOff() }},
 	{name: "behind a firewall that refuses", hit: func(s *scenario, m *Machine) { s.Refuse(m, true) }},
-	{name: "killed for a moment", hit: func(s *scenario, m *Machine) {
+	{name: "killed and restarted", hit: func(s *scenario, m *Machine) {
 		m.Kill()
 		s.schedule(300*time.Millisecond, m.Start)
 	}},
 }
 
-// next is the machine of the core after one.
+// nextReplica returns the machine with a disk after m, in the cluster's order.
 func (c *Cluster) nextReplica(m *Machine) *Machine {
 	all := c.Replicas()
 	return all[(slices.Index(all, m)+1)%len(all)]
@@ -122,9 +124,8 @@
 	return g
 }
 
-// Given any troubles of machines of the core, when all of them are asked for tokens all the while, then once
-// one has given some in a view, none gives any in an earlier one. Where all say at once that no earlier
-// allocator has a lease, some do.
+// Under random faults of replicas, once one has granted tokens in a view, none may grant any in an earlier
+// one. The injected defect, in which all replicas claim that earlier leases have expired, must be detected.
 func TestOneAllocatorAtATime(t *testing.T) {
 	t.Parallel()
 	found := 0
@@ -140,14 +141,14 @@
 		found += min(1, len(g.staleGrants))
 	}
 	if found == 0 {
-		t.Error("not found: a successor that waits for no lease")
+		t.Error("not detected: a successor that does not wait for leases to expire")
 	}
 }
 
-// Given a machine that is the allocator, when it is stopped beside a spare, or another one goes, then
-// there is an allocator again as soon as there is a view without it: nobody waits for a lease. When it is
-// killed, there is one once the time of its lease has passed: that it refuses connections is no proof
-// that its process is gone.
+// When the allocator or another replica is drained while a spare is available, tokens must be granted as
+// soon as there is a view without it, without a wait for a lease. When the allocator is killed, they must be
+// granted once its lease has expired: that its address refuses connections does not prove that its process
+// has ended.
 func TestNoLeaseWaitAfterHandover(t *testing.T) {
 	for place := range 3 {
 		s := startScenario(t, 1)
@@ -158,7 +159,7 @@
 		s.At(s.Chain()[place]).controlNode.Drain(s.Now)
 		s.Run(2 * time.Second)
 		if g.longestGap > 100*time.Millisecond || len(s.Chain()) != 3 {
-			t.Errorf("place %d hands over: no tokens for %v, chain %v", place, g.longestGap, s.Chain())
+			t.Errorf("chain position %d drained: no tokens for %v, chain %v", place, g.longestGap, s.Chain())
 		}
 		g.longestGap = 0
 		s.At(s.Chain()[place]).Kill()
@@ -171,14 +172,13 @@
 			limit = max(limit, replica.MaxStaleness+100*time.Millisecond)
 		}
 		if g.longestGap > limit {
-			t.Errorf("place %d killed: no tokens for %v, another view after %v", place, g.longestGap, served)
+			t.Errorf("chain position %d killed: no tokens for %v, new view after %v", place, g.longestGap, served)
 		}
 	}
 }
 
-// Given a core whose processes are all killed, when two of them are back and make a view, and the third comes
-// as that is being made, then tokens are given soon after it has answered in the view: no earlier incarnation
-// of it can give any.
+// After all replicas were killed, two form a view, and the third starts during that view change. Tokens must
+// be granted soon after the third has responded in the view, as no earlier incarnation of it can grant any.
 func TestNoLeaseWaitForReplicaThatAnsweredInTheView(t *testing.T) {
 	s := startScenario(t, 1)
 	g := s.probeAllocator()
@@ -194,19 +194,21 @@
 	s.schedule(200*time.Millisecond, third.Start)
 	s.eventually("a view of two", 2*time.Second, func() bool { return len(s.Chain()) == 2 })
 	began, last := s.Now, g.lastGrant
-	s.eventually("tokens are given", time.Second, func() bool { return g.lastGrant > last })
+	s.eventually("tokens are granted", time.Second, func() bool { return g.lastGrant > last })
 	if took := s.Now - began; took > 250*time.Millisecond {
 		t.Errorf("the first tokens %v after the view began", took)
 	}
 }
 
-// delayedWatch has a gateway's watches wait for a while on their way, or come again after it, and ends
-// its process; it returns for how long the others count it as a member.
-func timeInMembershipAfterKill(t *testing.T, duplicate bool, tamper func(*Machine, *message.Message)) time.Duration {
+// timeInMembershipAfterKill delays a gateway's watches by 2.5 s, or duplicates them with that delay, and then
+// kills its process. It returns for how long another gateway still lists it after that.
+func timeInMembershipAfterKill(t *testing.T, duplicate bool,
+	tamper func(*Machine, *message.Message)) time.Duration {
 	s := startScenario(t, 2)
 	s.Tamper = tamper
 	m, other := s.Machine("z1-2"), s.Machine("z2-2")
-	s.eventually("all are members", 5*time.Second, func() bool { return other.Nodes() == len(s.Machines) })
+	s.eventually("all machines are listed", 5*time.Second,
+		func() bool { return other.Nodes() == len(s.Machines) })
 	s.Network = func(from, to string, x *message.Message) []Delivery {
 		late := Delivery{To: to, Message: x, After: 2500 * time.Millisecond}
 		switch {
@@ -229,14 +231,14 @@
 	return last - killed
 }
 
-// Given a gateway whose watches wait on their way, or come again, when its process ends, then its
-// lease runs out as if they had not: it counts from its own sending. If it counted from receipt, it would be
-// longer.
+// A gateway's watches are delayed or duplicated in the network, and its process ends. Its lease must expire
+// as without delays, as it starts when the watch is sent. The injected defect, a lease that starts on
+// receipt, must be detected.
 func TestLeaseStartsWhenTheWatchIsSent(t *testing.T) {
-	const limit = 3*time.Second + 900*time.Millisecond // a lease, and a watch until others hear of it
+	const limit = 3*time.Second + 900*time.Millisecond // a lease, and a watch until the others are notified
 	for _, duplicate := range []bool{false, true} {
 		if took := timeInMembershipAfterKill(t, duplicate, nil); took > limit {
-			t.Errorf("again %v: a member for %v after its end", duplicate, took)
+			t.Errorf("duplicates %v: listed for %v after its end", duplicate, took)
 		}
 	}
 	if took := timeInMembershipAfterKill(t, false, func(_ *Machine, m *message.Message) {
@@ -244,13 +246,13 @@
 			watch.EchoDelayMillis = 1 << 30
 		}
 	}); took <= limit {
-		t.Errorf("not found: leases that count from receipt: a member for %v after its end", took)
+		t.Errorf("not detected: leases that start on receipt: listed for %v after its end", took)
 	}
 }
 
-// Given a machine of the core in a trouble that goes one way, when tokens are asked for all the while,
-// then none are given for no longer than follows from the lease: one that is not the allocator costs no
-// more than a change of the view, and the allocator that hears nobody gives its role up.
+// Under a one-way or short fault of a replica, the time without token grants must stay within the bound that
+// follows from the lease: a fault of another replica costs at most a view change, and an allocator that
+// receives nothing gives up its role.
 func TestTokenGapDuringFaults(t *testing.T) {
 	const viewChange = 300 * time.Millisecond
 	receivesNothing := func(s *scenario, m *Machine) {
@@ -263,16 +265,16 @@
 	for _, c := range []struct {
 		name           string
 		hit            func(s *scenario, m *Machine)
-		allocatorLimit time.Duration // where it is the allocator
+		allocatorLimit time.Duration // for a fault of the allocator
 	}{
-		{"hears nobody", receivesNothing, 2 * viewChange},
-		{"not heard by one", notReceivedByOne, viewChange},
-		{"does not hear one", doesNotReceiveFromOne, viewChange},
-		{"killed for a moment", func(s *scenario, m *Machine) {
+		{"receives nothing", receivesNothing, 2 * viewChange},
+		{"not received by one", notReceivedByOne, viewChange},
+		{"does not receive from one", doesNotReceiveFromOne, viewChange},
+		{"killed and restarted", func(s *scenario, m *Machine) {
 			m.Kill()
 			s.schedule(300*time.Millisecond, m.Start)
 		}, 600 * time.Millisecond},
-		{"wiped, and started before it is missed", func(s *scenario, m *Machine) {
+		{"wiped, and restarted before its failure is detected", func(s *scenario, m *Machine) {
 			m.PowerOff()
 			m.WipeDisk()
 			s.schedule(300*time.Millisecond, m.Start)
@@ -286,28 +288,27 @@
 			c.hit(s, s.At(s.Chain()[place]))
 			s.Run(4 * time.Second)
 			limit := viewChange
-			if place == 1 { // of the chain: the allocator
+			if place == 1 { // the allocator's position in the chain
 				limit = c.allocatorLimit
 			}
-			t.Logf("%s, place %d: %v", c.name, place, g.longestGap)
+			t.Logf("%s, chain position %d: %v", c.name, place, g.longestGap)
 			if g.longestGap > limit || len(g.staleGrants) > 0 {
-				t.Errorf("%s, place %d: no tokens for %v %v", c.name, place, g.longestGap, g.staleGrants)
+				t.Errorf("%s, chain position %d: no tokens for %v %v", c.name, place, g.longestGap, g.staleGrants)
 			}
 		}
 	}
 }
 
-// Given a core whose processes are all killed, when all but one start again, then tokens are given as
-// soon as there is a view, unless the one that is away was the allocator, or may have been: then the time
-// of its lease is waited out from the others' start. A replica that finds no note of who may hold leases
-// on its disk waits for any.
+// After all replicas were killed, all but one start again. Tokens must be granted as soon as there is a view,
+// unless the absent replica was or may have been the allocator: then the time of its lease must pass from the
+// others' start. A replica whose disk does not record which replicas may hold leases must wait in any case.
 func TestLeaseWaitAfterRestart(t *testing.T) {
 	timeToTokens := func(away int, spoil func(*Machine, *replica.PersistentState)) time.Duration {
 		s := startScenario(t, 1)
 		s.Spoil = spoil
 		g := s.probeAllocator()
 		s.Run(2 * time.Second)
-		s.restart(s.At(s.Chain()[2])) // another view, so that the note is written
+		s.restart(s.At(s.Chain()[2])) // forces a new view, so that the lease holders are recorded
 		s.eventually("all serve", 3*time.Second, func() bool { return len(s.Chain()) == 3 })
 		s.Run(time.Second)
 		absent := s.At(s.Chain()[away])
@@ -332,16 +333,16 @@
 	const immediate, awaited = 50 * time.Millisecond, 400 * time.Millisecond
 	for away, limit := range []time.Duration{immediate, time.Second, immediate} {
 		if took := timeToTokens(away, nil); took > limit || away == 1 && took < awaited {
-			t.Errorf("place %d is away: tokens %v after the view", away, took)
+			t.Errorf("chain position %d is absent: tokens %v after the view", away, took)
 		}
 	}
 	dropHolders := func(_ *Machine, r *replica.PersistentState) { r.HoldersKnown, r.EarlierHolders = false, nil }
 	if took := timeToTokens(0, dropHolders); took < awaited {
-		t.Errorf("a disk of an earlier program: tokens %v after the view", took)
+		t.Errorf("a disk of an earlier server version: tokens %v after the view", took)
 	}
 }
 
-// restart kills a machine's process and starts it again.
+// restart kills a machine's process and starts it again 200 ms later.
 func (s *scenario) restart(m *Machine) {
 	m.Kill()
 	s.Run(200 * time.Millisecond)
--- a/internal/controlplane/simulation/blackout_test.go
+++ b/internal/controlplane/simulation/blackout_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// changeDuration is longer than a change takes from its call to its end, as these clusters are set up.
+// changeDuration is an upper bound for a change from its call to its end in the clusters of these tests.
 const changeDuration = 60 * time.Millisecond
 
-// blackOut has all machines lose power at once, those without a disk too, and some lose their disks; then
-// all start again. It returns what went wrong: something that was acknowledged is gone, or nothing
-// serves.
+// runBlackout powers off all machines, including those without a disk, wipes the given disks and starts all
+// machines again. It returns a description of the failure, "" if there is none: an acknowledged change is
+// lost, or no view serves.
 func (s *scenario) runBlackout(wiped []*Machine) string {
 	for _, m := range s.Machines {
 		m.PowerOff()
@@ -28,7 +28,7 @@
 	}
 	for _, m := range s.Machines {
 		if !s.Until(func() bool { return s.readSucceeds(m) }, 4*time.Second) {
-			return m.Name + " reads nothing"
+			return "no read succeeds through " + m.Name
 		}
 	}
 	if violations := s.Violations(); len(violations) > 0 {
@@ -37,14 +37,15 @@
 	return s.consistent()
 }
 
-// readSucceeds reads the newest through a machine, and waits for the answer.
+// readSucceeds reads the newest configuration through a machine, and reports whether that succeeds within one
+// second.
 func (s *scenario) readSucceeds(m *Machine) bool {
 	call := s.Read(m)
 	s.Until(func() bool { return call.Ended }, time.Second)
 	return call.Acknowledged
 }
 
-// choices returns all sets of at most so many machines, the empty one among them.
+// subsets returns all subsets of at most maxSize machines, including the empty one.
 func subsets(machines []*Machine, maxSize int) (sets [][]*Machine) {
 	sets = [][]*Machine{nil}
 	if maxSize == 0 {
@@ -58,8 +59,9 @@
 	return sets
 }
 
-// blackOutsInAChange plays a loss of all power at each step of a change, and right after its
-// acknowledgement, with each choice of disks that may be lost, and returns what went wrong first.
+// runBlackoutsDuringChange runs a blackout at each step of a change, and right after its acknowledgement,
+// with each set of disks whose loss is to be tolerated. It returns a description of the first failure, "" if
+// there is none.
 func runBlackoutsDuringChange(t *testing.T, survive int, step time.Duration, unsynced bool) string {
 	replicasPerZone := survive
 	options := Options{Zones: 3, ReplicasPerZone: replicasPerZone, GatewaysPerZone: 1, SurviveMachines: survive,
@@ -75,16 +77,16 @@
 			call := s.PutVersion(s.Machines[len(s.Machines)-1], s.version+1)
 			s.Until(func() bool { return call.Ended }, at)
 			if wrong := s.runBlackout(subsets(s.Replicas(), survive)[set]); wrong != "" {
-				return fmt.Sprintf("disks %d at %v: %s", set, at, wrong)
+				return fmt.Sprintf("disk set %d at %v: %s", set, at, wrong)
 			}
 		}
 	}
 	return ""
 }
 
-// Given a change under way, when at any step of it all machines lose power, those without a disk too, and
-// as many as may be lost lose their disks, then what was acknowledged is read by all after they are back.
-// A disk that tells a save as done before it is synced is found.
+// At any step of a change, all machines lose power, and as many disks as may be lost are wiped. After the
+// restart, all machines must read what was acknowledged. The injected defect, a disk that reports a save as
+// successful before it is synced, must be detected.
 func TestBlackoutDuringChangeLosesNothingAcknowledged(t *testing.T) {
 	t.Parallel()
 	if wrong := runBlackoutsDuringChange(t, 1, 2*time.Millisecond, false); wrong != "" {
@@ -94,14 +96,13 @@
 		t.Error(wrong)
 	}
 	if runBlackoutsDuringChange(t, 1, 2*time.Millisecond, true) == "" {
-		t.Error("not found: a copy that counts before it is synced")
+		t.Error("not detected: a copy that counts before it is synced")
 	}
 }
 
-// Given a member that is replaced by another machine, or repaired after the loss of its disk, when at any
-// step of it all machines lose power, and the one that comes loses its disk once more, or none does, then
-// nothing acknowledged is lost; and from the moment on at which the next loss can be tolerated, any disk
-// may go.
+// A member is replaced by another machine, or repaired after the loss of its disk. At any step of that, all
+// machines lose power, and the new member loses its disk again or no disk is lost: nothing acknowledged may
+// be lost. Once the next loss can be tolerated, the loss of any disk must be survived.
 func TestBlackoutDuringRepairLosesNothingAcknowledged(t *testing.T) {
 	t.Parallel()
 	for _, sameAddress := range []bool{false, true} {
--- a/internal/controlplane/simulation/halves_test.go
+++ b/internal/controlplane/simulation/halves_test.go
@@ -9,10 +9,12 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// recoveryTime is within what a core serves again after all of it is back; the users allow recovery_s, 15 s.
+// recoveryTime is the maximum time until a core serves after all its replicas are back. The specified bound,
+// recovery_s, is 15 s.
 const recoveryTime = 6 * time.Second
 
-// partition is how a core is cut into two halves, and what follows as that ends.
+// partition describes how a core is partitioned into two halves, and what happens when the partition has
+// healed.
 type partition struct {
 	name  string
 	cut   func(s *scenario, half, rest []*Machine)
@@ -24,18 +26,18 @@
 	{"one way", func(s *scenario, half, rest []*Machine) {
 		forEachPair(half, rest, func(a, b *Machine) { s.CutOneWay(a, b, true) })
 	}, noFollowUp},
-	{"the others are killed as it has healed", cutBothWays,
+	{"the rest is killed after healing", cutBothWays,
 		func(_ *scenario, _, rest []*Machine, _ *rand.Rand) { endAll(rest, (*Machine).Kill) }},
-	{"both are restarted, one half after the other", cutBothWays,
+	{"both halves are restarted one after the other", cutBothWays,
 		func(s *scenario, half, rest []*Machine, rng *rand.Rand) {
 			endAll(half, (*Machine).Kill)
 			s.Run(time.Duration(rng.IntN(300)) * time.Millisecond)
 			startAll(half)
 			endAll(rest, (*Machine).Kill)
 		}},
-	{"all lose power as it has healed, those without a disk too", cutBothWays,
+	{"all machines lose power after healing", cutBothWays,
 		func(s *scenario, _, _ []*Machine, _ *rand.Rand) { endAll(s.Machines, (*Machine).PowerOff) }},
-	{"a disk is lost meanwhile", func(s *scenario, half, rest []*Machine) {
+	{"a disk is lost during the partition", func(s *scenario, half, rest []*Machine) {
 		cutBothWays(s, half, rest)
 		half[0].PowerOff()
 		half[0].WipeDisk()
@@ -68,8 +70,9 @@
 	}
 }
 
-// halved plays a core that is cut into two halves for some seconds, again and again, while operators,
-// other machines and those who ask for tokens reach both, and returns what went wrong.
+// runPartitions partitions a core into two random halves for some seconds, three times, while operators,
+// other machines and token requests reach both halves. It returns a description of the failure, "" if there
+// is none.
 func runPartitions(t *testing.T, p partition, seed uint64) string {
 	survive := 1 + int(seed%2)
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
@@ -92,11 +95,11 @@
 		startAll(s.Machines)
 		began := s.Now
 		if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, recoveryTime) {
-			return fmt.Sprintf("%v after all are back the chain is %v", s.Now-began, s.Chain())
+			return fmt.Sprintf("%v after the restart the chain is %v", s.Now-began, s.Chain())
 		}
 		s.putNext(s.Machines[rng.IntN(len(s.Machines))])
-		if !s.Until(s.Tolerant, recoveryTime) { // the next cut takes a disk only from a core that can lose one
-			return "no end of the repair"
+		if !s.Until(s.Tolerant, recoveryTime) { // a disk may be lost in the next round only if that is tolerable
+			return "the repair does not complete"
 		}
 	}
 	s.Run(4 * time.Second)
@@ -106,12 +109,12 @@
 	case len(staleness.violations) > 0:
 		return staleness.violations[0]
 	case !s.Converged(s.version):
-		return "not all go by the newest"
+		return "not all have applied the newest version"
 	}
 	return s.consistent()
 }
 
-// watchAll has every word of every machine checked, and every machine with a disk asked for tokens.
+// observeAll checks all messages for stale state, and starts a probe of the allocator.
 func (s *scenario) observeAll() (*allocatorProbe, *stalenessChecker) {
 	tokens := s.probeAllocator()
 	observeTokens := s.Observe
@@ -124,8 +127,8 @@
 	return tokens, staleness
 }
 
-// operate has operators send changes, some of them under one version, and read, anywhere, while the
-// platform's list changes.
+// runOperators puts and reads configurations through random machines, two texts for each version, while the
+// platform's list of servers changes.
 func (s *scenario) runOperators(staleness *stalenessChecker, rng *rand.Rand, rounds int) {
 	for range rounds {
 		staleness.changeServers()
@@ -138,10 +141,10 @@
 	}
 }
 
-// Given a core that is cut into two halves for some seconds, whatever may be lost at once, when operators
-// go on at both, and the halves are restarted, killed or lose power in turn as it heals, then nothing
-// that was acknowledged is lost, nothing older is told than the bound allows, no two allocators grant,
-// and the whole core serves soon after all are back.
+// A core is partitioned into two halves for some seconds while operators use both, and the halves are
+// restarted, killed or lose power as the partition heals. Nothing acknowledged may be lost, no message may
+// carry state older than the bound, no two allocators may grant tokens, and the whole core must serve soon
+// after all replicas are back. It runs with tolerance for one and for two lost machines.
 func TestPartitionIntoTwoHalves(t *testing.T) {
 	t.Parallel()
 	for _, p := range partitions {
--- a/internal/controlplane/simulation/killed_head_test.go
+++ b/internal/controlplane/simulation/killed_head_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// What is wanted after the process of the head was killed.
+// Bounds after the process of the head was killed.
 const (
 	maxMedianAcknowledgement = 500 * time.Millisecond
 	maxAcknowledgement       = 1500 * time.Millisecond // of 99 in 100
-	maxRejoin                = time.Second             // from the process's start until all of the chain serve
+	maxRejoin                = time.Second             // from the process's start until the whole chain serves
 )
 
-// Given a core that serves, when the process of the head is killed at any moment and a change is sent
-// through any machine, then it is acknowledged soon: the address of the head refuses connections, which
-// tells at once that no process listens there. The head is in the chain again soon after its start.
+// The process of the head is killed at a random time, and a change is put through a random machine. The
+// change must be acknowledged soon: the head's address refuses connections, which shows immediately that no
+// process listens there. The head must be in the chain again soon after its restart.
 func TestKilledHeadIsDetectedImmediately(t *testing.T) {
 	t.Parallel()
 	var acknowledged, rejoined []time.Duration
@@ -42,7 +42,7 @@
 	slices.Sort(rejoined)
 	median, longest := acknowledged[len(acknowledged)/2], acknowledged[len(acknowledged)-1]
 	if median > maxMedianAcknowledgement || longest > maxAcknowledgement {
-		t.Errorf("acknowledged after %v, median; %v at the most", median, longest)
+		t.Errorf("acknowledged after %v, median; %v at most", median, longest)
 	}
 	if back := rejoined[len(rejoined)-1]; back > maxRejoin {
 		t.Errorf("back in the chain up to %v after its start", back)
@@ -51,9 +51,8 @@
 		rejoined[len(rejoined)/2], rejoined[len(rejoined)-1])
 }
 
-// Given a process that is killed again and again, when it comes back each time, then it is taken into the
-// chain at once only the first time: one that can't stay up changes the view no oftener than a link that
-// flaps.
+// A process is killed and restarted three times. It must rejoin the chain immediately only the first time, so
+// that a process that keeps crashing changes the view no more often than a flapping link.
 func TestRepeatedlyKilledProcessWaitsToRejoin(t *testing.T) {
 	s := startScenario(t, 1)
 	m := s.Machine("z2-1")
@@ -71,8 +70,8 @@
 	}
 }
 
-// Given a member behind a firewall that refuses what is sent to it, whose process lives on, then the
-// others do without it, nothing older is told by it, and it is back once it is reached again.
+// A firewall refuses connections to a member whose process keeps running. The others must continue without
+// it, it must not report stale state or grant tokens, and it must rejoin once it can be reached again.
 func TestRefusedConnectionIsNoProofOfDeath(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		s := startScenario(t, 1)
@@ -93,9 +92,8 @@
 	}
 }
 
-// Given a core without a spare, when the process of any of its machines is told to stop, and ends once
-// the others do without it, then changes are acknowledged and tokens are given all the while: nobody has
-// to miss it first.
+// In a core without a spare, a replica is drained and its process ends once the others have a view without
+// it. Changes must be acknowledged and tokens granted throughout, as no failure has to be detected first.
 func TestOrderlyStopCausesNoInterruption(t *testing.T) {
 	const maxGap = 150 * time.Millisecond
 	for place := range 3 {
@@ -107,22 +105,22 @@
 		m.controlNode.Drain(s.Now)
 		s.Run(time.Second)
 		m.controlNode.Leave(s.Now)
-		s.eventually("the others do without it", 300*time.Millisecond, m.controlNode.Left)
+		s.eventually("the others have a view without it", 300*time.Millisecond, m.controlNode.Left)
 		m.Kill()
 		if took := s.putNext(s.Machine("z2-2")); took > 2*maxGap {
-			t.Errorf("place %d: acknowledged after %v", place, took)
+			t.Errorf("chain position %d: acknowledged after %v", place, took)
 		}
 		s.Run(2 * time.Second)
 		if g.longestGap > maxGap || len(g.staleGrants) > 0 {
-			t.Errorf("place %d: no tokens for %v %v", place, g.longestGap, g.staleGrants)
+			t.Errorf("chain position %d: no tokens for %v %v", place, g.longestGap, g.staleGrants)
 		}
 		m.Start()
 		s.eventually("it is back", 2*time.Second, func() bool { return len(s.Chain()) == 3 })
 	}
 }
 
-// Given a core of which too few would be left, when a process is about to end, then the view stays: it
-// serves to its end.
+// When a process wants to leave and too few replicas would remain, the view must not change, and it must
+// serve until the process ends.
 func TestLastReplicasDoNotLeave(t *testing.T) {
 	s := startScenario(t, 1)
 	s.Machine("z3-1").PowerOff()
