--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -83,7 +83,7 @@
 	params := gopter.DefaultTestParametersWithSeed(17)
 	params.MinSuccessfulTests = 3
 	p := gopter.NewProperties(params)
-	p.Property("one register", prop.ForAll(func(seed uint64) string {
+	p.Property("calls are linearizable", prop.ForAll(func(seed uint64) string {
 		o := domainOptions[[]string{"zones", "regions"}[seed%2]]
 		o.Seed = seed
 		return runMembershipHistory(New(o))
--- a/internal/controlplane/simulation/halves_test.go
+++ b/internal/controlplane/simulation/halves_test.go
@@ -82,7 +82,7 @@
 	s.StartAll()
 	disks := s.Replicas()
 	if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, 8*time.Second) {
-		return "no first start"
+		return "the first start did not complete"
 	}
 	for range 3 {
 		rng.Shuffle(len(disks), func(i, j int) { disks[i], disks[j] = disks[j], disks[i] })
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -189,7 +189,7 @@
 	params := gopter.DefaultTestParametersWithSeed(13)
 	params.MinSuccessfulTests = 30
 	p := gopter.NewProperties(params)
-	p.Property("one register", prop.ForAll(func(seed uint64) string {
+	p.Property("calls are linearizable", prop.ForAll(func(seed uint64) string {
 		x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
 			SurviveMachines: 1 + int(seed%2), Seed: seed})
 		if seed%4 < 2 {
@@ -205,7 +205,7 @@
 	rng := rand.New(rand.NewPCG(x.Seed, 4))
 	x.StartAll()
 	if !x.Until(func() bool { return x.Tolerant() }, 8*time.Second) {
-		return "no first start"
+		return "the first start did not complete"
 	}
 	version := uint64(1)
 	var lost []*Machine // that come back
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -13,40 +13,42 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// The bounds of the rules, by their names on the users' pages.
+// The specified bounds, with their names in the specification.
 const (
 	maxApplyDelay  = 2 * time.Second // apply_s
 	quietPeriod    = 3 * time.Second // quiet_s
-	callerTimeout  = time.Second     // of silence, after which a caller goes on
+	callerTimeout  = time.Second     // after which a caller tries the next machine
 	responseMargin = 50 * time.Millisecond
-	// confirm_s: no orderly change waits longer for its acknowledgement.
+	// confirm_s: the maximum time until the acknowledgement of a change that has no conflict.
 	maxChangeDuration = 4 * time.Second
 )
 
-// Given the times that the program goes by, then what follows from them keeps within the rules.
+// The control plane's timeouts must keep the specified bounds in combination.
 func TestTimeoutsKeepStalenessBounds(t *testing.T) {
 	for what, c := range map[string]struct{ got, limit time.Duration }{
-		"who asks a silent machine asks the next": {client.FailoverTimeout, maxApplyDelay},
-		"who asks one out of touch asks the next": {replica.MaxWatchSilence + client.RedirectTimeout, maxApplyDelay},
-		"an older configuration comes into force": {MaxStaleInForce, maxApplyDelay},
-		"all have left a machine out of touch":    {replica.MaxWatchSilence + client.FailoverTimeout, quietPeriod},
-		"a call is answered":                      {client.CallTimeout, callerTimeout - responseMargin},
+		"failover from a silent replica": {client.FailoverTimeout, maxApplyDelay},
+		"failover from a replica without quorum": {replica.MaxWatchSilence + client.RedirectTimeout,
+			maxApplyDelay},
+		"an older configuration is applied": {MaxStaleInForce, maxApplyDelay},
+		"all watchers have left a replica without quorum": {replica.MaxWatchSilence + client.FailoverTimeout,
+			quietPeriod},
+		"a call gets its response": {client.CallTimeout, callerTimeout - responseMargin},
 	} {
 		if c.got > c.limit {
-			t.Errorf("%s after %v, %v is allowed", what, c.got, c.limit)
+			t.Errorf("%s: after up to %v, the bound is %v", what, c.got, c.limit)
 		}
 	}
 }
 
-// stalenessChecker holds every word of every machine to what a majority has agreed on more than the bound
-// ago.
+// stalenessChecker checks that no message carries state older than what a majority agreed on more than
+// replica.MaxStaleness ago.
 type stalenessChecker struct {
 	cluster    *Cluster
-	watches    map[watchKey]uint64  // the version that the question came with
+	watches    map[watchKey]uint64  // the version that the watch request carried
 	views      map[uint64]viewStart // by epoch
-	newest     uint64               // of these
+	newest     uint64               // the highest epoch in views
 	lastClaims map[claim]time.Duration
-	lists      map[processStart]message.EndpointList // that was told last
+	lists      map[processStart]message.EndpointList // the list that was sent last
 	violations []string
 }
 
@@ -55,22 +57,26 @@
 	incarnation, requestID uint64
 }
 
-// viewStart is when a view was first in service, and how many lists the platform had told by then.
+// viewStart is the time at which a view was first in service, and the number of the platform's list of
+// servers at that time.
 type viewStart struct {
 	at         time.Duration
 	listNumber int
 }
 
+// processStart identifies one process of a machine.
 type processStart struct {
 	m      *Machine
 	number int
 }
 
+// claim identifies the messages of one type from one machine.
 type claim struct {
 	from *Machine
 	kind message.Type
 }
 
+// checkStaleness installs a checker as the cluster's Observe.
 func checkStaleness(x *Cluster) *stalenessChecker {
 	w := &stalenessChecker{cluster: x, watches: map[watchKey]uint64{}, views: map[uint64]viewStart{},
 		lastClaims: map[claim]time.Duration{},
@@ -79,7 +85,7 @@
 	return w
 }
 
-// serial tells the platform's lists apart: each has one server, named by its number.
+// listNumber returns the number of one of the platform's lists: the ID of its only server, 0 if it has none.
 func listNumber(list []message.Endpoint) int {
 	if len(list) == 0 {
 		return 0
@@ -88,17 +94,17 @@
 	return n
 }
 
-// change has the platform tell another list.
+// changeServers replaces the platform's list by the next one.
 func (w *stalenessChecker) changeServers() {
 	w.cluster.Servers = []message.Endpoint{{ID: strconv.Itoa(listNumber(w.cluster.Servers) + 1)}}
 }
 
 func (w *stalenessChecker) reportViolation(from *Machine, format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v %s ", w.cluster.Now-time.Hour, from.Name)+fmt.Sprintf(format,
-		args...))
+	w.violations = append(w.violations,
+		fmt.Sprintf("%v %s ", w.cluster.Now-time.Hour, from.Name)+fmt.Sprintf(format, args...))
 }
 
-// observe takes a word of a machine.
+// observe records and checks a message that a machine sends.
 func (w *stalenessChecker) observe(from *Machine, to string, m *message.Message) {
 	switch body := m.Body.(type) {
 	case *message.Heartbeat:
@@ -123,7 +129,7 @@
 	}
 }
 
-// succeeds reports whether a message says that something was done, or that it is so.
+// claimsSuccess reports whether a message states that a request was carried out or that its state is current.
 func claimsSuccess(m *message.Message) bool {
 	switch body := m.Body.(type) {
 	case *message.WatchResponse:
@@ -146,34 +152,38 @@
 	return false
 }
 
-// checkEpoch holds a word that is told under an epoch to the views that were in service more than the bound
-// ago.
+// checkEpoch checks that a message is not sent under an older epoch once a newer view has been in service for
+// longer than replica.MaxStaleness.
 func (w *stalenessChecker) checkEpoch(from *Machine, what string, epoch uint64, ok bool) {
 	if v := w.views[w.newest]; ok && epoch < w.newest && w.cluster.Now > v.at+replica.MaxStaleness {
-		w.reportViolation(from, "%s under %d, %d is in service since %v", what, epoch, w.newest, v.at-time.Hour)
+		w.reportViolation(from, "%s under epoch %d, %d is in service since %v", what, epoch, w.newest,
+			v.at-time.Hour)
 	}
 }
 
+// checkResponse checks the epoch, the version and the list of servers of a response to a watch request.
 func (w *stalenessChecker) checkResponse(from *Machine, to string, m *message.Message,
 	response *message.WatchResponse) {
 	version, known := w.watches[watchKey{to, m.Incarnation, m.RequestID}]
 	delete(w.watches, watchKey{to, m.Incarnation, m.RequestID})
-	if !response.Fresh || !known { // asked before the watch began
+	if !response.Fresh || !known { // the request was sent before the checker was installed
 		return
 	}
-	w.checkEpoch(from, "tells news", response.Epoch, true)
+	w.checkEpoch(from, "sends an update", response.Epoch, true)
 	if response.Config != nil {
 		version = response.Version
 	}
-	stale := false // it tells bytes, and not that they are the newest
+	stale := false // the chunks do not claim to be of the newest version
 	for _, p := range response.Chunks {
 		if p.Resource == message.ResourceConfig {
 			version, stale = p.Version, p.Stale
 		}
 	}
 	for _, c := range w.cluster.Calls {
-		if !stale && c.Acknowledged && !c.Read && c.Version > version && w.cluster.Now > c.EndedAt+replica.MaxStaleness {
-			w.reportViolation(from, "tells r%d, r%d was acknowledged %v ago", version, c.Version, w.cluster.Now-c.EndedAt)
+		if !stale && c.Acknowledged && !c.Read && c.Version > version &&
+			w.cluster.Now > c.EndedAt+replica.MaxStaleness {
+			w.reportViolation(from, "sends r%d, r%d was acknowledged %v ago", version, c.Version,
+				w.cluster.Now-c.EndedAt)
 		}
 	}
 	if response.Endpoints != nil {
@@ -181,25 +191,27 @@
 	}
 }
 
-// checkEndpoints holds a list to its token: it was read when that epoch's view was in service, and tokens
-// only rise.
+// checkEndpoints checks a list of servers against its epoch and sequence: it was read while the view of that
+// epoch was in service, and the pair never decreases within a process.
 func (w *stalenessChecker) checkEndpoints(from *Machine, l *message.EndpointList) {
 	sender := processStart{from, from.starts}
 	if old := w.lists[sender]; l.Epoch < old.Epoch || l.Epoch == old.Epoch && l.Sequence < old.Sequence {
-		w.reportViolation(from, "tells a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch, old.Sequence)
+		w.reportViolation(from, "sends a list of %d.%d after one of %d.%d", l.Epoch, l.Sequence, old.Epoch,
+			old.Sequence)
 	}
 	w.lists[sender] = *l
 	if v, known := w.views[l.Epoch]; known && listNumber(l.Endpoints) < v.listNumber {
-		w.reportViolation(from, "tells list %d as one of %d, which began with %d", listNumber(l.Endpoints), l.Epoch, v.listNumber)
+		w.reportViolation(from, "sends list %d under epoch %d, which began with list %d",
+			listNumber(l.Endpoints), l.Epoch, v.listNumber)
 	}
 }
 
-// fault is what befalls a machine for a while.
+// fault is a temporary fault of a machine.
 type fault struct {
 	name string
 	hit  func(s *scenario, m *Machine)
-	// It can't know what a majority goes by: nothing that counts is said after the bound. What a majority has
-	// said may come late, and is true all the same.
+	// The machine cannot know the majority's state, and must not send any of authoritativeTypes once the bound
+	// has passed. Messages about what a majority agreed on may arrive later by messageDelay.
 	silences     bool
 	messageDelay time.Duration
 }
@@ -210,25 +222,25 @@
 			s.Cut(m, other, true)
 		}
 	}, true, 0},
-	{"heard by nobody", func(s *scenario, m *Machine) {
+	{"cannot send", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.CutOneWay(m, other, true)
 		}
 	}, true, 0},
-	{"hears nobody", func(s *scenario, m *Machine) {
+	{"cannot receive", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.CutOneWay(other, m, true)
 		}
 	}, true, 0},
 	{"cut off from the core", func(s *scenario, m *Machine) { s.Isolate(m, true) }, true, 0},
-	{"hears nobody of the core", func(s *scenario, m *Machine) {
+	{"cannot receive from the core", func(s *scenario, m *Machine) {
 		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(other, m, true)
 			}
 		}
 	}, true, 0},
-	{"heard by nobody of the core", func(s *scenario, m *Machine) {
+	{"cannot send to the core", func(s *scenario, m *Machine) {
 		for _, other := range s.Replicas() {
 			if other != m {
 				s.CutOneWay(m, other, true)
@@ -242,12 +254,12 @@
 			}
 		}
 	}, false, 0},
-	{"hears all three seconds late", func(s *scenario, m *Machine) {
+	{"receives everything three seconds late", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.SlowOneWay(other, m, 3*time.Second)
 		}
 	}, true, 3 * time.Second},
-	{"is heard three seconds late", func(s *scenario, m *Machine) {
+	{"sends everything three seconds late", func(s *scenario, m *Machine) {
 		for _, other := range s.others(m) {
 			s.SlowOneWay(m, other, 3*time.Second)
 		}
@@ -258,12 +270,13 @@
 	{"a full disk", func(_ *scenario, m *Machine) { m.FillDisk(true) }, false, 0},
 }
 
-// others are all machines but one.
+// others returns all machines except m.
 func (c *Cluster) others(m *Machine) []*Machine {
 	return slices.DeleteFunc(slices.Clone(c.Machines), func(o *Machine) bool { return o == m })
 }
 
-// allocatorGap are the kinds of words that claim to be the newest, or to be held by a majority.
+// authoritativeTypes are the types of the messages that claim to carry the newest state, or state that a
+// majority has stored.
 var authoritativeTypes = []message.Type{
 	message.TypeWatchResponse,
 	message.TypeCommitted,
@@ -272,8 +285,9 @@
 	message.TypeTokenGrant,
 }
 
-// twentySeconds has a machine of the core in trouble for that long, while operators go on at the others and
-// at this one, and the platform's list changes. It returns the longest that a change took.
+// runFaultForTwentySeconds injects a fault into a replica and runs for 20 s, while operators use the other
+// machines and this one, and the platform's list changes. It returns the longest time that a change through
+// the other machines took.
 func runFaultForTwentySeconds(s *scenario, w *stalenessChecker, m *Machine, hit func(*scenario,
 	*Machine)) (longest time.Duration) {
 	others := s.others(m)
@@ -282,7 +296,7 @@
 	for i := 0; s.Now < began+20*time.Second; i++ {
 		w.changeServers()
 		s.version += 3
-		s.Put(m, s.version, "in-trouble")
+		s.Put(m, s.version, "via-faulty")
 		s.Read(m)
 		s.Put(m, s.version-3, "another")
 		took, ok := s.putAtAny(others, i, s.version)
@@ -296,11 +310,12 @@
 	return longest
 }
 
-// changeAt sends a change to one of some machines after another until it has a clear answer.
+// putAtAny puts a version through one machine of the list after another until it is acknowledged or rejected
+// as a conflict. ok reports whether it was acknowledged.
 func (s *scenario) putAtAny(list []*Machine, first int, version uint64) (took time.Duration, ok bool) {
 	began := s.Now
 	for i := first; s.Now < began+8*time.Second; i++ {
-		c := s.Put(list[i%len(list)], version, "in-order")
+		c := s.Put(list[i%len(list)], version, "via-rest")
 		s.Until(func() bool { return c.Ended }, time.Second)
 		if c.Acknowledged || c.Conflict {
 			return s.Now - began, c.Acknowledged
@@ -309,15 +324,17 @@
 	return 8 * time.Second, false
 }
 
+// heal ends all network faults and all faults of a machine.
 func (s *scenario) heal(m *Machine) {
 	m.SetSyncTime(5 * time.Millisecond)
 	m.HangDisk(false)
 	repairMachines(s.Cluster, []*Machine{m})
 }
 
-// Given any machine of the core in any trouble for twenty seconds, when operators go on and servers come and
-// go, then it tells nothing older than the bound, neither confirms nor refuses, and passes those on who ask
-// it, within the second that they wait; the others go on, and when it is over all go by the newest.
+// Each replica has each fault for twenty seconds, while operators send changes and the list of servers
+// changes. The faulty replica must send nothing older than the bound, must neither acknowledge nor reject
+// changes, and must answer its callers within the second that they wait. The others must continue, and after
+// the fault all must apply the newest version.
 func TestTwentySecondFaults(t *testing.T) {
 	t.Parallel()
 	for _, f := range faults {
@@ -328,7 +345,7 @@
 				w := checkStaleness(s.Cluster)
 				m, first, began := s.Machine(name), len(s.Calls), s.Now
 				if took := runFaultForTwentySeconds(s, w, m, f.hit); took > maxChangeDuration {
-					t.Errorf("a change took %v at the others", took)
+					t.Errorf("a change through the others took %v", took)
 				}
 				for _, kind := range authoritativeTypes {
 					limit := replica.MaxWatchSilence
@@ -336,15 +353,15 @@
 						limit += f.messageDelay
 					}
 					if at := w.lastClaims[claim{m, kind}]; f.silences && at > began+limit {
-						t.Errorf("it says %d for %v more", kind, at-began)
+						t.Errorf("it sends type %d for %v more", kind, at-began)
 					}
 				}
 				for _, c := range s.Calls[first:] {
 					if took := c.EndedAt - c.StartedAt; c.Ended && took > callerTimeout-responseMargin {
-						t.Errorf("%+v has its answer after %v", *c, took)
+						t.Errorf("%+v got its response after %v", *c, took)
 					}
 					if !c.Ended && !m.frozen && c.StartedAt < s.Now-callerTimeout {
-						t.Errorf("%+v has no answer", *c)
+						t.Errorf("%+v got no response", *c)
 					}
 				}
 				s.heal(m)
@@ -352,18 +369,19 @@
 				c := s.Read(m)
 				s.Run(time.Second)
 				if !c.Acknowledged || !s.Converged(c.Version) {
-					t.Errorf("read %+v; not all go by it", *c)
+					t.Errorf("read %+v; not all have applied it", *c)
 				}
 				for _, other := range s.Machines {
 					if listNumber(other.Endpoints()) != listNumber(s.Servers) {
-						t.Errorf("%s goes by list %d of %d", other.Name, listNumber(other.Endpoints()), listNumber(s.Servers))
+						t.Errorf("%s has list %d, the newest is %d", other.Name, listNumber(other.Endpoints()),
+							listNumber(s.Servers))
 					}
 				}
 				if len(s.Chain()) != 3 {
 					t.Errorf("the chain is %v", s.Chain())
 				}
 				if len(w.violations) > 0 {
-					t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
+					t.Errorf("%d stale messages, the first: %s", len(w.violations), w.violations[0])
 				}
 				if wrong := s.consistent(); wrong != "" {
 					t.Error(wrong)
@@ -373,14 +391,14 @@
 	}
 }
 
-// Given the faults that this was made against, when a machine is in trouble for twenty seconds, then they are
-// told.
+// Injected defects in the quorum's rules must be detected by the checks above, each under a fault that
+// exposes it.
 func TestInjectedQuorumDefectsAreDetected(t *testing.T) {
 	for _, d := range []struct {
 		what, faultName, machine string
 		inject                   func(x *Cluster)
 	}{
-		{"beats that waited on their way count as contact now", "hears all three seconds late", "z3-1",
+		{"delayed heartbeats count as contact at their receipt", "receives everything three seconds late", "z3-1",
 			func(x *Cluster) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
 					if h, ok := m.Body.(*message.Heartbeat); ok {
@@ -388,9 +406,9 @@
 					}
 				}
 			}},
-		{"a list that was read under an epoch is told under the next", "frozen", "z1-1",
+		{"a list that was read under an epoch is published under the next", "frozen", "z1-1",
 			func(x *Cluster) { x.epochAtReadEnd = true }},
-		{"a machine that hears nobody says that it is well", "hears nobody", "z1-1",
+		{"a machine that cannot receive reports that it is healthy", "cannot receive", "z1-1",
 			func(x *Cluster) {
 				x.Tamper = func(_ *Machine, m *message.Message) {
 					if h, ok := m.Body.(*message.Heartbeat); ok {
@@ -398,7 +416,7 @@
 					}
 				}
 			}},
-		{"a machine answers out of what it holds alone", "cut off from all", "z2-1",
+		{"a machine answers calls from its own state without a quorum", "cut off from all", "z2-1",
 			func(x *Cluster) { x.answersLocally = true }},
 	} {
 		s := startScenario(t, 2)
@@ -406,17 +424,17 @@
 		w := checkStaleness(s.Cluster)
 		d.inject(s.Cluster)
 		w.changeServers()
-		s.Run(2 * time.Second) // reading
+		s.Run(2 * time.Second) // a read of the list is in progress
 		i := slices.IndexFunc(faults, func(tr fault) bool { return tr.name == d.faultName })
 		took := runFaultForTwentySeconds(s, w, s.Machine(d.machine), faults[i].hit)
 		if took <= maxChangeDuration && len(w.violations) == 0 && s.consistent() == "" {
-			t.Errorf("not found: %s", d.what)
+			t.Errorf("not detected: %s", d.what)
 		}
 	}
 }
 
-// Given a machine that comes back, with a list from before it was cut off, as the one that reads the list,
-// when the platform is down, then nobody goes back to that: it is told the newest, and passes it on.
+// The endpoint reader rejoins with a list from before a partition, while the platform is down. No machine may
+// return to that list: the reader must receive the newest one, and pass it on.
 func TestReturningReaderPublishesNoOldList(t *testing.T) {
 	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
@@ -433,16 +451,16 @@
 	s.HealAll()
 	s.Run(2 * time.Second)
 	newcomer.Start()
-	s.eventually("all go by the newest", 8*time.Second, func() bool {
+	s.eventually("all have the newest list", 8*time.Second, func() bool {
 		return len(s.Chain()) == 3 && !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
 			return listNumber(m.Endpoints()) != listNumber(s.Servers)
 		})
 	})
-	for _, name := range []string{"z2-2", "z3-2"} { // which ask the learner, and the reader
+	for _, name := range []string{"z2-2", "z3-2"} { // which watch the restarted replica and the reader
 		s.Machine(name).Kill()
 		s.Machine(name).Start()
 	}
-	s.eventually("those that start now, too", 5*time.Second, func() bool {
+	s.eventually("restarted machines have the newest list too", 5*time.Second, func() bool {
 		return !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
 			return listNumber(m.Endpoints()) != listNumber(s.Servers)
 		})
@@ -452,9 +470,9 @@
 	}
 }
 
-// Given a machine of the chain that is never told what is done, when changes go down the chain through it,
-// then it tells nothing old: it knows by the next that what came before is done, and leaves off if none
-// comes.
+// A replica in the chain never receives commit notifications, while changes pass through it. It must not
+// report stale state: each change shows that the previous one is committed, and it stops responding to
+// watches if no further change arrives.
 func TestReplicaWithoutCommitNotificationsReportsNothingStale(t *testing.T) {
 	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
@@ -475,12 +493,12 @@
 	}
 	s.Run(2 * time.Second)
 	if len(w.violations) > 0 {
-		t.Errorf("%d words, the first: %s", len(w.violations), w.violations[0])
+		t.Errorf("%d stale messages, the first: %s", len(w.violations), w.violations[0])
 	}
 }
 
-// Given a machine that stands still for twenty seconds with an answer on its way to it, when changes were
-// acknowledged meanwhile, then it doesn't go by that answer when it wakes.
+// A machine is frozen for twenty seconds with a response in flight to it, and a change is acknowledged
+// meanwhile. It must not apply that response when it is thawed.
 func TestDelayedResponseIsIgnored(t *testing.T) {
 	s := startScenario(t, 1)
 	m := s.Machine("z1-2")
@@ -493,18 +511,18 @@
 	s.putNext(s.Machine("z2-2"))
 	s.Run(time.Second)
 	if !m.frozen {
-		t.Fatal("it was told nothing")
+		t.Fatal("no response with a configuration was sent to it")
 	}
 	s.Observe = nil
 	s.putNext(s.Machine("z2-2"))
 	s.Run(20 * time.Second)
 	m.Thaw()
-	s.eventually("it goes by the newest, and by nothing older before", 2*time.Second,
+	s.eventually("it applies the newest version, and no older one before", 2*time.Second,
 		func() bool { return m.Version() == s.version })
 }
 
-// Given a list that comes three seconds late to a machine of the core, when the next one came before it, then
-// those who start, and ask that machine, go by the next one.
+// A list of servers reaches a replica three seconds late, after the next list. A machine that starts and
+// watches that replica must get the next list.
 func TestLateEndpointListIsIgnored(t *testing.T) {
 	s := startScenario(t, 2)
 	w := checkStaleness(s.Cluster)
@@ -530,9 +548,9 @@
 	}
 }
 
-// Given any history of cuts, freezes, slow links and disks, of the machines that may be lost together and of
-// any without a disk, and of all at once, when operators go on, then no word is older than the bound, all
-// answers are those of one register, and all go by the newest in the end.
+// Random faults hit as many replicas as may be lost and any gateway, or freeze all replicas at once, while
+// operators put and read. No message may carry state older than the bound, all responses must be
+// linearizable, and all machines must apply the newest version in the end.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(14) {
@@ -542,7 +560,8 @@
 	}
 }
 
-// words draws a history, and returns what went wrong.
+// runFaultHistory runs a random history of faults. It returns a description of the failure, "" if there is
+// none.
 func runFaultHistory(t *testing.T, seed uint64) string {
 	survive := 1 + int(seed%2)
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
@@ -552,7 +571,7 @@
 	s.StartAll()
 	disks := s.Replicas()
 	if !s.Until(func() bool { return len(s.Chain()) == len(disks) }, 8*time.Second) {
-		return "no first start"
+		return "the first start did not complete"
 	}
 	others := slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.hasDisk })
 	for range 8 {
@@ -590,7 +609,7 @@
 	case len(w.violations) > 0:
 		return w.violations[0]
 	case !c.Acknowledged || !s.Converged(c.Version):
-		return "not all go by the newest"
+		return "not all have applied the newest version"
 	}
 	return s.consistent()
 }
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -114,7 +114,7 @@
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = 150
 	p := gopter.NewProperties(params)
-	p.Property("one core", prop.ForAll(runFirstStart, gen.UInt64()))
+	p.Property("one core is formed", prop.ForAll(runFirstStart, gen.UInt64()))
 	p.TestingRun(t)
 }
 
@@ -387,7 +387,7 @@
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	x.StartAll()
 	if !x.Until(func() bool { return len(x.Chain()) == o.Zones*o.ReplicasPerZone }, 8*time.Second) {
-		return "no first start"
+		return "the first start did not complete"
 	}
 	disks := x.Replicas()
 	version := uint64(1)
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -21,8 +21,9 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// register is what operators are promised: one configuration per version, and the highest version is read.
-// Its state lists the versions that were accepted, each with its content, in rising order.
+// register is the model that operators' calls must be linearizable to: one configuration per version, and
+// reads return the highest version. Its state lists the accepted versions with their contents, in ascending
+// order.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
@@ -43,16 +44,16 @@
 			return known && text != c.Text, accepted
 		case c.Acknowledged && known && text != c.Text:
 			return false, accepted
-		case c.Version > newest: // one without a clear answer may have taken effect at any time, or never
+		case c.Version > newest: // one with an unknown result may take effect at any time, or never
 			accepted += fmt.Sprintf("%d=%s ", c.Version, c.Text)
 		}
 		return true, accepted
 	},
 }
 
-// history is what operators asked and heard. A change without a clear answer stays open for ever. Of several
-// such with one text under one number the first stands for all: it may take effect wherever a later one may,
-// and a second time changes nothing.
+// operations returns the operators' calls. A put with an unknown result never returns. Of several such puts
+// with the same version and text, only the first is included: it may take effect wherever a later one may,
+// and a second time changes nothing. Reads without a result are left out.
 func (c *Cluster) operations() (list []porcupine.Operation) {
 	type put struct {
 		version uint64
@@ -73,18 +74,19 @@
 	return list
 }
 
-// consistent returns what is wrong with the history; empty: it is one of the register.
+// consistent checks the invariants and that the operators' calls are linearizable. It returns a description
+// of the failure, "" if there is none.
 func (c *Cluster) consistent() string {
 	if b := c.Violations(); len(b) > 0 {
 		return b[0]
 	}
 	if r := porcupine.CheckOperationsTimeout(register, c.operations(), 20*time.Second); r != porcupine.Ok {
-		return fmt.Sprintf("the history is %s as one of the register", cmp.Or(string(r), "unknown"))
+		return fmt.Sprintf("linearizability of the calls: %s", cmp.Or(string(r), "unknown"))
 	}
 	return ""
 }
 
-// restartAll kills all processes and starts them again.
+// restartAll kills all processes and starts them again 300 ms later.
 func (c *Cluster) restartAll() {
 	for _, m := range c.Machines {
 		m.Kill()
@@ -95,8 +97,9 @@
 	}
 }
 
-// twoUnderOneNumber plays an order that is left on a head which is cut off, and another one under its number
-// that is acknowledged by the others; then all are killed, the cut ends, and they start again.
+// putTwoTextsUnderOneVersion puts a version on an isolated head, where it is not acknowledged, and another
+// text under that version through the others, where it is. Then it kills all machines, heals the partition,
+// restarts them and puts both texts again.
 func putTwoTextsUnderOneVersion(t *testing.T, tamper func(*Machine, *message.Message),
 	spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
@@ -131,9 +134,9 @@
 	return s
 }
 
-// Given an order that was left on the disk of a head which was cut off, when another one under its number was
-// acknowledged, then that stands for ever: on all disks, in force everywhere, acknowledged whenever it is
-// sent again; the other is dropped, and told as a conflict.
+// An isolated head stores a text that is not acknowledged, and another text under the same version is. The
+// acknowledged text must be permanent: on all disks, applied everywhere, and acknowledged whenever it is put
+// again. The other must be dropped, and rejected as a conflict.
 func TestOneContentPerVersion(t *testing.T) {
 	s := putTwoTextsUnderOneVersion(t, nil, nil)
 	if wrong := s.consistent(); wrong != "" {
@@ -141,42 +144,45 @@
 	}
 	for _, m := range s.Machines {
 		if m.config != "acknowledged" || m.hasDisk && string(m.stored.Config) != m.config {
-			t.Errorf("%s goes by %q and has %q on disk", m.Name, m.config, m.stored.Config)
+			t.Errorf("%s has applied %q and stores %q", m.Name, m.config, m.stored.Config)
 		}
 	}
 	for _, c := range s.Calls[len(s.Calls)-3:] {
 		if !c.Read && (c.Acknowledged != (c.Text == "acknowledged") || c.Conflict == c.Acknowledged) {
-			t.Errorf("sent again: %+v", c)
+			t.Errorf("put again: %+v", c)
 		}
 	}
 }
 
-// Given the faults that this was made against, when the same is played, then it is told.
+// Injected defects in how versions and texts are agreed on must be detected by the scenarios of the tests
+// above and below.
 func TestInjectedValueDefectsAreDetected(t *testing.T) {
 	for name, s := range map[string]*scenario{
-		"what is newest is told by the number alone": putTwoTextsUnderOneVersion(t, nil,
+		"the newest value is chosen by its version only": putTwoTextsUnderOneVersion(t, nil,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedEpoch = 0 }),
-		"confirmed without a look at the text": putTwoTextsUnderOneVersion(t, func(_ *Machine, m *message.Message) {
-			if conflict, ok := m.Body.(*message.Conflict); ok {
-				m.Body = &message.Committed{Version: conflict.Version}
-			}
-		}, nil),
-		"what was taken is refused when it is sent again": putTwoTextsUnderOneVersion(t,
+		"acknowledged without a comparison of the text": putTwoTextsUnderOneVersion(t,
+			func(_ *Machine, m *message.Message) {
+				if conflict, ok := m.Body.(*message.Conflict); ok {
+					m.Body = &message.Committed{Version: conflict.Version}
+				}
+			}, nil),
+		"an accepted text is rejected when it is put again": putTwoTextsUnderOneVersion(t,
 			func(_ *Machine, m *message.Message) {
 				if committed, ok := m.Body.(*message.Committed); ok && m.RequestID != 0 {
 					m.Body = &message.Conflict{Version: committed.Version}
 				}
 			}, nil),
-		"past numbers are forgotten by a restart": resendOldVersions(t,
+		"earlier versions are lost in a restart": resendOldVersions(t,
 			func(_ *Machine, r *replica.PersistentState) { r.AcceptedVersions = nil }),
 	} {
 		if s.consistent() == "" {
-			t.Errorf("not found: %s", name)
+			t.Errorf("not detected: %s", name)
 		}
 	}
 }
 
-// pastNumbers plays orders that are sent again when later ones stand.
+// resendOldVersions puts four versions, restarts all machines and puts the second version again, with the
+// same text, another text and the same text.
 func resendOldVersions(t *testing.T, spoil func(*Machine, *replica.PersistentState)) *scenario {
 	t.Helper()
 	s := startScenario(t, 1)
@@ -194,8 +200,8 @@
 	return s
 }
 
-// Given several orders, when the first ones are sent again with later ones in force, after all were started
-// again, then each is acknowledged with its own text, and another text under its number is a conflict.
+// An old version is put again while a later one is applied, after all machines were restarted. It must be
+// acknowledged with its own text, and rejected as a conflict with another text.
 func TestResendingAfterLaterVersions(t *testing.T) {
 	s := resendOldVersions(t, nil)
 	if wrong := s.consistent(); wrong != "" {
@@ -206,33 +212,34 @@
 		t.Errorf("%+v, %+v, %+v", resent[0], resent[1], resent[2])
 	}
 	if !s.Converged(13) {
-		t.Error("r13 is not in force everywhere")
+		t.Error("r13 is not applied everywhere")
 	}
 }
 
-// Given any history of losses that are to be tolerated, when several operators race for numbers with unlike
-// texts, send again what had no clear answer, and old orders come once more, then all that they hear is what
-// one register would say, and one text is in force everywhere in the end.
+// During a random history of losses within the tolerance, operators race with different texts for the same
+// versions and put recent versions again. All responses must be linearizable, and one text must be applied
+// everywhere in the end.
 func TestRandomRaces(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(11)
 	params.MinSuccessfulTests = 40
 	p := gopter.NewProperties(params)
-	p.Property("one register", prop.ForAll(func(seed uint64) string {
+	p.Property("calls are linearizable", prop.ForAll(func(seed uint64) string {
 		return runRaces(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1,
 			SurviveMachines: 1 + int(seed%2), Seed: seed})
 	}, gen.UInt64()))
 	p.TestingRun(t)
 }
 
-// races draws a history with unlike texts, and returns what went wrong.
+// runRaces runs random faults and racing puts with different texts. It returns a description of the failure,
+// "" if there is none.
 func runRaces(o Options) string {
 	x := New(o)
 	rng := rand.New(rand.NewPCG(o.Seed, 3))
 	x.StartAll()
 	disks := x.Replicas()
 	if !x.Until(func() bool { return len(x.Chain()) == len(disks) }, 8*time.Second) {
-		return "no first start"
+		return "the first start did not complete"
 	}
 	latest := uint64(1)
 	var lost []*Machine
@@ -257,7 +264,7 @@
 		if rng.IntN(2) == 0 && len(lost) > 0 {
 			repairMachines(x, lost)
 			lost = nil
-			x.Run(4 * time.Second) // after which it counts again
+			x.Run(4 * time.Second) // after which it can be lost again
 		}
 		if rng.IntN(6) == 0 {
 			repairMachines(x, disks)
@@ -274,20 +281,20 @@
 		return wrong
 	}
 	if !c.Acknowledged || !x.Converged(c.Version) {
-		return "not all go by the newest"
+		return "not all have applied the newest version"
 	}
 	for _, m := range disks {
 		if !bytes.Equal(m.stored.Config, []byte(c.Text)) {
-			return fmt.Sprintf("%s has %q on its disk, %q is in force", m.Name, m.stored.Config, c.Text)
+			return fmt.Sprintf("%s stores %q, %q is applied", m.Name, m.stored.Config, c.Text)
 		}
 		if !slices.Equal(m.stored.AcceptedVersions, disks[0].stored.AcceptedVersions) {
-			return fmt.Sprintf("%s remembers other numbers than %s", m.Name, disks[0].Name)
+			return fmt.Sprintf("%s stores other accepted versions than %s", m.Name, disks[0].Name)
 		}
 	}
 	return ""
 }
 
-// Given a seed, when what it draws is played again, then every message and byte is the same.
+// Runs with the same seed must send the same numbers of messages and bytes.
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(6) {
 		var first [2]int
