--- a/internal/controlplane/simulation/changes_test.go
+++ b/internal/controlplane/simulation/changes_test.go
@@ -12,41 +12,40 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// few is how many items a short text has. Each change is of one of them.
+// shortConfigItems is the number of items of a short configuration. Each change modifies one of them.
 const shortConfigItems = 40
 
-// textOf is the configuration of a number, with so many items. It follows from all changes up to it.
+// configText returns the configuration of a version. Each version modifies one of its items, in turn.
 func configText(version, items int) string {
 	var b strings.Builder
 	for i := range items {
-		last := version - (version-i+items)%items // when the item was changed last
+		last := version - (version-i+items)%items // the version that modified the item last
 		fmt.Fprintf(&b, `{"item_kind":"routes","metadata":{"name":"%d"},"desired":{"x":%d,"y":%d}},`, i, last,
 			uint64(last+items)*0x9e3779b97f4a7c15)
 	}
 	return b.String()
 }
 
-// absence is a machine of the core that comes back to what went on without it.
+// outage is a run in which a replica misses changes and is restarted, with its results.
 type outage struct {
 	name    string                         // of the machine
-	items   int                            // of the texts
-	before  int                            // changes before it goes; 0: five
-	missed  int                            // and without it
-	disk    func(*replica.PersistentState) // what became of its disk; nil: it is as it was
-	took    time.Duration                  // until it serves with all the others, and has the newest
-	bytes   int                            // that were sent meanwhile, beyond those of quiet times
-	failure string                         // what went wrong
+	items   int                            // of the configurations
+	before  int                            // changes before the outage; 0 means five
+	missed  int                            // changes during the outage
+	disk    func(*replica.PersistentState) // modifies its disk before the restart; may be nil
+	took    time.Duration                  // until it serves with all the others and has the newest version
+	bytes   int                            // sent during that time, in excess of the idle traffic
+	failure string                         // what went wrong, "" if nothing did
 
-	// What is done to messages and to disks, as in an Cluster.
+	// Like the fields of Cluster; may be nil.
 	tamper func(to *Machine, m *message.Message)
 	spoil  func(m *Machine, r *replica.PersistentState)
 }
 
-// play lets the machine miss the changes, and come back.
+// run stops the replica, sends the changes that it misses, restarts it and records the results.
 func (a *outage) run(t *testing.T) {
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 11}),
-		t,
-		0}
+		t, 0}
 	s.Tamper, s.Spoil = a.tamper, a.spoil
 	s.StartAll()
 	s.eventually("the chain serves", 4*time.Second, func() bool { return len(s.Chain()) == 3 })
@@ -69,7 +68,7 @@
 		putNext()
 	}
 	m := s.Machine(a.name)
-	s.eventually("all have it", 2*time.Second, func() bool { return s.Converged(uint64(version)) })
+	s.eventually("all have applied it", 2*time.Second, func() bool { return s.Converged(uint64(version)) })
 	m.Kill()
 	for range a.missed {
 		putNext()
@@ -87,28 +86,30 @@
 	ok := s.Until(func() bool {
 		f := m.Replica()
 		if f.State() == replica.StateServing && f.PersistentState().Version < uint64(version) && a.failure == "" {
-			a.failure = fmt.Sprintf("it is in service with r%d, the newest is r%d", f.PersistentState().Version, version)
+			a.failure = fmt.Sprintf("it serves with r%d, the newest is r%d", f.PersistentState().Version,
+				version)
 		}
 		return f.State() == replica.StateServing && len(s.Chain()) == 3 && m.Version() == uint64(version) ||
 			a.failure != "" || len(s.Violations()) > 0
 	}, 10*time.Second)
 	a.took, a.bytes = s.Now-began, s.Bytes-from-int(float64(quiet)*(s.Now-began).Seconds())
 	if !ok {
-		a.failure = fmt.Sprintf("after %v it has r%d in state %v", a.took, m.Replica().PersistentState().Version,
+		a.failure = fmt.Sprintf("after %v it stores r%d in state %v", a.took, m.Replica().PersistentState().Version,
 			m.Replica().State())
 	}
 	putNext()
 	for _, other := range s.Replicas() {
-		s.eventually("the next is everywhere", 3*time.Second, func() bool {
+		s.eventually("all replicas store the next version", 3*time.Second, func() bool {
 			return other.Replica().PersistentState().Version == uint64(version)
 		})
 	}
-	if text := string(m.Replica().PersistentState().Config); a.failure == "" && text != configText(version, a.items) {
-		a.failure = "it has another text"
+	if text := string(m.Replica().PersistentState().Config); a.failure == "" &&
+		text != configText(version, a.items) {
+		a.failure = "it stores another configuration"
 	}
 	for _, other := range s.Replicas() {
 		if a.failure == "" && !slices.Equal(m.stored.AcceptedVersions, other.stored.AcceptedVersions) {
-			a.failure = "it remembers other numbers than " + other.Name
+			a.failure = "it stores other accepted versions than " + other.Name
 		}
 	}
 	if b := s.Violations(); a.failure == "" && len(b) > 0 {
@@ -116,33 +117,33 @@
 	}
 }
 
-// The states that a disk may come back in. One whose record has another digest than it was written with
-// counts as empty: see storage.Storage.Damaged.
+// diskStates are the states that a disk may have after the outage. One whose record has another digest than
+// it was written with counts as empty: see storage.Storage.Damaged.
 var diskStates = map[string]func(*replica.PersistentState){
 	"old":            nil,
 	"torn, or empty": func(r *replica.PersistentState) { *r = replica.PersistentState{} },
 }
 
-// Given a core under changes, when a machine was away for one, two hundred or a thousand of them, and its
-// disk is old, torn or empty, then it serves with the others within three seconds and the bytes of a few
-// texts and lists of numbers, however many it missed, and was in service with nothing older than the newest.
+// A replica misses one, two hundred or a thousand changes, and its disk is outdated, torn or empty. It must
+// serve with the others within three seconds, after transfers of a few configurations and lists of accepted
+// versions however many changes it missed, and must never serve with an older version than the newest.
 func TestReturningReplicaCatchesUp(t *testing.T) {
 	t.Parallel()
-	const acceptedVersionBytes = 512 * 26 // the numbers taken last, with their digests
+	const acceptedVersionBytes = 512 * 26 // the versions accepted last, with their digests
 	text := len(message.MarshalAppend(nil, message.NewDelta([]byte(configText(100, shortConfigItems)), 0, nil)))
 	for _, c := range []struct {
-		name   string // the head, one between, the tail
+		name   string // the head, the middle or the tail
 		missed []int
 	}{{"z1-1", []int{1, 200, 1000}}, {"z2-1", []int{1}}, {"z3-1", []int{1, 200}}} {
 		for disk, alter := range diskStates {
 			for _, missed := range c.missed {
 				if missed == 1000 && alter != nil {
-					continue // it takes seconds
+					continue // skipped because it takes seconds
 				}
 				a := &outage{name: c.name, items: shortConfigItems, missed: missed, disk: alter}
 				a.run(t)
 				what := fmt.Sprintf("%s, %s disk, %d changes", c.name, disk, missed)
-				t.Logf("%s: %v, %d bytes; a text has %d", what, a.took, a.bytes, text)
+				t.Logf("%s: %v, %d bytes; a configuration has %d", what, a.took, a.bytes, text)
 				if a.failure != "" || a.took > 3*time.Second || a.bytes > 5*text+2*acceptedVersionBytes {
 					t.Errorf("%s: %v, %d bytes: %s", what, a.took, a.bytes, a.failure)
 				}
@@ -151,8 +152,9 @@
 	}
 }
 
-// Given long texts, when a machine comes back with an old one, then its disk is sent what differs, whichever
-// machine it is, and the only whole text is the news for its own line; an empty disk is sent more of them.
+// With long configurations, a replica that restarts with an outdated one must be sent a delta for its disk,
+// whichever position in the chain it has; the only full configuration is the watch response for its own
+// gateway. A replica with an empty disk must be sent more than that.
 func TestOutdatedReplicaIsSentADelta(t *testing.T) {
 	t.Parallel()
 	configBytes := len(message.MarshalAppend(nil, message.NewDelta([]byte(configText(15, 2000)), 0, nil)))
@@ -160,30 +162,31 @@
 		for disk, alter := range diskStates {
 			a := &outage{name: name, items: 2000, missed: 10, disk: alter}
 			a.run(t)
-			t.Logf("%s, %s disk: %d bytes; a text has %d", name, disk, a.bytes, configBytes)
+			t.Logf("%s, %s disk: %d bytes; a configuration has %d", name, disk, a.bytes, configBytes)
 			if a.failure != "" || (alter == nil) != (a.bytes < configBytes*3/2) {
-				t.Errorf("%s, %s disk: %d bytes, a text has %d; %s", name, disk, a.bytes, configBytes, a.failure)
+				t.Errorf("%s, %s disk: %d bytes, a configuration has %d; %s", name, disk, a.bytes, configBytes, a.failure)
 			}
 		}
 	}
 }
 
-// fewNumbers is what may be sent, to a machine that missed one change, of hundreds of numbers.
+// maxPartialBytes is the maximum of bytes that may be sent to a replica that missed one change, while
+// hundreds of accepted versions are stored.
 const maxPartialBytes = 6000
 
-// Given as many numbers as are remembered, when a machine missed one change, then it is sent a part of them,
-// and remembers what the others do; the same where its disk has another entry among them, and where it tells
-// the outline of numbers that it doesn't have, so that what it is sent first doesn't come out.
+// The list of accepted versions is full, and a replica missed one change. It must be sent a part of the
+// list, and must store the same list as the others; also where its disk has a different entry, and where it
+// reports the chunk index of a list that it does not have, so that the delta sent first does not apply.
 func TestDifferingAcceptedVersionsAreSent(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"z1-1", "z3-1"} {
 		for what, a := range map[string]outage{
 			"old disk": {},
-			"another entry on it": {disk: func(r *replica.PersistentState) {
+			"a different entry": {disk: func(r *replica.PersistentState) {
 				r.AcceptedVersions = slices.Clone(r.AcceptedVersions)
 				r.AcceptedVersions[100].Digest[0]++
 			}},
-			"another outline": {disk: func(r *replica.PersistentState) {
+			"a wrong chunk index": {disk: func(r *replica.PersistentState) {
 				r.AcceptedVersions = slices.Clone(r.AcceptedVersions)
 				r.AcceptedVersions[100].Digest[0]++
 			}, tamper: func(_ *Machine, m *message.Message) {
@@ -203,7 +206,8 @@
 	}
 }
 
-// numbersUpTo are the numbers that are remembered with a text of few items in force.
+// acceptedVersionsUpTo returns the accepted versions that are stored after the given version of the short
+// configuration.
 func acceptedVersionsUpTo(version int) (list []message.AcceptedVersion) {
 	for v := 1; v <= version; v++ {
 		sum := message.DigestOf([]byte(configText(v, shortConfigItems)))
@@ -212,19 +216,19 @@
 	return list
 }
 
-// Seeded defects that the tests above find: a disk that tells an old configuration as accepted under a later
-// epoch than all others, as one would that is stamped anew without an agreement, so that it leads with old
-// state; numbers that are lost on their way to a disk; and numbers that are sent whole, since no outline is
-// told.
+// Injected defects must be detected by the checks of the tests above: a disk that reports an old
+// configuration as accepted under a later epoch than all others, as if its epoch had been raised without an
+// agreement, so that old state wins; accepted versions that are not stored; and a full list that is sent
+// because no chunk index is reported.
 func TestInjectedCatchUpDefectsAreDetected(t *testing.T) {
 	for name, a := range map[string]outage{
-		"stamped anew": {missed: 20, disk: func(r *replica.PersistentState) { r.AcceptedEpoch = 1 << 40 }},
-		"numbers lost": {missed: 20, spoil: func(m *Machine, r *replica.PersistentState) {
+		"raised epoch": {missed: 20, disk: func(r *replica.PersistentState) { r.AcceptedEpoch = 1 << 40 }},
+		"accepted versions lost": {missed: 20, spoil: func(m *Machine, r *replica.PersistentState) {
 			if m.Name == "z1-1" {
 				r.AcceptedVersions = r.AcceptedVersions[max(0, len(r.AcceptedVersions)-1):]
 			}
 		}},
-		"no outline": {before: 600, missed: 1, tamper: func(_ *Machine, m *message.Message) {
+		"no chunk index": {before: 600, missed: 1, tamper: func(_ *Machine, m *message.Message) {
 			switch body := m.Body.(type) {
 			case *message.Prepare:
 				body.AcceptedIndex = nil
@@ -235,7 +239,7 @@
 	} {
 		a.name, a.items = "z1-1", shortConfigItems
 		if a.run(t); a.failure == "" && a.bytes <= maxPartialBytes {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: not detected", name)
 		}
 		t.Logf("%s: %d bytes; %s", name, a.bytes, a.failure)
 	}
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -14,14 +14,14 @@
 	"dunespoke/internal/events"
 )
 
-// domains are clusters that are to outlive the loss of a zone, and of a region.
+// domainOptions are clusters that must survive the loss of a zone or of a region.
 var domainOptions = map[string]Options{
 	"zones": {Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, SurviveZones: 1},
 	"regions": {Zones: 6, ReplicasPerZone: 1, SurviveMachines: 1, SurviveZones: 1, SurviveRegions: 1,
 		ZonesPerRegion: 2},
 }
 
-// founded starts a cluster, and waits until what may be lost can be tolerated.
+// startTolerant starts a cluster, waits until the configured losses can be tolerated and sends a change.
 func startTolerant(t *testing.T, o Options) *scenario {
 	t.Helper()
 	s := &scenario{New(o), t, 0}
@@ -31,12 +31,12 @@
 	return s
 }
 
-// replicasIn returns the machines with a disk in some zones.
+// replicasIn returns the machines with a disk in the given zones.
 func (s *scenario) replicasIn(zones ...string) []*Machine {
 	return slices.DeleteFunc(s.Replicas(), func(m *Machine) bool { return !slices.Contains(zones, m.node.Zone) })
 }
 
-// loseMachines takes machines away at once, with their disks.
+// loseMachines powers machines off and wipes their disks.
 func loseMachines(list []*Machine) {
 	for _, m := range list {
 		m.PowerOff()
@@ -44,9 +44,9 @@
 	}
 }
 
-// Given a core spread over zones, or regions, when one of them is lost whole with its disks right after an
-// acknowledgement, and another one right after the repair and an acknowledgement, then nothing acknowledged
-// is lost, the others serve, and the lost ones are taken in again.
+// A core is spread over zones or regions. One of them is lost with its disks right after an acknowledgement,
+// and another one right after the repair and another acknowledgement. Nothing acknowledged may be lost, the
+// others must serve, and the lost machines must become members again.
 func TestZoneOrRegionLostRightAfterRepair(t *testing.T) {
 	for name, o := range domainOptions {
 		for first := range 3 {
@@ -75,9 +75,10 @@
 	}
 }
 
-// Given any history of machines, zones and regions that are lost, each at the very moment from which that can
-// be tolerated, then all that operators hear is what one register would say, and the core is whole in the
-// end. A program that counts machines alone says too early that it can be tolerated, and is found.
+// Random machines, zones and regions are lost, each as soon as that is reported as tolerable. All responses
+// to operators must be linearizable, and the core must be repaired completely in the end. The injected
+// defect, replicas that count machines and ignore zones and regions, reports too early that a loss can be
+// tolerated, and must be detected.
 func TestRandomDomainHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(17)
@@ -90,7 +91,7 @@
 	}, gen.UInt64()))
 	p.TestingRun(t)
 	o := domainOptions["regions"]
-	o.Seed = 16 // in the end one region has five of nine members, and nobody comes for the others
+	o.Seed = 16 // at the end one region has five of nine members, and no learner replaces the others
 	if wrong := runMembershipHistory(New(o)); wrong != "" {
 		t.Error(wrong)
 	}
@@ -99,14 +100,14 @@
 	x := New(o)
 	x.ignoresFailureDomains = true
 	if runMembershipHistory(x) == "" {
-		t.Error("the seeded defect is not found")
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// Given a core of three machines in one zone and one in another, which is the best that there is, when that
-// one is away as a change comes, and then the zone of the three is lost with its disks, then the change was
-// not acknowledged before the other one had it: it is on a disk that is left. A chain that is long enough by
-// count alone acknowledges what is lost.
+// The only machines are three in one zone and one in another. A change is put while that one is isolated,
+// and then the zone of the three is lost with its disks. The change must not be acknowledged before the one
+// in the other zone stores it, so that it is on a remaining disk. The injected defect, a chain that only
+// needs enough machines, acknowledges a change that is lost.
 func TestChainIsSpreadOverZones(t *testing.T) {
 	play := func(ignoreDomains bool) (acked, kept bool, log string) {
 		x := New(Options{Zones: 2, ReplicasPerZone: 3, SurviveMachines: 1, SurviveZones: 1, Seed: 5})
@@ -130,7 +131,7 @@
 			s.HealAll()
 			_, ok := s.PutUntilAcknowledged(x.Machines[1], 5, 8*time.Second)
 			if !ok {
-				t.Error("it is not acknowledged either once the other zone is back")
+				t.Error("it is not acknowledged once the other zone is back")
 			}
 		}
 		loseMachines(s.replicasIn("z1"))
@@ -138,18 +139,19 @@
 	}
 	acked, kept, log := play(false)
 	if acked || !kept {
-		t.Errorf("acknowledged without the other zone: %v, on its disk: %v", acked, kept)
+		t.Errorf("acknowledged without the other zone: %v, stored there: %v", acked, kept)
 	}
 	if n := strings.Count(log, events.ToleranceImpossible.Text); n != 1 {
-		t.Errorf("logged %d times that no zone may be lost", n)
+		t.Errorf("logged %d times that the loss of a zone cannot be tolerated", n)
 	}
 	if acked, kept, _ := play(true); !acked || kept {
-		t.Errorf("the seeded defect is not found: acknowledged %v, kept %v", acked, kept)
+		t.Errorf("the injected defect is not detected: acknowledged %v, stored %v", acked, kept)
 	}
 }
 
-// Given machines of which one zone's come late, or that are too many in one zone, then the first start waits
-// for a core that outlives a zone, and names one; counted alone, it names one that doesn't.
+// One zone has most of the machines, and the machine of another zone starts late. The first start must wait
+// until it can form a core that survives the loss of a zone. The injected defect, which ignores zones, forms
+// a core that does not.
 func TestFirstStartIsSpreadOverZones(t *testing.T) {
 	play := func(ignoreDomains bool) *scenario {
 		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t,
@@ -157,7 +159,7 @@
 		s.ignoresFailureDomains = ignoreDomains
 		for _, m := range s.Machines {
 			switch m.Name {
-			case "z2-2", "z2-3", "z2-4", "z2-5", "z3-2", "z3-3", "z3-4", "z3-5": // there are none
+			case "z2-2", "z2-3", "z2-4", "z2-5", "z3-2", "z3-3", "z3-4", "z3-5": // these never start
 			case "z3-1":
 				s.schedule(3*time.Second, m.Start)
 			default:
@@ -173,7 +175,7 @@
 	}
 	s := play(false)
 	if !s.Tolerant() || len(s.Members()) != 3 {
-		t.Errorf("members %v, borne %v", s.Members(), s.Tolerant())
+		t.Errorf("members %v, tolerant %v", s.Members(), s.Tolerant())
 	}
 	s.putNext(s.Machine("z1-5"))
 	loseMachines(s.replicasIn("z1"))
@@ -184,13 +186,14 @@
 	s = play(true)
 	loseMachines(s.replicasIn("z1"))
 	if _, ok := s.PutUntilAcknowledged(s.Machine("z3-1"), 3, 4*time.Second); ok {
-		t.Error("the seeded defect is not found")
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// Given a core that outlives a zone, when operators would remove the one member in a zone, then that is
-// refused with the reason; and a replacement within the zone is not. When a lost member's only successor is
-// of another zone, then it has the place, and gives it up to the next one by which a zone can be lost again.
+// In a core that survives the loss of a zone, an operator's request that removes a zone's only member must
+// be refused with the reason, and a replacement within the zone must be accepted. When the only learner that
+// can replace a lost member is in another zone, it must become a member, and must be replaced again once
+// there is a machine with which the loss of a zone can be tolerated.
 func TestMembersStaySpreadOverZones(t *testing.T) {
 	s := startTolerant(t, Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1,
 		SurviveZones: 1, Seed: 3})
@@ -198,26 +201,27 @@
 	spare.Start()
 	s.Run(time.Second)
 	old := s.Machine("z3-1")
-	if ok, why := s.changeMembers(at, spare.node.Addr, old.node.Addr); ok || !strings.Contains(why, "loss of zone z2") {
-		t.Errorf("z3's for another of z2: %v, %q", ok, why)
+	if ok, why := s.changeMembers(at, spare.node.Addr, old.node.Addr); ok ||
+		!strings.Contains(why, "loss of zone z2") {
+		t.Errorf("replacing z3's member by one in z2: %v, %q", ok, why)
 	}
 	if ok, why := s.changeMembers(at, spare.node.Addr, s.Machine("z2-1").node.Addr); !ok {
-		t.Errorf("within z2: %q", why)
+		t.Errorf("replacement within z2: %q", why)
 	}
 	s.awaitTolerance(time.Second)
-	s.Add("z2").Start() // the one that operators have replaced doesn't come
+	s.Add("z2").Start() // a member that operators replaced does not rejoin by itself
 	s.Run(time.Second)
 	loseMachines([]*Machine{old})
-	s.eventually("one of z2 has the place", 8*time.Second, func() bool {
+	s.eventually("a machine of z2 is a member in its place", 8*time.Second, func() bool {
 		return len(s.Members()) == 3 && !slices.Contains(s.Members(), old.node.Addr) && len(s.Chain()) == 3
 	})
 	if s.Run(time.Second); s.Tolerant() {
-		t.Errorf("z2 may be lost with two of the members %v", s.Members())
+		t.Errorf("the loss of z2 counts as tolerable with two of the members %v", s.Members())
 	}
 	old.Start()
 	s.awaitTolerance(4 * time.Second)
 	if !slices.Contains(s.Members(), old.node.Addr) || len(s.Members()) != 3 {
 		t.Errorf("members %v", s.Members())
 	}
-	s.checkRecovered("after that")
+	s.checkRecovered("after the replacements")
 }
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -9,21 +9,23 @@
 	"dunespoke/internal/controlplane/message"
 )
 
-// slowLink has news go by links of a width, one message after the other, and counts its bytes. Words between
-// machines of the core have connections of their own, which get their share.
+// slowLink sends watch responses over links of limited bandwidth, one message after the other, and counts
+// their bytes. Other messages are not delayed: they have connections of their own, which get their share.
 type slowLink struct {
 	s              *scenario
-	to             *Machine      // by the link to this one; nil: by a link from each machine
-	bytesPerSecond float64       // bytes a second
-	delay          time.Duration // and for how long each message is held up on it
+	to             *Machine // the link to this machine; nil means a link from each machine
+	bytesPerSecond float64
+	delay          time.Duration // an additional delay of each message
 	bytes          int
 	freeAt         map[string]time.Duration // when a link is free again
-	lastRequests   map[string]uint64        // the last question of each machine
-	fullResponses  bool                     // seeded defect: each answer has all, and one that comes late is dropped
+	lastRequests   map[string]uint64        // the ID of each machine's last watch request
+	fullResponses  bool                     // injected defect: responses carry everything; late ones are dropped
 }
 
+// slowLink replaces the cluster's network by a slow link, to one machine or from each.
 func (s *scenario) slowLink(rate float64, to *Machine) *slowLink {
-	n := &slowLink{s: s, to: to, bytesPerSecond: rate, freeAt: map[string]time.Duration{}, lastRequests: map[string]uint64{}}
+	n := &slowLink{s: s, to: to, bytesPerSecond: rate, freeAt: map[string]time.Duration{},
+		lastRequests: map[string]uint64{}}
 	s.Network = n.route
 	s.Tamper = func(to *Machine, m *message.Message) {
 		response, ok := m.Body.(*message.WatchResponse)
@@ -34,6 +36,7 @@
 	return n
 }
 
+// route implements Options.Network.
 func (n *slowLink) route(from, to string, m *message.Message) []Delivery {
 	if watch, ok := m.Body.(*message.Watch); ok {
 		n.lastRequests[from] = m.RequestID
@@ -50,11 +53,13 @@
 	}
 	size := len(message.MarshalAppend(nil, m))
 	n.bytes += size
-	n.freeAt[link] = max(n.freeAt[link], n.s.Now) + time.Duration(float64(size)/n.bytesPerSecond*float64(time.Second))
+	n.freeAt[link] = max(n.freeAt[link], n.s.Now) +
+		time.Duration(float64(size)/n.bytesPerSecond*float64(time.Second))
 	return []Delivery{{to, n.delay + n.freeAt[link] - n.s.Now, m}}
 }
 
-// sized has a cluster hold so many servers and items of a configuration.
+// setSize sets the numbers of servers and of the configuration's items, and waits until all machines have
+// them.
 func (s *scenario) setSize(servers, items int) {
 	s.t.Helper()
 	s.ConfigOf = func(version uint64) []byte { return []byte(configText(int(version), items)) }
@@ -63,9 +68,11 @@
 			Addr: fmt.Sprintf("10.16.%d.%d:8080", i>>8, i&255), Zone: "z1", Capacity: 8})
 	}
 	s.putNext(s.Machines[0])
-	s.eventually("all know all", 3*time.Second, func() bool { return s.allCaughtUp() })
+	s.eventually("all have caught up", 3*time.Second, func() bool { return s.allCaughtUp() })
 }
 
+// allCaughtUp reports whether all running machines have the newest version and complete lists of servers and
+// machines.
 func (s *scenario) allCaughtUp() bool {
 	for _, m := range s.Machines {
 		if m.up && (m.version != s.version || len(m.endpoints) != len(s.Servers) || m.nodes != len(s.Machines)) {
@@ -75,16 +82,16 @@
 	return true
 }
 
-// Given a link of 2 Mbit/s, on which the list and the configuration take over a second, when the process
-// behind it is started again; or given many lines behind each machine of the core, whose links take seconds
-// to bring all to all, when all are started again at once: then all come to know all, in at most twice the
-// time and the bytes. Seeded defect: with answers that have all, and are dropped when they come late, none
-// ever does, and the links are full all the time.
+// A process is restarted behind a link of 2 Mbit/s, on which the list of servers and the configuration take
+// over a second; or all gateways are restarted at the same time, whose links from the replicas need seconds
+// to send everything to all. All must catch up, with at most twice the minimum time and bytes. The injected
+// defect, responses that carry everything and are dropped when they are late, lets no process catch up and
+// keeps the links saturated.
 func TestRestartedProcessesCatchUpOverSlowLinks(t *testing.T) {
 	for _, c := range []struct {
 		others, servers, items, started int
 		rate, links                     float64
-		each                            int // bytes that one lacks
+		each                            int // bytes that a process is missing
 	}{{1, 5000, 200, 1, 250_000, 1, 270_000}, {4, 1000, 200, 12, 200_000, 3, 57_000}} {
 		for _, fullResponses := range []bool{false, true} {
 			s := startScenario(t, c.others)
@@ -106,15 +113,16 @@
 			if caughtUp == fullResponses || caughtUp && (n.bytes > 2*all || took > 2*float64(all)/c.rate/c.links+0.5) {
 				report = t.Errorf
 			}
-			report("%d started, whole %v: know all %v, %.2f s, %d bytes", c.started, fullResponses, caughtUp, took, n.bytes)
+			report("%d started, full responses %v: caught up %v, %.2f s, %d bytes", c.started, fullResponses,
+				caughtUp, took, n.bytes)
 		}
 	}
 }
 
-// Given a configuration that takes over a second on its link, and changes twice in that time, when the
-// process behind the link is started again, then it has a configuration while the changes go on, and the
-// newest soon after; and nobody tells an old one as the newest. Seeded defect: on a link that is slower
-// still, an old one that has come whole counts as the newest.
+// A configuration takes over a second on a process's link and changes twice in that time. After a restart,
+// the process must apply a configuration while the changes continue, and the newest soon after, and no
+// machine may report an old one as the newest. The injected defect, on an even slower link: an old
+// configuration counts as the newest once it has arrived completely.
 func TestProcessCatchesUpDuringChanges(t *testing.T) {
 	for _, c := range []struct {
 		ignoreStale    bool
@@ -146,22 +154,22 @@
 				}
 			}
 			if s.Run(5 * time.Second); len(s.Violations()) == 0 {
-				t.Errorf("the seeded defect is not found; r%d is in force", m.Version())
+				t.Errorf("the injected defect is not detected; r%d is applied", m.Version())
 			}
 			continue
 		}
-		t.Logf("it had one at %d of %d changes", withConfig, c.changes)
+		t.Logf("it had a configuration at %d of %d changes", withConfig, c.changes)
 		s.eventually("it has the newest", 2*time.Second, func() bool { return m.Version() == s.version })
 		if withConfig < c.changes/2 || len(w.violations) > 0 {
-			t.Errorf("it had a configuration at %d of %d changes; wrong: %v", withConfig, c.changes, w.violations)
+			t.Errorf("it had a configuration at %d of %d changes; violations: %v", withConfig, c.changes, w.violations)
 		}
 	}
 }
 
-// Given answers that all come three seconds late, when a change is acknowledged in between, then none of them
-// puts anything in force; yet their bytes are kept, and the first word in time brings the newest by a few
-// more, as each change of a long configuration comes by a few. Seeded defect: a late answer counts as one to
-// the present question; then an old configuration comes into force.
+// All responses arrive three seconds late, and a change is acknowledged in between. None of them may be
+// applied. Their chunks must be kept, so that the first response in time completes the newest version with a
+// few bytes, like any change of a long configuration. The injected defect, a late response that counts as
+// one to the current request, applies an old configuration.
 func TestLateSnapshotIsNotFresh(t *testing.T) {
 	for _, acceptLate := range []bool{false, true} {
 		s := startScenario(t, 1)
@@ -169,7 +177,7 @@
 		m := s.Machine("z1-2")
 		n := s.slowLink(1e9, m)
 		s.putNext(s.Machine("z2-2"))
-		s.eventually("it has the change", time.Second, func() bool { return m.Version() == s.version })
+		s.eventually("it has applied the change", time.Second, func() bool { return m.Version() == s.version })
 		if n.bytes > 1000 {
 			t.Errorf("a change took %d bytes", n.bytes)
 		}
@@ -188,26 +196,26 @@
 		s.Run(8 * time.Second)
 		if acceptLate {
 			if len(s.Violations()) == 0 {
-				t.Error("the seeded defect is not found")
+				t.Error("the injected defect is not detected")
 			}
 			continue
 		}
 		if m.Version() != 0 {
-			t.Errorf("r%d is in force by late answers alone", m.Version())
+			t.Errorf("r%d was applied from late responses", m.Version())
 		}
 		before := n.bytes
 		n.delay = 0
 		s.eventually("it has the newest", time.Second, func() bool { return m.Version() == s.version })
 		configBytes := len(message.MarshalAppend(nil, message.NewDelta(s.ConfigOf(s.version), 0, nil)))
 		if got := n.bytes - before; got > configBytes/4 {
-			t.Errorf("%d bytes were sent again, the whole has %d", got, configBytes)
+			t.Errorf("%d bytes were sent again, the configuration has %d", got, configBytes)
 		}
 	}
 }
 
-// Given a long list of servers that all hold, when the view changes, and its reader of endpoints reads the
-// same list anew, then it is told by its epoch and sequence alone; and the next server is told to all. To a
-// process of an earlier program, which doesn't tell the digest of its list, the whole of it is told.
+// All machines have a long list of servers. After a view change, the new endpoint reader reads the same list
+// again. Only its epoch and sequence must be sent, and the next server must reach all machines. To a process
+// of an earlier server version, which does not send the digest of its list, the full list must be sent.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	const servers, listBytes = 1000, 50_000
 	for _, withoutDigest := range []bool{false, true} {
@@ -227,10 +235,10 @@
 		s.Run(time.Second)
 		watchers := len(s.Machines) - 1
 		if sent := link.bytes > watchers*listBytes/2; sent != withoutDigest {
-			t.Errorf("earlier program %v: %d bytes were sent to %d processes", withoutDigest, link.bytes, watchers)
+			t.Errorf("without digest %v: %d bytes were sent to %d processes", withoutDigest, link.bytes, watchers)
 		}
 		s.Servers = append(slices.Clone(s.Servers), message.Endpoint{ID: "another", Addr: "10.20.0.1:8080"})
-		s.eventually("all know the next server", time.Second, func() bool {
+		s.eventually("all have the next server", time.Second, func() bool {
 			return !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
 				return m.up && len(m.endpoints) != servers+1
 			})
