--- a/internal/controlplane/simulation/adversary_test.go
+++ b/internal/controlplane/simulation/adversary_test.go
@@ -13,10 +13,10 @@
 // change as complete and pass it on, as that could form a second core. The injected defect, a response that
 // reports the change as complete, must be detected.
 func TestIncompleteMembershipChangeIsNotReported(t *testing.T) {
-	play := func(defect bool) string {
+	run := func(defect bool) string {
 		s := startScenario(t, 1)
-		a, b, c, newcomer := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
-		newcomer.Kill()
+		a, b, c, watcher := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1"), s.Machine("z3-2")
+		watcher.Kill()
 		fresh := s.Add("z1")
 		fresh.Start()
 		s.Run(time.Second)
@@ -36,23 +36,23 @@
 		}
 		if defect {
 			s.Tamper = func(to *Machine, m *message.Message) {
-				if response, ok := m.Body.(*message.WatchResponse); ok && to == newcomer {
+				if response, ok := m.Body.(*message.WatchResponse); ok && to == watcher {
 					response.OutgoingMembers = nil
 				}
 			}
 		}
-		newcomer.Start()
+		watcher.Start()
 		s.Run(20 * time.Millisecond)
 		a.Kill()
 		c.Kill()
 		s.Run(300 * time.Millisecond)
 		for _, m := range []*Machine{a, b} { // partition the machines into two sides
-			for _, other := range []*Machine{c, fresh, newcomer} {
+			for _, other := range []*Machine{c, fresh, watcher} {
 				s.Cut(m, other, true)
 			}
 		}
 		a.SetSyncTime(s.SyncTime)
-		s.seeds = []string{newcomer.node.Addr} // as configured at that time
+		s.seeds = []string{watcher.node.Addr} // as configured at that time
 		c.Start()
 		a.Start()
 		b.Start()
@@ -62,10 +62,10 @@
 		s.Run(2 * time.Second)
 		return s.consistent()
 	}
-	if wrong := play(false); wrong != "" {
+	if wrong := run(false); wrong != "" {
 		t.Error(wrong)
 	}
-	if play(true) == "" {
+	if run(true) == "" {
 		t.Error("the injected defect is not detected")
 	}
 }
--- a/internal/controlplane/simulation/allocator_lease_test.go
+++ b/internal/controlplane/simulation/allocator_lease_test.go
@@ -92,8 +92,8 @@
 	return all[(slices.Index(all, m)+1)%len(all)]
 }
 
-// allocators draws a history in which machines of the core, mostly the one that is the allocator, get into
-// trouble, some in the middle of a change of the view, and returns the gateway that asked all the while.
+// runAllocatorHistory injects random faults into replicas, mostly into the allocator and some during a view
+// change. It returns the probe that requested tokens throughout.
 func runAllocatorHistory(t *testing.T, seed uint64, tamper func(*Machine, *message.Message)) *allocatorProbe {
 	survive := 1 + int(seed%2)
 	s := &scenario{New(Options{Zones: 3, ReplicasPerZone: survive, GatewaysPerZone: 1, SurviveMachines: survive,
--- a/internal/controlplane/simulation/blackout_test.go
+++ b/internal/controlplane/simulation/blackout_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, m := range s.Machines {
 		if !s.Until(func() bool { return s.readSucceeds(m) }, 4*time.Second) {
-			return "no read succeeds through " + m.Name
+			return m.Name + ": no read succeeds"
 		}
 	}
 	if violations := s.Violations(); len(violations) > 0 {
--- a/internal/controlplane/simulation/failure_domains_test.go
+++ b/internal/controlplane/simulation/failure_domains_test.go
@@ -109,7 +109,7 @@
 // in the other zone stores it, so that it is on a remaining disk. The injected defect, a chain that only
 // needs enough machines, acknowledges a change that is lost.
 func TestChainIsSpreadOverZones(t *testing.T) {
-	play := func(ignoreDomains bool) (acked, kept bool, log string) {
+	run := func(ignoreDomains bool) (acknowledged, stored bool, log string) {
 		x := New(Options{Zones: 2, ReplicasPerZone: 3, SurviveMachines: 1, SurviveZones: 1, Seed: 5})
 		x.Trace = func(line string) { log += line }
 		x.ignoresFailureDomains = ignoreDomains
@@ -126,8 +126,8 @@
 		s.Run(2 * time.Second)
 		c := s.PutVersion(x.Machines[0], 5)
 		s.Until(func() bool { return c.Ended }, time.Second)
-		acked = c.Acknowledged
-		if !acked {
+		acknowledged = c.Acknowledged
+		if !acknowledged {
 			s.HealAll()
 			_, ok := s.PutUntilAcknowledged(x.Machines[1], 5, 8*time.Second)
 			if !ok {
@@ -135,17 +135,17 @@
 			}
 		}
 		loseMachines(s.replicasIn("z1"))
-		return acked, away.stored.Version == 5, log
+		return acknowledged, away.stored.Version == 5, log
 	}
-	acked, kept, log := play(false)
-	if acked || !kept {
-		t.Errorf("acknowledged without the other zone: %v, stored there: %v", acked, kept)
+	acknowledged, stored, log := run(false)
+	if acknowledged || !stored {
+		t.Errorf("acknowledged without the other zone: %v, stored there: %v", acknowledged, stored)
 	}
 	if n := strings.Count(log, events.ToleranceImpossible.Text); n != 1 {
 		t.Errorf("logged %d times that the loss of a zone cannot be tolerated", n)
 	}
-	if acked, kept, _ := play(true); !acked || kept {
-		t.Errorf("the injected defect is not detected: acknowledged %v, stored %v", acked, kept)
+	if acknowledged, stored, _ := run(true); !acknowledged || stored {
+		t.Errorf("the injected defect is not detected: acknowledged %v, stored %v", acknowledged, stored)
 	}
 }
 
@@ -153,7 +153,7 @@
 // until it can form a core that survives the loss of a zone. The injected defect, which ignores zones, forms
 // a core that does not.
 func TestFirstStartIsSpreadOverZones(t *testing.T) {
-	play := func(ignoreDomains bool) *scenario {
+	run := func(ignoreDomains bool) *scenario {
 		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 5, SurviveMachines: 1, SurviveZones: 1, Seed: 9}), t,
 			0}
 		s.ignoresFailureDomains = ignoreDomains
@@ -173,7 +173,7 @@
 		s.Run(2 * time.Second)
 		return s
 	}
-	s := play(false)
+	s := run(false)
 	if !s.Tolerant() || len(s.Members()) != 3 {
 		t.Errorf("members %v, tolerant %v", s.Members(), s.Tolerant())
 	}
@@ -183,7 +183,7 @@
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
-	s = play(true)
+	s = run(true)
 	loseMachines(s.replicasIn("z1"))
 	if _, ok := s.PutUntilAcknowledged(s.Machine("z3-1"), 3, 4*time.Second); ok {
 		t.Error("the injected defect is not detected")
--- a/internal/controlplane/simulation/membership_test.go
+++ b/internal/controlplane/simulation/membership_test.go
@@ -17,21 +17,22 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// member reports whether a machine is a member, with a vote, in a view that serves.
+// isMember reports whether a machine is a member that has caught up, in the view in service, and no
+// membership change is pending on its disk.
 func (s *scenario) isMember(m *Machine) bool {
 	return slices.Contains(s.Members(), m.node.Addr) && slices.Contains(s.Chain(), m.node.Addr) &&
 		m.stored.CaughtUp && len(m.stored.OutgoingMembers) == 0
 }
 
-// tolerant waits until the next loss can be tolerated.
+// awaitTolerance waits until the next loss can be tolerated.
 func (s *scenario) awaitTolerance(limit time.Duration) {
 	s.t.Helper()
 	s.eventually("the next loss can be tolerated", limit, s.Tolerant)
 }
 
-// Given a machine of the core that is gone for good, when another one with an empty disk starts in its
-// place, then that is a member within the users' sync_s, with all that was acknowledged; and the old one,
-// when it comes back with its disk, is refused, and comes back as a learner that nobody has room for.
+// A member is killed, and a new machine with an empty disk starts in its zone. The new one must become a
+// member within the specified sync_s, with everything acknowledged. When the old one restarts with its disk,
+// it must be rejected, give up its store and stay a learner, as no member needs to be replaced.
 func TestReplacementMachineBecomesAMember(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		s := startScenario(t, 1)
@@ -40,20 +41,21 @@
 		s.putNext(s.Machine("z2-2"))
 		fresh := s.Add(old.node.Zone)
 		fresh.Start()
-		s.eventually("it is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
+		s.eventually("the new machine is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
 		s.awaitTolerance(300 * time.Millisecond)
 		s.putNext(s.Machine("z1-2"))
 		id := old.stored.StoreID
 		old.Start()
-		s.eventually("the old one has given up", 2*time.Second, func() bool {
+		s.eventually("the old machine has given up its store", 2*time.Second, func() bool {
 			return !old.stored.CaughtUp && old.stored.StoreID != id && len(old.stored.Members) == 0
 		})
 		s.Run(4 * time.Second)
 		if slices.Contains(s.Members(), old.node.Addr) || len(s.Chain()) != 3 {
 			t.Errorf("members %v, chain %v", s.Members(), s.Chain())
 		}
-		s.eventually("all go by the newest", time.Second, func() bool { return s.Converged(s.version) })
-		for _, m := range s.Replicas() { // the next loss, at once
+		s.eventually("all have applied the newest version", time.Second,
+			func() bool { return s.Converged(s.version) })
+		for _, m := range s.Replicas() { // the next loss, immediately
 			if m != old && m != fresh {
 				m.Kill()
 				break
@@ -66,9 +68,8 @@
 	}
 }
 
-// Given changes under way, when every machine of the core is replaced in turn, three times over, each gone
-// for good, by one at another address with an empty disk, then nothing acknowledged is lost, and the
-// learners alone are the core.
+// During changes, every member is replaced in turn, three times over, by a machine at another address with an
+// empty disk. Nothing acknowledged may be lost, and the core must consist of the new machines only.
 func TestReplacingAllMembersInTurnThreeTimes(t *testing.T) {
 	s := startScenario(t, 1)
 	core := s.Replicas()
@@ -84,18 +85,18 @@
 			core[i] = fresh
 		}
 	}
-	s.eventually("all go by it", 2*time.Second, func() bool { return s.Converged(s.version) })
+	s.eventually("all have applied the last change", 2*time.Second,
+		func() bool { return s.Converged(s.version) })
 	s.restartAll()
-	s.eventually("the newcomers serve", 4*time.Second,
+	s.eventually("the new members serve", 4*time.Second,
 		func() bool { return len(s.Chain()) == 3 && s.Converged(s.version) })
 	if wrong := s.consistent(); wrong != "" {
 		t.Error(wrong)
 	}
 }
 
-// replacing plays a replacement under changes until a moment: one of the core is gone for good, and a
-// learner has started, at a new address or, with an empty disk, at the same. Without a moment it plays
-// until that is a member.
+// replaceMember replaces a member during changes, by a new machine at another address or by itself with an
+// empty disk, and runs until the given time. If that is 0, it runs until the replacement is a member.
 func replaceMember(t *testing.T, until time.Duration, sameAddress bool) (s *scenario, fresh *Machine) {
 	t.Helper()
 	s = startScenario(t, 1)
@@ -116,26 +117,29 @@
 	return s, fresh
 }
 
-// ends holds a story to its end: all is well again, and nothing that was acknowledged is lost.
+// checkRecovered checks that the core serves, that a change is applied everywhere and that nothing
+// acknowledged is lost. what describes the situation.
 func (s *scenario) checkRecovered(what string) {
 	s.t.Helper()
 	s.eventually(what+": the core serves", 8*time.Second, func() bool { return len(s.Chain()) >= 2 })
 	s.putNext(s.Machine("z3-2"))
-	s.eventually(what+": all go by the newest", 4*time.Second, func() bool { return s.Converged(s.version) })
+	s.eventually(what+": all have applied the newest version", 4*time.Second,
+		func() bool { return s.Converged(s.version) })
 	s.readVersion(s.Machine("z2-2"))
 	if wrong := s.consistent(); wrong != "" {
 		s.t.Errorf("%s: %s", what, wrong)
 	}
 }
 
-// Given a replacement, when at any moment around it all processes of the core are killed, or any one, and
-// start again with their disks, then nothing acknowledged is lost, and the learner is a member in the end.
+// At any time around a replacement, one or all replicas are killed and restarted with their disks. Nothing
+// acknowledged may be lost, and the learner must become a member in the end.
 func TestKillsDuringReplacement(t *testing.T) {
 	t.Parallel()
 	t.Run("new address", func(t *testing.T) { killDuringReplacement(t, false) })
 	t.Run("same address", func(t *testing.T) { killDuringReplacement(t, true) })
 }
 
+// killDuringReplacement kills each replica, or all, at times around the end of a replacement.
 func killDuringReplacement(t *testing.T, sameAddress bool) {
 	baseline, _ := replaceMember(t, 0, sameAddress)
 	for at := -36 * time.Millisecond; at <= 12*time.Millisecond; at += 3 * time.Millisecond {
@@ -153,16 +157,16 @@
 				m.Start()
 			}
 			what := fmt.Sprint("victim ", victim, " at ", at)
-			s.eventually(what+": it is a member", 8*time.Second, func() bool { return s.isMember(fresh) })
+			s.eventually(what+": the replacement is a member", 8*time.Second, func() bool { return s.isMember(fresh) })
 			s.version = max(s.version, c.Version)
 			s.checkRecovered(what)
 		}
 	}
 }
 
-// Given a replacement, when at the moment from which the next loss can be tolerated, or within the steps
-// after it, any machine of the core is lost with its disk, right after a change, then nothing acknowledged is
-// lost, and the two that are left serve.
+// After a replacement, as soon as the next loss can be tolerated or up to 16 ms later, any replica is lost
+// with its disk, right after a change. Nothing acknowledged may be lost, and the two remaining replicas must
+// serve.
 func TestLossRightAfterRepair(t *testing.T) {
 	for after := time.Duration(0); after <= 16*time.Millisecond; after += 2 * time.Millisecond {
 		for victim := range 3 {
@@ -175,15 +179,15 @@
 			m.WipeDisk()
 			s.checkRecovered(fmt.Sprint("victim ", victim, " after ", after))
 			m.Start()
-			s.eventually("a wiped disk is a newcomer", 6*time.Second, func() bool { return s.isMember(m) })
+			s.eventually("the wiped replica is a member again", 6*time.Second, func() bool { return s.isMember(m) })
 			s.awaitTolerance(time.Second)
 		}
 	}
 }
 
-// Given any history of machines that are lost for good, wiped, cut off, frozen, stopped in order and added,
-// each at the very moment from which the next loss can be tolerated, when several operators race meanwhile,
-// then all that they hear is what one register would say, and the core is whole in the end.
+// Random machines are removed permanently, wiped, isolated, frozen, drained and added, each as soon as the
+// next loss can be tolerated, while operators race. All responses must be linearizable, and the core must be
+// repaired completely in the end.
 func TestRandomMembershipHistories(t *testing.T) {
 	t.Parallel()
 	params := gopter.DefaultTestParametersWithSeed(13)
@@ -200,7 +204,8 @@
 	p.TestingRun(t)
 }
 
-// memberships draws a history of members, and returns what went wrong.
+// runMembershipHistory runs a random history of membership changes and faults. It returns a description of
+// the failure, "" if there is none.
 func runMembershipHistory(x *Cluster) string {
 	rng := rand.New(rand.NewPCG(x.Seed, 4))
 	x.StartAll()
@@ -208,8 +213,8 @@
 		return "the first start did not complete"
 	}
 	version := uint64(1)
-	var lost []*Machine // that come back
-	noticedAt := x.Now  // from when on a loss has been noticed: what is said to be tolerated counts it
+	var lost []*Machine // that will be restarted
+	noticedAt := x.Now  // the time by which a loss is detected, so that Tolerant accounts for it
 	for range 10 {
 		for i := range 1 + rng.IntN(3) {
 			version += rng.Uint64N(2)
@@ -220,7 +225,7 @@
 			repairMachines(x, lost)
 			lost = nil
 			if !x.Until(func() bool { return x.Now >= noticedAt && x.Tolerant() }, 12*time.Second) {
-				return fmt.Sprint("no end of a repair; chain ", x.Chain(), ", members ", x.Members())
+				return fmt.Sprint("a repair does not complete; chain ", x.Chain(), ", members ", x.Members())
 			}
 		}
 		if x.Now >= noticedAt && x.Tolerant() {
@@ -236,7 +241,7 @@
 					}
 					x.Run(time.Duration(rng.IntN(600)) * time.Millisecond)
 					m.Kill()
-					m.poweredOff = rng.IntN(2) == 0 // and the machine is switched off
+					m.poweredOff = rng.IntN(2) == 0 // and the machine is powered off
 					lost = append(lost, m)
 				default:
 					if slices.Contains(x.Machines, m) {
@@ -264,7 +269,7 @@
 	}
 	repairMachines(x, x.Replicas())
 	if !x.Until(func() bool { return x.Tolerant() }, 12*time.Second) {
-		return fmt.Sprint("no end of the last repair; chain ", x.Chain(), ", members ", x.Members())
+		return fmt.Sprint("the last repair does not complete; chain ", x.Chain(), ", members ", x.Members())
 	}
 	x.Run(4 * time.Second)
 	c := x.Read(x.Machines[len(x.Machines)-1])
@@ -273,12 +278,13 @@
 		return wrong
 	}
 	if !c.Acknowledged || !x.Converged(c.Version) {
-		return "not all go by the newest"
+		return "not all have applied the newest version"
 	}
 	return ""
 }
 
-// permitted draws a loss that is to be tolerated: of machines, or of all those of some zones or regions.
+// drawTolerableLoss returns the replicas of a random loss that must be tolerated: some machines, or all
+// those of some zones or regions.
 func (c *Cluster) drawTolerableLoss(rng *rand.Rand) iter.Seq[*Machine] {
 	disks := c.Replicas()
 	var lost [][]string // zones
@@ -303,7 +309,7 @@
 	}))
 }
 
-// draw draws the zones of some regions, each of so many zones.
+// drawZones returns the zones of some random regions, each of which consists of the given number of zones.
 func (c *Cluster) drawZones(rng *rand.Rand, regions, zones int) (list []string) {
 	for _, r := range rng.Perm(c.Zones / zones)[:regions] {
 		for z := range zones {
@@ -313,66 +319,68 @@
 	return list
 }
 
-// replaceDrawn has another machine take the place of one that is gone, before or after that.
+// replaceAfterDelay removes a machine and starts another one in its place after up to 1.2 s.
 func (c *Cluster) replaceAfterDelay(m *Machine, rng *rand.Rand) {
 	fresh := c.Replace(m)
 	c.schedule(time.Duration(rng.IntN(1200))*time.Millisecond, fresh.Start)
 }
 
-// Given a machine of the core that is told to stop while another one waits, then that takes its place
-// before the process has ended, however soon; where none waits, it stays a member until one does.
+// A member is drained while a spare is available: the spare must take its place before the process ends. When
+// there is no spare, the drained member must stay a member until there is one.
 func TestDrainedMemberHandsOver(t *testing.T) {
 	s := startScenario(t, 1)
 	spare := s.Add("z1")
 	spare.Start()
 	s.Run(2 * time.Second)
 	if slices.Contains(s.Members(), spare.node.Addr) {
-		t.Fatalf("a core that is whole has taken in another member: %v", s.Members())
+		t.Fatalf("a complete core has added another member: %v", s.Members())
 	}
 	head := s.Machine("z1-1")
 	c := s.PutVersion(s.Machine("z3-2"), s.version+1)
 	head.controlNode.Drain(s.Now)
 	if !head.controlNode.HandingOver() {
-		t.Error("its process doesn't wait for the other")
+		t.Error("the drained process does not wait for its successor")
 	}
-	s.eventually("the other has taken its place", 500*time.Millisecond, func() bool { return s.isMember(spare) })
-	s.eventually("it knows", 100*time.Millisecond, func() bool {
+	s.eventually("the spare is a member in its place", 500*time.Millisecond,
+		func() bool { return s.isMember(spare) })
+	s.eventually("the drained member has stored that", 100*time.Millisecond, func() bool {
 		return !head.stored.CaughtUp && !head.controlNode.HandingOver()
 	})
 	if s.Until(func() bool { return c.Ended }, time.Second); !c.Acknowledged {
-		t.Error("a change in the midst of it is not acknowledged")
+		t.Error("a change during the handover is not acknowledged")
 	}
 	s.version++
 	head.Kill()
 	s.Run(time.Second)
 	s.Machine("z2-1").controlNode.Drain(s.Now)
 	if s.Machine("z2-1").controlNode.HandingOver() {
-		t.Error("its process waits for nobody")
+		t.Error("the drained process waits although there is no successor")
 	}
 	s.Run(time.Second)
 	if !slices.Contains(s.Members(), s.Machine("z2-1").node.Addr) {
-		t.Errorf("one has left without a successor: %v", s.Members())
+		t.Errorf("a member has left without a successor: %v", s.Members())
 	}
-	s.checkRecovered("after that")
+	s.checkRecovered("afterwards")
 }
 
-// by has an order by hand carried out or refused, as operators do: one without a clear answer is sent again.
+// changeMembers sends an operator's membership request until it is carried out or refused, as operators do:
+// one without a response is sent again. It returns the result and the reason of a refusal.
 func (s *scenario) changeMembers(m *Machine, add, remove string) (ok bool, why string) {
 	s.t.Helper()
 	for range 6 {
 		change := s.ChangeMembers(m, add, remove)
 		if s.Until(func() bool { return change.Ended }, time.Second); change.Answer != nil {
-			s.Run(50 * time.Millisecond) // that it is complete is on the disks, too
+			s.Run(50 * time.Millisecond) // until the disks have stored the change as complete
 			return change.Answer.OK, change.Answer.Reason
 		}
 	}
-	s.t.Fatalf("add %q, remove %q: no answer", add, remove)
+	s.t.Fatalf("add %q, remove %q: no response", add, remove)
 	return false, ""
 }
 
-// Given a core, when operators add, remove and replace members by hand, through any machine, under changes,
-// then it is done, also where the head itself is removed; and it is refused, with the reason, where it
-// would leave no quorum or nobody is there.
+// Operators add, remove and replace members during changes. The requests must be carried out, also when they
+// remove the head, and must be refused with the reason when they would leave no quorum or name a machine that
+// cannot be a member.
 func TestOperatorMembershipChanges(t *testing.T) {
 	s := startScenario(t, 1)
 	a, b, spare, other := s.Machine("z1-1"), s.Machine("z2-1"), s.Add("z1"), s.Add("z2")
@@ -386,16 +394,16 @@
 		members     int
 	}{
 		{add: s.Machine("z1-2"), why: "no machine with a disk", members: 3},
-		{remove: spare, members: 3}, // it is none: that is so
+		{remove: spare, members: 3}, // not a member: nothing to do
 		{add: spare, members: 4},
-		{add: spare, members: 4}, // sent again
+		{add: spare, members: 4}, // repeated
 		{add: other, remove: a, members: 4},
 		{remove: s.Machine("z3-1"), members: 3},
 		{remove: b, members: 2},
 		{remove: spare, why: "could not be tolerated", members: 2},
 	} {
 		if c.remove == b {
-			b.Kill() // it would come back as a learner, and the core is small
+			b.Kill() // otherwise it would rejoin as a learner, as the core is small
 		}
 		addr := func(m *Machine) string {
 			if m == nil {
@@ -423,12 +431,11 @@
 	}
 }
 
-// removedMember plays a member that operators remove while it runs, or while it is cut off from the members
-// and hears of it from a seed without a disk; it is started again, and so are all. It returns whether that is
-// a member again, though nobody has added it.
-func restartRemovedMember(t *testing.T, isolated bool, spoil func(*Machine, *replica.PersistentState)) (s *scenario,
-	m *Machine,
-	rejoined bool) {
+// restartRemovedMember lets operators remove a member that runs, or that is isolated from the members and
+// learns of the removal from a seed without a disk. Then it restarts that machine, and later all. rejoined
+// reports whether it is a member again although no operator has added it.
+func restartRemovedMember(t *testing.T, isolated bool,
+	spoil func(*Machine, *replica.PersistentState)) (s *scenario, m *Machine, rejoined bool) {
 	t.Helper()
 	s = startScenario(t, 1)
 	s.Spoil = spoil
@@ -439,7 +446,7 @@
 	if ok, why := s.changeMembers(s.Machine("z1-2"), "", m.node.Addr); !ok {
 		t.Fatal(why)
 	}
-	s.eventually("it has given up", 8*time.Second, func() bool {
+	s.eventually("it has given up its store", 8*time.Second, func() bool {
 		if m.controlNode.Replica().IsUninitialized() {
 			return true
 		}
@@ -461,54 +468,56 @@
 	return s, m, slices.Contains(s.Members(), m.node.Addr)
 }
 
-// Given a member that operators have removed, while it ran or was cut off, when it is started again, and all
-// are, and the core is smaller than it should be, then it stays out, until operators add it; another learner
-// comes. One that forgets that it was removed is found.
+// A member that operators removed, while it ran or was isolated, is restarted, as are all machines. Although
+// the core is smaller than configured, it must not rejoin until operators add it, and another learner must
+// join. The injected defect, a machine that loses the record of its removal, must be detected.
 func TestOperatorRemovalPersists(t *testing.T) {
-	for _, cut := range []bool{false, true} {
-		s, m, back := restartRemovedMember(t, cut, nil)
-		if back {
-			t.Errorf("cut %v: it is back in %v", cut, s.Members())
+	for _, isolated := range []bool{false, true} {
+		s, m, rejoined := restartRemovedMember(t, isolated, nil)
+		if rejoined {
+			t.Errorf("isolated %v: it has rejoined %v", isolated, s.Members())
 		}
 		fresh := s.Add("z3")
 		fresh.Start()
-		s.eventually("another one comes", 4*time.Second, func() bool { return s.isMember(fresh) })
-		if ok, why := s.changeMembers(s.Machine("z1-2"), m.node.Addr, ""); !ok || !s.isMember(m) || m.stored.RemovedByOperator {
-			t.Errorf("cut %v: added by staff: %v %q, members %v", cut, ok, why, s.Members())
+		s.eventually("another machine joins", 4*time.Second, func() bool { return s.isMember(fresh) })
+		if ok, why := s.changeMembers(s.Machine("z1-2"), m.node.Addr, ""); !ok || !s.isMember(m) ||
+			m.stored.RemovedByOperator {
+			t.Errorf("isolated %v: added by operators: %v %q, members %v", isolated, ok, why, s.Members())
 		}
-		s.checkRecovered("after that")
-		if _, _, back := restartRemovedMember(t, cut,
-			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false }); !back {
-			t.Errorf("cut %v: the seeded defect is not found", cut)
+		s.checkRecovered("afterwards")
+		if _, _, rejoined := restartRemovedMember(t, isolated,
+			func(_ *Machine, r *replica.PersistentState) { r.RemovedByOperator = false }); !rejoined {
+			t.Errorf("isolated %v: the injected defect is not detected", isolated)
 		}
 	}
 }
 
-// Given a core in which one of three is lost, when operators would remove one of the two others, then that is
-// refused for want of a quorum; and removing the one that is lost is not.
+// One of three members is lost. An operator's request to remove one of the two others must be refused
+// because no quorum would remain, and the removal of the lost one must be carried out.
 func TestOperatorChangeLeavesAQuorum(t *testing.T) {
 	s := startScenario(t, 1)
 	s.Machine("z3-1").Kill()
 	s.Run(2 * time.Second)
 	at := s.Machine("z1-2")
-	if ok, why := s.changeMembers(at, "", s.Machine("z2-1").node.Addr); ok || !strings.Contains(why, "no quorum") {
-		t.Errorf("one of the two that are left: %v %q", ok, why)
+	if ok, why := s.changeMembers(at, "", s.Machine("z2-1").node.Addr); ok ||
+		!strings.Contains(why, "no quorum") {
+		t.Errorf("removal of one of the two that are left: %v %q", ok, why)
 	}
 	if ok, why := s.changeMembers(at, "", s.Machine("z3-1").node.Addr); !ok {
-		t.Errorf("the lost one: %q", why)
+		t.Errorf("removal of the lost one: %q", why)
 	}
-	s.checkRecovered("after that")
+	s.checkRecovered("afterwards")
 }
 
-// handedOver plays a change that is acknowledged while one of three is away, a member that is replaced
-// then, and the loss of the only other one that has the change: the successor has to have it. What is
-// seeded takes hold as the successor starts.
+// handOverWithMemberAway acknowledges a change while one of three members is down, replaces a second one, and
+// then loses the third, the only other member with the change: the successor must have it. inject is called
+// before the successor starts. It returns a description of the failure, "" if there is none.
 func handOverWithMemberAway(t *testing.T, inject func(s *scenario, fresh *Machine)) (wrong string) {
 	t.Helper()
 	s := startScenario(t, 1)
 	away, old, left := s.Machine("z3-1"), s.Machine("z1-1"), s.Machine("z2-1")
 	away.Kill()
-	s.putNext(left) // old and left have it
+	s.putNext(left) // stored by old and left
 	s.Run(time.Second)
 	fresh := s.Add("z1")
 	inject(s, fresh)
@@ -531,11 +540,12 @@
 	if wrong := s.consistent(); wrong != "" || c.Acknowledged {
 		return wrong
 	}
-	return "the newest can't be read"
+	return "the newest configuration cannot be read"
 }
 
-// partitionedChange plays a core that has replaced a machine; that comes back beside one of the others, and
-// the two are cut off from the rest while operators are at both sides.
+// partitionAfterReplacement replaces a member. The old one restarts together with one of the other members,
+// and these two are partitioned from the rest while operators use both sides. inject is called before the
+// two restart. It returns a description of the failure, "" if there is none.
 func partitionAfterReplacement(t *testing.T, inject func(s *scenario, old, peer *Machine)) (wrong string) {
 	t.Helper()
 	s := startScenario(t, 1)
@@ -543,7 +553,7 @@
 	old.Kill()
 	fresh := s.Add("z1")
 	fresh.Start()
-	s.eventually("it is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
+	s.eventually("the new machine is a member", 4*time.Second, func() bool { return s.isMember(fresh) })
 	s.awaitTolerance(time.Second)
 	peer.Kill()
 	for _, m := range s.Machines {
@@ -564,9 +574,10 @@
 	return s.consistent()
 }
 
-// Given what must not be done as members change, when it is done, then it is told; and without it nothing is.
+// Injected defects in membership changes must be detected, and without them nothing may be reported.
 func TestInjectedMembershipDefectsAreDetected(t *testing.T) {
-	onReceive := func(kind message.Type, to *Machine, do func(m *message.Message)) func(*Machine, *message.Message) {
+	onReceive := func(kind message.Type, to *Machine,
+		do func(m *message.Message)) func(*Machine, *message.Message) {
 		return func(at *Machine, m *message.Message) {
 			if at == to && m.Type() == kind {
 				do(m)
@@ -581,16 +592,17 @@
 		t.Errorf("without a defect: %s", wrong)
 	}
 	for name, wrong := range map[string]string{
-		"a change agreed by the new members alone": handOverWithMemberAway(t, func(s *scenario, _ *Machine) {
+		"a change agreed on by the new members only": handOverWithMemberAway(t, func(s *scenario, _ *Machine) {
 			s.Spoil = func(_ *Machine, r *replica.PersistentState) { r.OutgoingMembers = nil }
 		}),
-		"a newcomer that votes before it is caught up": handOverWithMemberAway(t, func(s *scenario, fresh *Machine) {
-			s.Spoil = func(m *Machine, r *replica.PersistentState) {
-				if m == fresh {
-					r.Value = replica.Value{}
+		"a new member that votes before it has caught up": handOverWithMemberAway(t,
+			func(s *scenario, fresh *Machine) {
+				s.Spoil = func(m *Machine, r *replica.PersistentState) {
+					if m == fresh {
+						r.Value = replica.Value{}
+					}
 				}
-			}
-		}),
+			}),
 		"a member that leaves before its successor has the state": handOverWithMemberAway(t,
 			func(s *scenario, fresh *Machine) {
 				s.Tamper = onReceive(message.TypeInstallView, fresh, func(m *message.Message) {
@@ -598,16 +610,16 @@
 					install.Version, install.Config, install.AcceptedVersions = 0, nil, nil
 				})
 			}),
-		"a removed member that votes under its old life": partitionAfterReplacement(t, func(_ *scenario, old,
-			peer *Machine) {
-			// Its vote counts beside that of one which has forgotten the change.
-			peer.stored.Members, peer.stored.MembershipEpoch = old.stored.Members, old.stored.MembershipEpoch
-		}),
-		"a wiped disk that votes under its old life": func() string {
+		"a removed member that votes as its earlier incarnation": partitionAfterReplacement(t,
+			func(_ *scenario, old, peer *Machine) {
+				// Its vote would count together with that of peer, whose disk has lost the change.
+				peer.stored.Members, peer.stored.MembershipEpoch = old.stored.Members, old.stored.MembershipEpoch
+			}),
+		"a wiped disk that votes as its earlier incarnation": func() string {
 			s := startScenario(t, 1)
 			a, b, c := s.Machine("z1-1"), s.Machine("z2-1"), s.Machine("z3-1")
 			c.Kill()
-			s.putNext(a) // a and b have it
+			s.putNext(a) // stored by a and b
 			a.Kill()
 			b.Kill()
 			was := b.stored
@@ -622,14 +634,14 @@
 		}(),
 	} {
 		if wrong == "" {
-			t.Errorf("not found: %s", name)
+			t.Errorf("not detected: %s", name)
 		}
 	}
 }
 
-// Given a first start, when any two of its three seeds are killed at any moment of it and start again with
-// what is on their disks, and with settings that know of no first start, then one core is named, and it
-// serves with all machines; so it is if one of the two has lost its disk besides.
+// Any two of three seeds are killed at any time during a first start, and restarted with their disks and
+// without the first-start option. One core must be formed, and must serve with all replicas; also when one
+// of the two has lost its disk.
 func TestFirstStartSurvivesLossOfTwoSeeds(t *testing.T) {
 	for spared := range 3 {
 		for at := time.Duration(0); at < 1100*time.Millisecond; at += 20 * time.Millisecond {
@@ -640,8 +652,8 @@
 	}
 }
 
-// Given any first start, when one seed loses its disk at any moment of it, another one is killed and all
-// are cut off from each other, then no two cores are named, and once all is well one serves.
+// During random first starts, one seed loses its disk, another one is killed, and seeds are partitioned. No
+// two cores may be formed, and one must serve once all faults are repaired.
 func TestRandomFirstStartsWithLostDisk(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(100) {
@@ -651,19 +663,22 @@
 	}
 }
 
-// Given a core that two seeds have named, when one of them is cut off and the other has lost its disk, then
-// the third names no other core with that. A seed that says that it can't have forgotten what it promised,
-// and has, is found.
+// Two seeds have formed a core. One of them is isolated and the other loses its disk: the third must not
+// form another core with the latter. The injected defect, a seed with a lost disk that claims that its
+// promises are complete, must be detected.
 func TestSeedWithLostDiskBootstrapsNoOtherCore(t *testing.T) {
 	if wrong := loseSeedDiskAfterBootstrap(nil); wrong != "" {
 		t.Error(wrong)
 	}
-	if loseSeedDiskAfterBootstrap(func(_ *Machine, r *replica.PersistentState) { r.Bootstrap.Trusted = true }) == "" {
-		t.Error("the seeded defect is not found")
+	if loseSeedDiskAfterBootstrap(func(_ *Machine, r *replica.PersistentState) {
+		r.Bootstrap.Trusted = true
+	}) == "" {
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// forgetful plays that, and returns what went wrong.
+// loseSeedDiskAfterBootstrap runs the scenario of the test above. spoil modifies the wiped disk; it may be
+// nil. It returns a description of the failure, "" if there is none.
 func loseSeedDiskAfterBootstrap(spoil func(*Machine, *replica.PersistentState)) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 2, SurviveMachines: 1, Seed: 3})
 	a, known, b, c := x.Machine("z1-1"), x.Machine("z1-2"), x.Machine("z2-1"), x.Machine("z3-1")
@@ -679,7 +694,7 @@
 	x.Isolate(known, true)
 	b.Kill()
 	b.WipeDisk()
-	if spoil != nil { // as its disk is found
+	if spoil != nil { // the state that the seed finds on its disk
 		spoil(b, &b.stored)
 		b.stored.Bootstrap.Seeds = x.seeds
 	}
@@ -693,7 +708,8 @@
 	return x.consistent()
 }
 
-// lostSeed draws a first start in which a seed loses its disk, and returns what went wrong.
+// runFirstStartWithLostDisk runs a random first start in which a seed loses its disk. It returns a
+// description of the failure, "" if there is none.
 func runFirstStartWithLostDisk(seed uint64) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1 + int(seed%2), GatewaysPerZone: 1, SurviveMachines: 1,
 		Seed: seed})
@@ -730,7 +746,7 @@
 		if i == wiped {
 			restart(seeds[lost], true)
 		} else {
-			restart(seeds[(lost+1)%3], false) // always the same: so no more than two forget what is not on disk
+			restart(seeds[(lost+1)%3], false) // always the same seed, so that at most two lose unsaved state
 		}
 		x.Run(time.Duration(rng.IntN(900)) * time.Millisecond)
 	}
@@ -741,7 +757,8 @@
 	return x.consistent()
 }
 
-// twoSeedsLost plays a first start in which all seeds but one are killed, and returns what went wrong.
+// killTwoSeeds runs a first start and kills all seeds but one at the given time. It returns a description of
+// the failure, "" if there is none.
 func killTwoSeeds(spared int, at time.Duration, wiped bool) (wrong string) {
 	x := New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: uint64(at)})
 	x.StartAll()
@@ -749,7 +766,7 @@
 	for i, m := range x.Replicas() {
 		if i != spared {
 			m.Kill()
-			m.startedBefore = true // the settings by which it starts again are of no first start
+			m.startedBefore = true // it restarts without the first-start option
 			if wiped {
 				m.WipeDisk()
 				wiped = false
@@ -769,12 +786,12 @@
 	return x.consistent()
 }
 
-// Given a machine of the core whose disk takes nothing, or that hears nobody, while another one waits, then
-// that takes its place as for one that is silent; and when all is well again, it is a learner.
+// The disk of a member is full, or the member cannot receive, while a spare is available. The spare must
+// take its place as for a silent member, and the member must be a learner after the fault.
 func TestMemberWithFailedDiskOrNoInboundLinksIsReplaced(t *testing.T) {
 	for name, setFault := range map[string]func(s *scenario, m *Machine, on bool){
 		"disk": func(_ *scenario, m *Machine, on bool) { m.FillDisk(on) },
-		"ears": func(s *scenario, m *Machine, on bool) {
+		"inbound links": func(s *scenario, m *Machine, on bool) {
 			for _, other := range s.Machines {
 				s.CutOneWay(other, m, on && other != m)
 			}
@@ -787,16 +804,17 @@
 		m := s.Machine("z1-1")
 		setFault(s, m, true)
 		s.putNext(s.Machine("z2-2"))
-		s.eventually(name+": the other is a member", 4*time.Second, func() bool { return s.isMember(spare) })
+		s.eventually(name+": the spare is a member", 4*time.Second, func() bool { return s.isMember(spare) })
 		s.awaitTolerance(time.Second)
 		setFault(s, m, false)
-		s.eventually(name+": it has given up", 3*time.Second, func() bool { return !m.stored.CaughtUp })
+		s.eventually(name+": the old member has given up its store", 3*time.Second,
+			func() bool { return !m.stored.CaughtUp })
 		s.checkRecovered(name)
 	}
 }
 
-// Given a machine of the core that is heard and hears nobody, or not one of the others, when changes go on
-// for some seconds, then none is held up, and it is back when the cut ends.
+// A replica can send, but cannot receive from any machine or from one other replica, while changes continue
+// for some seconds. No change may be delayed, and the replica must rejoin after the partition.
 func TestMemberThatCannotReceiveIsExcluded(t *testing.T) {
 	for _, name := range []string{"z1-1", "z2-1", "z3-1"} {
 		for _, from := range []string{"", "z1-1", "z2-1", "z3-1"} {
@@ -813,7 +831,7 @@
 				}
 			}
 			if delayed > 0 {
-				t.Errorf("%s hears nothing of %q: held up for %v of 4 s, %d changes", name, from, delayed, n)
+				t.Errorf("%s receives nothing from %q: changes delayed for %v of 4 s, %d changes", name, from, delayed, n)
 			}
 			s.HealAll()
 			s.eventually("it is back", 4*time.Second,
@@ -822,11 +840,12 @@
 	}
 }
 
-// Given a member whose disk is lost while a second one takes no view, when another disk is to be the member
-// at its address, then the change is not complete before that second one has it: the vote of the new disk
-// is not the old one's. Counted as that, it is found.
+// A member loses its disk while a second member receives no view, and the empty disk at the same address is
+// to replace the lost one. The change must not be complete before the second member stores it, as the new
+// disk's vote does not count as the old one's. The injected defect, which identifies members by address
+// only, must be detected.
 func TestNewDiskAtAnAddressIsANewMember(t *testing.T) {
-	play := func(spoil func(*Machine, *replica.PersistentState)) (complete bool, wrong string) {
+	run := func(spoil func(*Machine, *replica.PersistentState)) (complete bool, wrong string) {
 		s := startScenario(t, 1)
 		s.Spoil = spoil
 		lost, third := s.Machine("z1-1"), s.Machine("z3-1")
@@ -852,7 +871,7 @@
 		}
 		return complete, s.consistent()
 	}
-	if complete, wrong := play(nil); complete || wrong != "" {
+	if complete, wrong := run(nil); complete || wrong != "" {
 		t.Errorf("complete without the third: %v; %s", complete, wrong)
 	}
 	byAddress := func(_ *Machine, r *replica.PersistentState) {
@@ -865,7 +884,7 @@
 			}
 		}
 	}
-	if _, wrong := play(byAddress); wrong == "" {
-		t.Error("the seeded defect is not found")
+	if _, wrong := run(byAddress); wrong == "" {
+		t.Error("the injected defect is not detected")
 	}
 }
--- a/internal/controlplane/simulation/quorum_test.go
+++ b/internal/controlplane/simulation/quorum_test.go
@@ -446,11 +446,11 @@
 	w.changeServers()
 	s.Run(2 * time.Second)
 	s.PlatformDown = true
-	newcomer := s.Machine("z2-1")
-	newcomer.Kill()
+	restarted := s.Machine("z2-1")
+	restarted.Kill()
 	s.HealAll()
 	s.Run(2 * time.Second)
-	newcomer.Start()
+	restarted.Start()
 	s.eventually("all have the newest list", 8*time.Second, func() bool {
 		return len(s.Chain()) == 3 && !slices.ContainsFunc(s.Machines, func(m *Machine) bool {
 			return listNumber(m.Endpoints()) != listNumber(s.Servers)
@@ -502,8 +502,8 @@
 func TestDelayedResponseIsIgnored(t *testing.T) {
 	s := startScenario(t, 1)
 	m := s.Machine("z1-2")
-	s.Observe = func(_ *Machine, to string, told *message.Message) {
-		response, ok := told.Body.(*message.WatchResponse)
+	s.Observe = func(_ *Machine, to string, sent *message.Message) {
+		response, ok := sent.Body.(*message.WatchResponse)
 		if ok && to == m.node.Addr && response.Config != nil {
 			m.Freeze()
 		}
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -305,7 +305,7 @@
 	s.eventually("and changes nothing", time.Second, func() bool { return s.Converged(50) })
 }
 
-// One of three replicas alone must not acknowledge a change, and the call must end.
+// A single replica of three must not acknowledge a change, and the call must end.
 func TestNoAcknowledgementWithoutAMajority(t *testing.T) {
 	s := startScenario(t, 1)
 	s.Machine("z1-1").Kill()
--- a/internal/controlplane/simulation/transfer_test.go
+++ b/internal/controlplane/simulation/transfer_test.go
@@ -145,8 +145,8 @@
 			s.putNext(s.Machine("z2-2"))
 		}
 		if c.ignoreStale {
-			s.Tamper = func(_ *Machine, came *message.Message) {
-				if response, ok := came.Body.(*message.WatchResponse); ok {
+			s.Tamper = func(_ *Machine, received *message.Message) {
+				if response, ok := received.Body.(*message.WatchResponse); ok {
 					response.Chunks = slices.Clone(response.Chunks)
 					for i := range response.Chunks {
 						response.Chunks[i].Stale = false
@@ -183,9 +183,9 @@
 		}
 		n.delay = 3 * time.Second
 		if acceptLate {
-			s.Tamper = func(to *Machine, came *message.Message) {
-				if to == m && came.Type() == message.TypeWatchResponse {
-					came.RequestID = n.lastRequests[m.node.Addr]
+			s.Tamper = func(to *Machine, received *message.Message) {
+				if to == m && received.Type() == message.TypeWatchResponse {
+					received.RequestID = n.lastRequests[m.node.Addr]
 				}
 			}
 		}
--- a/internal/controlplane/simulation/value_test.go
+++ b/internal/controlplane/simulation/value_test.go
@@ -298,7 +298,7 @@
 func TestSimulationIsDeterministic(t *testing.T) {
 	for seed := range uint64(6) {
 		var first [2]int
-		for play := range 3 {
+		for run := range 3 {
 			x := New(Options{Zones: 3, ReplicasPerZone: 2, GatewaysPerZone: 2, SurviveMachines: 2, Seed: seed})
 			rng := rand.New(rand.NewPCG(seed, 4))
 			x.StartAll()
@@ -311,7 +311,7 @@
 			repairMachines(x, x.Replicas())
 			x.Run(4 * time.Second)
 			got := [2]int{x.Messages, x.Bytes}
-			if play == 0 {
+			if run == 0 {
 				first = got
 			} else if got != first {
 				t.Errorf("seed %d: %v messages and bytes, %v before", seed, got, first)
--- a/internal/controlplane/simulation/watch_test.go
+++ b/internal/controlplane/simulation/watch_test.go
@@ -11,30 +11,33 @@
 	"dunespoke/internal/controlplane/replica"
 )
 
-// recording keeps answers that a machine gets, and plays them to a later life of it, which is cut off.
+// recording records responses that a machine receives, and replays them to a later incarnation of it that is
+// isolated from all others.
 type recording struct {
 	*scenario
 	m         *Machine
-	types     []message.Type
-	withheld  []message.Type // answers that the earlier incarnation does not get
+	types     []message.Type // of the responses to record
+	withheld  []message.Type // recorded, but not delivered to the earlier incarnation
 	responses []recordedMessage
 	isolated  bool
-	exempt    []message.Type     // pass all the same
-	sent      []*message.Message // by the life that is cut off
+	exempt    []message.Type     // types that are delivered despite the isolation
+	sent      []*message.Message // by the isolated incarnation
 }
 
+// recordedMessage is a message and the address of its sender.
 type recordedMessage struct {
 	from string
 	m    *message.Message
 }
 
-// record has all go over the tape from now on.
+// record replaces the cluster's network by one that records the responses of some types to a machine.
 func (s *scenario) record(name string, kinds ...message.Type) *recording {
 	t := &recording{scenario: s, m: s.Machine(name), types: kinds}
 	s.Network = t.route
 	return t
 }
 
+// route implements Options.Network.
 func (t *recording) route(from, to string, m *message.Message) []Delivery {
 	own := t.m.node.Addr
 	switch {
@@ -54,13 +57,13 @@
 	return []Delivery{{To: to, Message: m}}
 }
 
-// restart starts the machine again.
+// restart kills the machine's process and starts it again.
 func (t *recording) restart() {
 	t.m.Kill()
 	t.m.Start()
 }
 
-// firstStart starts the machine with an empty disk, and as in the first life of the system.
+// firstStart restarts the machine with an empty disk and the first-start option.
 func (t *recording) firstStart() {
 	t.m.Kill()
 	t.m.WipeDisk()
@@ -68,15 +71,17 @@
 	t.m.Start()
 }
 
-// forgery makes a kept answer one that an earlier program would have taken.
+// forgeFunc modifies a recorded response so that a program without the check under test would accept it.
 type forgeFunc func(t *recording, m *message.Message)
 
-// replay has what was kept come again and again for two seconds, and reports whether it did something.
+// replay isolates the machine and delivers the recorded responses to it every 20 ms for two seconds,
+// modified by forge unless that is nil. It returns early once effect returns true, and reports whether it
+// did.
 func (t *recording) replay(effect func() bool, forge forgeFunc) bool {
 	t.t.Helper()
 	t.isolated = true
 	if len(t.responses) == 0 {
-		t.t.Fatal("nothing was kept")
+		t.t.Fatal("no response was recorded")
 	}
 	for end := t.Now + 2*time.Second; t.Now < end && !effect(); t.Run(20 * time.Millisecond) {
 		for _, k := range t.responses {
@@ -90,10 +95,11 @@
 	return effect()
 }
 
-// forgeIncarnation has an answer say the life that gets it: as if lives were not told apart.
+// forgeIncarnation sets a response's incarnation to the receiver's, as if incarnations were not
+// distinguished.
 func forgeIncarnation(t *recording, m *message.Message) { m.Incarnation = t.m.incarnation }
 
-// and the epoch or the ballot of what that asked last.
+// forgeIncarnationAndEpoch sets the incarnation, and the epoch or ballot of the receiver's last request.
 func forgeIncarnationAndEpoch(t *recording, m *message.Message) {
 	forgeIncarnation(t, m)
 	for _, q := range t.sent {
@@ -103,7 +109,7 @@
 	}
 }
 
-// copyEpoch gives a response the epoch or the ballot of a request, if both have one.
+// copyEpoch sets the epoch or ballot of a response to that of a request, if both have one.
 func copyEpoch(response, request message.Body) {
 	epochOf := func(body message.Body) reflect.Value {
 		v := reflect.ValueOf(body).Elem()
@@ -117,72 +123,79 @@
 	}
 }
 
-// lateResponses tells for each kind of answer how it comes to a later life of who asked, and whether that did
-// something with it. That life may as well be another machine that has the address now: it knows as little.
+// lateResponses are scenarios in which a response of each type reaches a later incarnation of the machine
+// that sent the request. run reports whether that incarnation acted on the response. A different machine
+// that now has the address knows as little, and need not be tried.
 var lateResponses = []struct {
 	name   string
 	kinds  []message.Type
-	defect forgeFunc // that is found
-	play   func(t *recording, l forgeFunc) bool
+	defect forgeFunc // must be detected
+	run    func(t *recording, forge forgeFunc) bool
 }{
-	{"News", []message.Type{message.TypeWatchResponse}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
+	{"WatchResponse", []message.Type{message.TypeWatchResponse}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		t.exempt = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.Run(time.Second)
 		t.isolated = true
 		t.restart()
-		return t.replay(func() bool { return t.m.version != 0 }, l)
+		return t.replay(func() bool { return t.m.version != 0 }, forge)
 	}},
-	{"Roll", []message.Type{message.TypeMemberList}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
+	{"MemberList", []message.Type{message.TypeMemberList}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		t.Run(time.Second)
 		t.isolated = true
 		t.restart()
-		return t.replay(func() bool { return len(t.m.controlNode.Members()) > 0 }, l)
+		return t.replay(func() bool { return len(t.m.controlNode.Members()) > 0 }, forge)
 	}},
-	{"Done", []message.Type{message.TypeCommitted}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
+	{"Committed", []message.Type{message.TypeCommitted}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		t.putNext(t.m)
 		t.isolated = true
 		t.restart()
 		c := t.PutVersion(t.m, t.version+3)
-		return t.replay(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, forge)
 	}},
-	{"Conflict", []message.Type{message.TypeConflict}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
+	{"Conflict", []message.Type{message.TypeConflict}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		c := t.Put(t.m, t.version, "another")
-		t.eventually("that is a conflict", time.Second, func() bool { return c.Conflict })
+		t.eventually("the put is rejected as a conflict", time.Second, func() bool { return c.Conflict })
 		t.isolated = true
 		t.restart()
 		c = t.PutVersion(t.m, t.version+3)
-		return t.replay(func() bool { return c.Conflict }, l)
+		return t.replay(func() bool { return c.Conflict }, forge)
 	}},
-	{"Copy", []message.Type{message.TypeReadResult}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
+	{"ReadResult", []message.Type{message.TypeReadResult}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		c := t.Read(t.m)
 		t.eventually("it is read", time.Second, func() bool { return c.Acknowledged })
 		t.isolated = true
 		t.restart()
 		c = t.Read(t.m)
-		return t.replay(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, forge)
 	}},
-	{"Reformed", []message.Type{message.TypeChangeMembersResult}, forgeIncarnation, func(t *recording,
-		l forgeFunc) bool {
+	{"ChangeMembersResult", []message.Type{message.TypeChangeMembersResult}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
 		t.ChangeMembers(t.m, "", "")
 		t.Run(time.Second)
 		t.isolated = true
 		t.restart()
 		o := t.ChangeMembers(t.m, "", "")
-		return t.replay(func() bool { return o.Answer != nil }, l)
+		return t.replay(func() bool { return o.Answer != nil }, forge)
 	}},
-	{"Refuse", []message.Type{message.TypeReject}, forgeIncarnation, func(t *recording, l forgeFunc) bool {
-		t.withheld = []message.Type{message.TypeWatchResponse} // it doesn't know the head
+	{"Reject", []message.Type{message.TypeReject}, forgeIncarnation, func(t *recording,
+		forge forgeFunc) bool {
+		t.withheld = []message.Type{message.TypeWatchResponse} // so that it does not learn the head
 		t.PutVersion(t.m, t.version+3)
 		t.Run(time.Second)
 		t.exempt = []message.Type{message.TypeAnnounce, message.TypeMemberList}
 		t.isolated = true
 		t.restart()
 		t.PutVersion(t.m, t.version+3)
-		return t.replay(func() bool { return t.m.epoch != 0 }, l)
+		return t.replay(func() bool { return t.m.epoch != 0 }, forge)
 	}},
-	// A tail that is cut off would count what it was told before as a quorum, and read what is old.
-	{"Confirmed", []message.Type{message.TypeEpochConfirmed}, forgeIncarnationAndEpoch, func(t *recording,
-		l forgeFunc) bool {
+	// An isolated tail would count earlier confirmations as a quorum, and serve a stale read.
+	{"EpochConfirmed", []message.Type{message.TypeEpochConfirmed}, forgeIncarnationAndEpoch, func(t *recording,
+		forge forgeFunc) bool {
 		t.awaitServing("z3-1")
 		t.readVersion(t.m)
 		t.restart()
@@ -190,17 +203,16 @@
 		t.isolated = true
 		t.putNext(t.Machine("z1-1"))
 		c := t.Read(t.m)
-		return t.replay(func() bool { return c.Acknowledged }, l)
+		return t.replay(func() bool { return c.Acknowledged }, forge)
 	}},
-	// A machine alone would put a view into service.
+	// An isolated machine would activate a view by itself.
 	{
-		"Promise and Installed",
+		"Promise and ViewInstalled",
 		[]message.Type{message.TypePromise, message.TypeViewInstalled},
 		forgeIncarnationAndEpoch,
-		func(t *recording,
-			l forgeFunc) bool {
+		func(t *recording, forge forgeFunc) bool {
 			t.awaitServing("z1-1")
-			b, c := t.Machine("z2-1"), t.Machine("z3-1") // they serve nothing: it is the one to propose a view
+			b, c := t.Machine("z2-1"), t.Machine("z3-1") // neither serves, so this machine proposes the view
 			t.Cut(b, c, true)
 			for _, m := range []*Machine{b, c} {
 				m.Kill()
@@ -209,12 +221,12 @@
 			t.exempt = []message.Type{message.TypeHeartbeat}
 			t.isolated = true
 			t.restart()
-			return t.replay(func() bool { return t.m.Replica().State() == replica.StateServing }, l)
+			return t.replay(func() bool { return t.m.Replica().State() == replica.StateServing }, forge)
 		},
 	},
 }
 
-// serves waits until a machine is in service with the two others.
+// awaitServing waits until a machine serves in a view with the two others.
 func (t *recording) awaitServing(name string) {
 	t.t.Helper()
 	t.eventually(name+" serves", 6*time.Second, func() bool {
@@ -222,7 +234,8 @@
 	})
 }
 
-// recorded is a cluster in which a machine has just been started again, with its answers on tape.
+// newRecording starts a cluster, records responses of some types to a machine and restarts that machine. The
+// types determine which machine it is.
 func newRecording(t *testing.T, kinds []message.Type) *recording {
 	s := startScenario(t, 1)
 	name := "z1-2"
@@ -234,43 +247,43 @@
 	}
 	s.Run(2 * time.Second)
 	r := s.record(name, kinds...)
-	if kinds[0] == message.TypePromise { // all at once: otherwise those who serve take it in
+	if kinds[0] == message.TypePromise { // restart all, as replicas that serve would add it to their view
 		s.restartAll()
 	}
 	r.restart()
 	return r
 }
 
-// Given a process that was started again, or another one that has its address, when answers to its earlier
-// life come late under the same calls, then they do nothing. Were lives not told apart, each would.
+// Late responses to an earlier incarnation of a restarted process, with the same request IDs, must have no
+// effect. If incarnations were not distinguished, each type of response would have one.
 func TestResponsesToAnEarlierIncarnationAreIgnored(t *testing.T) {
 	tried := []message.Type{message.TypeBootstrapPromise, message.TypeBootstrapAccepted, // see the next test
-		message.TypeTokenGrant} // is the limiter's: see its tests
+		message.TypeTokenGrant} // handled by the rate limiter and covered by its tests
 	for _, c := range lateResponses {
 		tried = append(tried, c.kinds...)
 		t.Run(c.name, func(t *testing.T) {
-			if c.play(newRecording(t, c.kinds), nil) {
-				t.Error("an answer to an earlier life was taken")
+			if c.run(newRecording(t, c.kinds), nil) {
+				t.Error("a response to an earlier incarnation was accepted")
 			}
-			if !c.play(newRecording(t, c.kinds), c.defect) {
-				t.Error("the seeded defect is not found: the test can't fail")
+			if !c.run(newRecording(t, c.kinds), c.defect) {
+				t.Error("the injected defect is not detected: the test cannot fail")
 			}
 		})
 	}
-	for asks, kinds := range message.ResponseTypes {
+	for request, kinds := range message.ResponseTypes {
 		for _, k := range kinds {
 			if !slices.Contains(tried, k) {
-				t.Errorf("%d, an answer to %d, is not tried", k, asks)
+				t.Errorf("type %d, a response to %d, is not covered", k, request)
 			}
 		}
 	}
 }
 
-// Given a first start in which a seed is killed before its own pledge is on disk, when it proposes again
-// under the same ballot, then pledges and votes that its earlier incarnation was given count for nothing.
-// Counted, they would have it hand out another core under a ballot that may be decided.
+// In a first start, a seed is killed before its own promise is on disk, and proposes again under the same
+// ballot. Promises and votes that its earlier incarnation received must not count: with them it would
+// distribute a different core under a ballot that may already be decided.
 func TestVotesForAnEarlierIncarnationElectNoCore(t *testing.T) {
-	play := func(forge forgeFunc) (drafts, named bool) {
+	run := func(forge forgeFunc) (proposed, formed bool) {
 		s := &scenario{New(Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: 7}),
 			t,
 			0}
@@ -278,37 +291,38 @@
 		r.withheld = []message.Type{message.TypeBootstrapAccepted}
 		r.m.SetSyncTime(2 * time.Second)
 		s.StartAll()
-		s.eventually("two seeds have the draft", 3*time.Second, func() bool { return len(r.responses) == 4 })
+		s.eventually("both other seeds have accepted the proposal", 3*time.Second,
+			func() bool { return len(r.responses) == 4 })
 		r.exempt = []message.Type{message.TypeAnnounce}
 		r.isolated = true
-		r.m.SetSyncTime(r.SyncTime) // it says that it is there once its disk's id is on it
-		r.firstStart()              // its disk had nothing yet
-		named = r.replay(func() bool { return len(r.m.controlNode.Members()) > 0 }, forge)
+		r.m.SetSyncTime(r.SyncTime) // it announces itself once its disk's ID is saved
+		r.firstStart()              // its disk was still empty
+		formed = r.replay(func() bool { return len(r.m.controlNode.Members()) > 0 }, forge)
 		return slices.ContainsFunc(r.sent,
-			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept }), named
+			func(m *message.Message) bool { return m.Type() == message.TypeBootstrapAccept }), formed
 	}
-	if drafts, named := play(nil); drafts || named {
-		t.Errorf("drafts %v, named %v by votes for an earlier life", drafts, named)
+	if proposed, formed := run(nil); proposed || formed {
+		t.Errorf("proposed %v, formed a core %v with votes for an earlier incarnation", proposed, formed)
 	}
-	if drafts, named := play(forgeIncarnation); !drafts || !named {
-		t.Errorf("drafts %v, named %v: the seeded defect is not found", drafts, named)
+	if proposed, formed := run(forgeIncarnation); !proposed || !formed {
+		t.Errorf("proposed %v, formed a core %v: the injected defect is not detected", proposed, formed)
 	}
 }
 
-// Given a machine that took a view, accepted more in it and was started again, when the view comes once more,
-// then what it accepted stays on its disk. One that took it again would drop it.
+// A replica installs a view, accepts a change in it and restarts, and the view's installation is delivered
+// once more. The accepted change must stay on its disk; installing the view again would drop it.
 func TestRedeliveredViewDropsNothing(t *testing.T) {
-	if kept, acked := redeliverView(t, 0); kept != acked {
-		t.Errorf("r%d is on its disk, r%d was acknowledged", kept, acked)
+	if stored, acknowledged := redeliverView(t, 0); stored != acknowledged {
+		t.Errorf("r%d is stored, r%d was acknowledged", stored, acknowledged)
 	}
-	if kept, acked := redeliverView(t, 1); kept == acked { // as if it were another
-		t.Error("the seeded defect is not found")
+	if stored, acknowledged := redeliverView(t, 1); stored == acknowledged { // as if it were another view
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// viewAgain has a view come once more, under an epoch that is higher by some, and returns what is on the disk
-// and what was acknowledged.
-func redeliverView(t *testing.T, epochOffset uint64) (kept, acked uint64) {
+// redeliverView delivers a view's installation once more, with epochOffset added to its epoch. It returns the
+// version on the replica's disk and the acknowledged version.
+func redeliverView(t *testing.T, epochOffset uint64) (stored, acknowledged uint64) {
 	s := startScenario(t, 1)
 	m := s.Machine("z2-1")
 	var views []recordedMessage
@@ -320,7 +334,7 @@
 	}
 	m.Kill()
 	m.Start()
-	s.eventually("it is in a view again", 6*time.Second, func() bool {
+	s.eventually("it serves in a view again", 6*time.Second, func() bool {
 		return m.Replica().ServingWithQuorum() && len(s.Chain()) == 3
 	})
 	before := message.NewDelta(m.stored.Config, 0, nil)
@@ -331,15 +345,17 @@
 	for _, v := range views {
 		install := v.m.Body.(*message.InstallView)
 		install.Epoch += epochOffset
-		install.Config, install.AcceptedDelta = before, accepted // as it is sent to one that had not told what it has
+		// As sent to a replica that has not reported its state.
+		install.Config, install.AcceptedDelta = before, accepted
 		s.deliver(v.from, Delivery{To: m.node.Addr, Message: v.m})
 	}
 	s.Run(100 * time.Millisecond)
 	return m.stored.Version, s.version
 }
 
-// networkNoise has messages overtaken, come twice, some of them seconds late, and answers come to others,
-// too. Blind plays a program that doesn't tell whose answer it is: it takes those for its own.
+// networkNoise returns a network that reorders and duplicates messages, some of them seconds late, and also
+// delivers responses to wrong machines. With misattribute, these carry the wrong receiver's incarnation, as
+// if receivers did not check it.
 func networkNoise(seed uint64, misattribute bool) func(from, to string, m *message.Message) []Delivery {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	var addrs []string
@@ -353,7 +369,7 @@
 		}
 		all := []Delivery{{To: to, Message: m}}
 		late := 4 * time.Second
-		if m.Type() == message.TypeHeartbeat { // nobody would be missed
+		if m.Type() == message.TypeHeartbeat { // otherwise failures would not be detected
 			late = 200 * time.Millisecond
 		}
 		switch rng.IntN(10) {
@@ -374,7 +390,8 @@
 	}
 }
 
-// noisy draws a history and races with noise, and returns what went wrong.
+// runWithNoise runs a random history and races with network noise. It returns a description of the failure,
+// "" if there is none.
 func runWithNoise(seed uint64, misattribute bool) string {
 	o := Options{Zones: 3, ReplicasPerZone: 1, GatewaysPerZone: 1, SurviveMachines: 1, Seed: seed,
 		Network: networkNoise(seed, misattribute)}
@@ -385,8 +402,9 @@
 	return runRaces(o)
 }
 
-// Given any history of faults, when messages come late, twice, overtaken and to others, then no promise is
-// broken, and all that was acknowledged is there.
+// Under random faults, messages are delayed, duplicated, reordered and misdelivered. No invariant may be
+// violated, and everything acknowledged must be readable. The injected defect, a program that accepts
+// responses to others, must be detected.
 func TestRandomNetworkNoise(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(12) {
@@ -400,12 +418,13 @@
 		found++
 	}
 	if found == limit {
-		t.Error("a program that takes others' answers is not found out")
+		t.Error("not detected: a program that accepts responses to others")
 	}
 }
 
-// Given a machine that was left out of a view and knows it, when it hears once more that its old one is in
-// service, then it does not go back to it. One that doesn't look at what others say is found.
+// A replica that was excluded from a view, and knows it, receives the activation of its old view again. It
+// must not return to that view. The injected defect, a replica that ignores the epochs in others'
+// heartbeats, must be detected.
 func TestOldViewIsNotActivatedAgain(t *testing.T) {
 	returnsToOldView := func(ignoreHeartbeats bool) bool {
 		s := startScenario(t, 1)
@@ -428,9 +447,9 @@
 		s.Run(2 * time.Second)
 		isolated = true
 		s.Isolate(m, true)
-		s.eventually("the others go on", 4*time.Second, func() bool { return len(s.Chain()) == 2 })
+		s.eventually("the others serve without it", 4*time.Second, func() bool { return len(s.Chain()) == 2 })
 		s.HealAll()
-		s.Run(170 * time.Millisecond) // it has heard them, and would not have asked for another view yet
+		s.Run(170 * time.Millisecond) // it has received their heartbeats, and does not propose another view yet
 		for _, l := range activations {
 			s.deliver(l.from, Delivery{To: m.node.Addr, Message: l.m})
 		}
@@ -440,15 +459,16 @@
 		return m.Replica().State() == replica.StateServing && epoch < serving
 	}
 	if returnsToOldView(false) {
-		t.Error("it is in service in a view that is over")
+		t.Error("it serves in an outdated view")
 	}
 	if !returnsToOldView(true) {
-		t.Error("the seeded defect is not found")
+		t.Error("the injected defect is not detected")
 	}
 }
 
-// Given a machine that asks for news, when a question comes again after the next one, then the next one is
-// answered all the same, and nobody else need be asked. A late one that is taken for new is found.
+// A copy of a gateway's watch request arrives after its next one. The next one must still be answered, so
+// that the gateway need not watch another replica. The injected defect, a late copy that counts as a new
+// request, must be detected.
 func TestLateWatchDoesNotReplaceTheNext(t *testing.T) {
 	requestsToOthers := func(acceptLate bool) (n int) {
 		s := startScenario(t, 1)
@@ -473,9 +493,9 @@
 		return n
 	}
 	if n := requestsToOthers(false); n > 0 {
-		t.Errorf("asked others %d times", n)
+		t.Errorf("%d watches of other replicas", n)
 	}
 	if requestsToOthers(true) == 0 {
-		t.Error("the seeded defect is not found")
+		t.Error("the injected defect is not detected")
 	}
 }
