--- a/bearer/bearer.go
+++ b/bearer/bearer.go
@@ -1,7 +1,8 @@
-// Package bearer decides whether an access token lets a request through: its scopes, audience and issuer
-// (RFC 6750, 9068), whether it is the sender's own (RFC 8705, 9449), and how its subject was authenticated
-// (RFC 9470). It knows neither clock nor wire: it is told what an authorization server says of the token,
-// and what came with the request. The daemon and the middleware use the same text of it.
+// Package bearer decides whether an access token authorizes a request. It checks the token's scopes, audience
+// and issuer (RFC 6750, 9068), its binding to the sender (RFC 8705, 9449), and how its subject was
+// authenticated (RFC 9470). It reads no clock and does no I/O: the caller passes the time, the claims that
+// the authorization server reported and the credentials of the request. The daemon and the middleware share
+// this package.
 package bearer
 
 import (
@@ -17,21 +18,21 @@
 	"time"
 )
 
-// Requirement is what a token must have for one class of requests. The zero Requirement takes any active
-// token that is not bound to a key or a certificate, or is shown with it.
+// Requirement is what a token must satisfy for one class of requests. The zero Requirement accepts any active
+// token that is unbound, or that is presented with the key or certificate that it is bound to.
 type Requirement struct {
-	Scopes    []string      // all of them
-	Audiences []string      // one of them; none named: any
-	Issuers   []string      // one of them; none named: any
-	Bound     bool          // only tokens bound to the sender, by certificate or DPoP
-	DPoP      bool          // only DPoP
-	ACR       []string      // one of them must be the token's "acr" (RFC 9470); none named: any
-	MaxAge    time.Duration // since the subject was authenticated; 0: any
+	Scopes    []string      // all are required
+	Audiences []string      // one must match; empty accepts any
+	Issuers   []string      // one must match; empty accepts any
+	Bound     bool          // accept only tokens bound to the sender, by certificate or DPoP
+	DPoP      bool          // accept only tokens bound by DPoP
+	ACR       []string      // one must equal the token's "acr" (RFC 9470); empty accepts any
+	MaxAge    time.Duration // since the subject was authenticated; zero means no limit
 	Realm     string        // for challenges
-	Skew      time.Duration // by which clocks may differ; 0: 5 s
+	Skew      time.Duration // tolerated clock difference; zero means 5 s
 }
 
-// Claims are what is known of a token that is used here. Others are left alone.
+// Claims are the claims of a token that this package evaluates. All others are ignored.
 type Claims struct {
 	Active   bool     `json:"active"`
 	Scope    string   `json:"scope"`
@@ -49,10 +50,10 @@
 	} `json:"cnf"`
 }
 
-// audience is a text or a list of texts.
+// audience is the claim "aud": a string or a list of strings.
 type audience []string
 
-// UnmarshalJSON reads either.
+// UnmarshalJSON decodes either form.
 func (a *audience) UnmarshalJSON(text []byte) error {
 	var one string
 	if json.Unmarshal(text, &one) == nil {
@@ -62,10 +63,11 @@
 	return json.Unmarshal(text, (*[]string)(a))
 }
 
-// ErrClaims says that what an authorization server told can't be read.
+// ErrClaims reports that the claims from an authorization server could not be decoded.
 var ErrClaims = errors.New("bearer: malformed claims")
 
-// ParseClaims reads an answer of introspection, or the payload of a JWT access token.
+// ParseClaims decodes an introspection response or the payload of a JWT access token. An error wraps
+// ErrClaims.
 func ParseClaims(text []byte) (Claims, error) {
 	var c Claims
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -74,18 +76,19 @@
 	return c, nil
 }
 
-// Shown is what came with a request.
+// Shown holds the credentials of one request.
 type Shown struct {
 	Scheme      string // "Bearer" or "DPoP"
 	Token       string
-	Proofs      []string // values of the header DPoP
+	Proofs      []string // values of the DPoP header
 	Method      string
 	URL         string // of the request, without query and fragment
-	Certificate []byte // DER, of the client's side of TLS; nil: none
+	Certificate []byte // TLS client certificate in DER; nil if there is none
 }
 
-// Read reads what came with a request. base is what the URLs that proofs name begin with, where a balancer
-// ends TLS before this program; empty: as the request was asked.
+// Read extracts the credentials from a request. base is the public base URL that DPoP proofs name, needed
+// where a load balancer terminates TLS in front of this program; if empty, the scheme and host of the request
+// are used.
 func Read(r *http.Request, base string) (Shown, *Refusal) {
 	values := r.Header.Values("Authorization")
 	if len(values) == 0 {
@@ -100,7 +103,7 @@
 	case strings.EqualFold(scheme, "DPoP"):
 		s.Scheme = "DPoP"
 	}
-	if len(values) > 1 || s.Scheme == "" || !syntactic(token) {
+	if len(values) > 1 || s.Scheme == "" || !validTokenSyntax(token) {
 		return Shown{}, &Refusal{Status: http.StatusBadRequest, Code: "invalid_request", scheme: "Bearer",
 			Description: "want one header with one bearer token"}
 	}
@@ -118,8 +121,8 @@
 	return s, nil
 }
 
-// syntactic reports whether a token has the form b64token of RFC 6750, 2.1.
-func syntactic(token string) bool {
+// validTokenSyntax reports whether a token matches the b64token syntax of RFC 6750, 2.1.
+func validTokenSyntax(token string) bool {
 	rest := strings.TrimRight(token, "=")
 	return rest != "" && strings.IndexFunc(rest, func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
@@ -127,17 +130,17 @@
 	}) < 0
 }
 
-// Refusal is why a request is not let through.
+// Refusal describes why a request is rejected.
 type Refusal struct {
 	Status      int
-	Code        string // of RFC 6750, 3.1, 9449 and 9470; empty: no token was shown
+	Code        string // from RFC 6750, 3.1, 9449 or 9470; empty if the request had no token
 	Description string
 	scheme      string
 	realm       string
 	extra       string
 }
 
-// Body is the JSON that goes with the refusal, as RFC 6749, 5.2 has it.
+// Body returns the JSON error response for the refusal (RFC 6749, 5.2).
 func (r *Refusal) Body() []byte {
 	code, description := r.Code, r.Description
 	if code == "" {
@@ -147,10 +150,10 @@
 	return text
 }
 
-// Error tells the code and the description.
+// Error returns the code and the description.
 func (r *Refusal) Error() string { return "bearer: " + r.Code + ": " + r.Description }
 
-// Challenge is the value of WWW-Authenticate that goes with the refusal.
+// Challenge returns the value of the WWW-Authenticate header for the refusal.
 func (r *Refusal) Challenge() string {
 	var b strings.Builder
 	b.WriteString(r.scheme)
@@ -170,14 +173,14 @@
 	return b.String()
 }
 
-// Check reports why a token does not let a request through at a moment of Unix time, or nil. The proofs of
-// DPoP are shown to the memory, which must not be nil where tokens may be bound to keys.
+// Check returns nil if the token authorizes the request at the Unix time now, or the reason why it does not.
+// It records DPoP proofs in m to detect replays; with a nil m, every token bound to a key is rejected.
 func (q Requirement) Check(now time.Duration, c Claims, s Shown, m *Memory) *Refusal {
 	scheme := s.Scheme
 	if q.DPoP || c.Bound.Key != "" {
 		scheme = "DPoP"
 	}
-	no := func(status int, code, description string) *Refusal {
+	refuse := func(status int, code, description string) *Refusal {
 		r := &Refusal{Status: status, Code: code, Description: description, scheme: scheme, realm: q.Realm}
 		if scheme == "DPoP" {
 			r.extra = `algs="` + strings.Join(DPoPAlgorithms(), " ") + `"`
@@ -185,7 +188,7 @@
 		return r
 	}
 	invalid := func(description string) *Refusal {
-		return no(http.StatusUnauthorized, "invalid_token", description)
+		return refuse(http.StatusUnauthorized, "invalid_token", description)
 	}
 	skew := q.Skew
 	if skew == 0 {
@@ -205,63 +208,66 @@
 	}):
 		return invalid("the token is for another audience")
 	}
-	if r := q.binding(now, c, s, m, skew, no); r != nil {
+	if r := q.checkBinding(now, c, s, m, skew, refuse); r != nil {
 		return r
 	}
 	granted := strings.Fields(c.Scope)
 	for _, scope := range q.Scopes {
 		if !slices.Contains(granted, scope) {
-			r := no(http.StatusForbidden, "insufficient_scope", "the token lacks a scope")
+			r := refuse(http.StatusForbidden, "insufficient_scope", "the token lacks a scope")
 			r.add(`scope="` + strings.Join(q.Scopes, " ") + `"`)
 			return r
 		}
 	}
-	return q.stepUp(now, c, skew, no)
+	return q.checkAuthentication(now, c, skew, refuse)
 }
 
-// binding checks that the token is the sender's own.
-func (q Requirement) binding(now time.Duration, c Claims, s Shown, m *Memory, skew time.Duration,
-	no func(int, string, string) *Refusal) *Refusal {
+// checkBinding checks that the token is presented with the certificate or key that it is bound to.
+func (q Requirement) checkBinding(now time.Duration, c Claims, s Shown, m *Memory, skew time.Duration,
+	refuse func(int, string, string) *Refusal) *Refusal {
 	if want := c.Bound.Certificate; want != "" {
 		sum := sha256.Sum256(s.Certificate)
 		if s.Certificate == nil || base64.RawURLEncoding.EncodeToString(sum[:]) != want {
-			return no(http.StatusUnauthorized, "invalid_token", "the token is bound to another certificate")
+			return refuse(http.StatusUnauthorized, "invalid_token", "the token is bound to another certificate")
 		}
 	}
 	switch {
 	case c.Bound.Key != "" && s.Scheme != "DPoP":
-		return no(http.StatusUnauthorized, "invalid_token", "the token is bound to a key: show it by DPoP")
+		return refuse(http.StatusUnauthorized, "invalid_token", "the token is bound to a key: show it by DPoP")
 	case c.Bound.Key == "" && s.Scheme == "DPoP":
-		return no(http.StatusUnauthorized, "invalid_token", "the token is not bound to a key")
+		return refuse(http.StatusUnauthorized, "invalid_token", "the token is not bound to a key")
 	case c.Bound.Key == "" && q.DPoP, c.Bound.Key == "" && c.Bound.Certificate == "" && q.Bound:
-		return no(http.StatusUnauthorized, "invalid_token", "only tokens that are bound to their sender are taken")
+		return refuse(http.StatusUnauthorized, "invalid_token",
+			"only tokens that are bound to their sender are taken")
 	case c.Bound.Key != "":
 		if err := checkProof(now, s, c.Bound.Key, skew, m); err != nil {
-			return no(http.StatusUnauthorized, "invalid_dpop_proof", err.Error())
+			return refuse(http.StatusUnauthorized, "invalid_dpop_proof", err.Error())
 		}
 	}
 	return nil
 }
 
-// stepUp asks for a better authentication of the subject (RFC 9470, 3).
-func (q Requirement) stepUp(now time.Duration, c Claims, skew time.Duration,
-	no func(int, string, string) *Refusal) *Refusal {
-	level := len(q.ACR) == 0 || slices.Contains(q.ACR, c.ACR)
-	fresh := q.MaxAge == 0 || c.AuthTime > 0 && now.Seconds()-c.AuthTime <= (q.MaxAge+skew).Seconds()
-	if level && fresh {
+// checkAuthentication checks how and how recently the subject was authenticated, and requests a step-up
+// authentication if that does not suffice (RFC 9470, 3).
+func (q Requirement) checkAuthentication(now time.Duration, c Claims, skew time.Duration,
+	refuse func(int, string, string) *Refusal) *Refusal {
+	acrSatisfied := len(q.ACR) == 0 || slices.Contains(q.ACR, c.ACR)
+	recentEnough := q.MaxAge == 0 || c.AuthTime > 0 && now.Seconds()-c.AuthTime <= (q.MaxAge+skew).Seconds()
+	if acrSatisfied && recentEnough {
 		return nil
 	}
-	r := no(http.StatusUnauthorized, "insufficient_user_authentication",
+	r := refuse(http.StatusUnauthorized, "insufficient_user_authentication",
 		"a stronger or more recent authentication is needed")
-	if !level {
+	if !acrSatisfied {
 		r.add(`acr_values="` + strings.Join(q.ACR, " ") + `"`)
 	}
-	if !fresh {
+	if !recentEnough {
 		r.add(`max_age="` + strconv.Itoa(int(q.MaxAge.Seconds())) + `"`)
 	}
 	return r
 }
 
+// add appends a parameter to the challenge.
 func (r *Refusal) add(param string) {
 	if r.extra != "" {
 		r.extra += ", "
--- a/bearer/bearer_test.go
+++ b/bearer/bearer_test.go
@@ -19,7 +19,8 @@
 
 const now = 1_800_000_000 * time.Second
 
-// want says which refusal is wanted: its status, and parts of the challenge.
+// want is the expected refusal: its status (zero if the request is authorized) and a substring of its
+// challenge.
 type want struct {
 	status int
 	parts  string
@@ -29,7 +30,7 @@
 	t.Helper()
 	if got == nil {
 		if w.status != 0 {
-			t.Errorf("%s: let through, want %d", name, w.status)
+			t.Errorf("%s: authorized, want status %d", name, w.status)
 		}
 		return
 	}
@@ -56,30 +57,30 @@
 	}
 	const good = `{"active":true,"scope":"pay read x","aud":["https://api","y"],"iss":"https://as",
 		"acr":"silver","auth_time":1799999990,"exp":1800000001}`
-	but := func(old, new string) string { return strings.Replace(good, old, new, 1) }
+	altered := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for name, c := range map[string]struct {
 		q    Requirement
 		text string
 		want want
 	}{
-		"all there":       {full, good, want{}},
-		"nothing asked":   {Requirement{}, `{"active":true}`, want{}},
+		"all satisfied":   {full, good, want{}},
+		"no requirement":  {Requirement{}, `{"active":true}`, want{}},
 		"not active":      {Requirement{}, `{"active":false}`, want{401, `error="invalid_token"`}},
-		"nothing known":   {Requirement{}, `{}`, want{401, `error="invalid_token"`}},
-		"over":            {full, but("1800000001", "1800000000"), want{401, `realm="bank", error=`}},
-		"not yet":         {full, but(`"acr"`, `"nbf":1800000006,"acr"`), want{401, "not valid yet"}},
-		"clocks differ":   {full, but(`"acr"`, `"nbf":1800000005,"acr"`), want{}},
-		"no scope":        {full, but("pay ", ""), want{403, `error="insufficient_scope"`}},
-		"scope is told":   {full, but("pay ", ""), want{403, `scope="read pay"`}},
-		"part of a scope": {full, but("pay ", "pays "), want{403, `error="insufficient_scope"`}},
-		"audience":        {full, but("https://api", "https://apis"), want{401, "another audience"}},
-		"one audience":    {full, but(`["https://api","y"]`, `"https://api"`), want{}},
-		"no audience":     {full, but(`"aud":["https://api","y"],`, ""), want{401, "another audience"}},
-		"issuer":          {full, but("https://as", "https://b"), want{401, "another issuer"}},
-		"acr":             {full, but("silver", "tin"), want{401, `error="insufficient_user_authentication"`}},
-		"acr is told":     {full, but("silver", "tin"), want{401, `acr_values="gold silver"`}},
-		"long ago":        {full, but("1799999990", "1799999934"), want{401, `max_age="60"`}},
-		"age not told":    {full, but(`"auth_time":1799999990,`, ""), want{401, `max_age="60"`}},
+		"no claims":       {Requirement{}, `{}`, want{401, `error="invalid_token"`}},
+		"expired":         {full, altered("1800000001", "1800000000"), want{401, `realm="bank", error=`}},
+		"not yet valid":   {full, altered(`"acr"`, `"nbf":1800000006,"acr"`), want{401, "not valid yet"}},
+		"clock skew":      {full, altered(`"acr"`, `"nbf":1800000005,"acr"`), want{}},
+		"no scope":        {full, altered("pay ", ""), want{403, `error="insufficient_scope"`}},
+		"scope reported":  {full, altered("pay ", ""), want{403, `scope="read pay"`}},
+		"part of a scope": {full, altered("pay ", "pays "), want{403, `error="insufficient_scope"`}},
+		"audience":        {full, altered("https://api", "https://apis"), want{401, "another audience"}},
+		"one audience":    {full, altered(`["https://api","y"]`, `"https://api"`), want{}},
+		"no audience":     {full, altered(`"aud":["https://api","y"],`, ""), want{401, "another audience"}},
+		"issuer":          {full, altered("https://as", "https://b"), want{401, "another issuer"}},
+		"acr":             {full, altered("silver", "tin"), want{401, `error="insufficient_user_authentication"`}},
+		"acr reported":    {full, altered("silver", "tin"), want{401, `acr_values="gold silver"`}},
+		"too old":         {full, altered("1799999990", "1799999934"), want{401, `max_age="60"`}},
+		"no auth_time":    {full, altered(`"auth_time":1799999990,`, ""), want{401, `max_age="60"`}},
 		"must be bound":   {Requirement{Bound: true}, `{"active":true}`, want{401, "bound to their sender"}},
 		"must be DPoP":    {Requirement{DPoP: true}, `{"active":true}`, want{401, `DPoP error="invalid_token"`}},
 	} {
@@ -87,7 +88,7 @@
 	}
 	for _, text := range []string{"", "[]", `{"aud":7}`, `{"scope":[]}`} {
 		if _, err := ParseClaims([]byte(text)); err == nil {
-			t.Errorf("%q is read", text)
+			t.Errorf("%q: parsed, want an error", text)
 		}
 	}
 }
@@ -104,7 +105,7 @@
 	check(t, "none", Requirement{}.Check(now, c, Shown{Scheme: "Bearer"}, nil), want{401, "another certificate"})
 }
 
-// prover makes proofs.
+// prover signs DPoP proofs with its key.
 type prover struct {
 	t   testing.TB
 	key *ecdsa.PrivateKey
@@ -112,7 +113,7 @@
 
 func newProver(t testing.TB) prover { return prover{t, sign.Key(t)} }
 
-func (p prover) print() string {
+func (p prover) thumbprint() string {
 	sum, err := (&jose.JSONWebKey{Key: &p.key.PublicKey}).Thumbprint(crypto.SHA256)
 	if err != nil {
 		p.t.Fatal(err)
@@ -136,13 +137,13 @@
 			"ath": base64.RawURLEncoding.EncodeToString(sum[:]),
 		}
 	}
-	but := func(name string, v any) string {
+	altered := func(name string, v any) string {
 		c := good()
 		c[name] = v
 		return p.prove("dpop+jwt", c)
 	}
 	c := Claims{Active: true}
-	c.Bound.Key = p.print()
+	c.Bound.Key = p.thumbprint()
 	shown := func(proofs ...string) Shown {
 		return Shown{Scheme: "DPoP", Token: "tok", Method: "POST", URL: "https://api.example/pay", Proofs: proofs}
 	}
@@ -156,22 +157,22 @@
 	}{
 		{"good", shown(once), want{}},
 		{"replayed", shown(once), want{401, "shown before"}},
-		{"written otherwise", shown(but("htu", "HTTPS://API.example:443/pay?x=1#y")), want{}},
-		{"a little old", shown(but("iat", now.Seconds()-60)), want{}},
-		{"a clock 5 s off", shown(but("iat", now.Seconds()+5)), want{}},
+		{"equivalent URL", shown(altered("htu", "HTTPS://API.example:443/pay?x=1#y")), want{}},
+		{"oldest accepted", shown(altered("iat", now.Seconds()-60)), want{}},
+		{"issued 5 s ahead", shown(altered("iat", now.Seconds()+5)), want{}},
 		{"none", shown(), bad},
 		{"two", shown(p.prove("dpop+jwt", good()), p.prove("dpop+jwt", good())), bad},
 		{"alg none", shown(none), bad},
 		{"another's", shown(stranger.prove("dpop+jwt", good())), want{401, "another key"}},
 		{"another type", shown(p.prove("JWT", good())), bad},
-		{"another method", shown(but("htm", "GET")), want{401, "another request"}},
-		{"another path", shown(but("htu", "https://api.example/other")), want{401, "another request"}},
-		{"another token", shown(but("ath", "x")), want{401, "another request or token"}},
-		{"too old", shown(but("iat", now.Seconds()-66)), want{401, "not of this time"}},
-		{"of the future", shown(but("iat", now.Seconds()+6)), want{401, "not of this time"}},
-		{"no jti", shown(but("jti", "")), bad},
-		{"too long", shown(but("x", strings.Repeat("x", proofMost))), bad},
-		{"as a mere bearer", Shown{Scheme: "Bearer", Token: "tok"}, want{401, "show it by DPoP"}},
+		{"another method", shown(altered("htm", "GET")), want{401, "another request"}},
+		{"another path", shown(altered("htu", "https://api.example/other")), want{401, "another request"}},
+		{"another token", shown(altered("ath", "x")), want{401, "another request or token"}},
+		{"too old", shown(altered("iat", now.Seconds()-66)), want{401, "not of this time"}},
+		{"issued in the future", shown(altered("iat", now.Seconds()+6)), want{401, "not of this time"}},
+		{"no jti", shown(altered("jti", "")), bad},
+		{"too long", shown(altered("x", strings.Repeat("x", maxProofBytes))), bad},
+		{"as a bearer token", Shown{Scheme: "Bearer", Token: "tok"}, want{401, "show it by DPoP"}},
 	} {
 		check(t, x.name, Requirement{}.Check(now, c, x.shown, memory), x.want)
 	}
@@ -179,37 +180,37 @@
 		want{401, "not bound to a key"})
 }
 
-// One key's flood of proofs fills its own part of the memory, and is then refused; others are not.
-func TestAFloodOfProofs(t *testing.T) {
+// Proofs of one key beyond the capacity of its shard are rejected, while another key's proof is accepted.
+func TestProofFloodFillsOnlyItsShard(t *testing.T) {
 	m := NewMemory(memoryShards * 10)
 	full := 0
 	for i := range 100 {
-		if m.show(now, "mine", string(rune('a'+i)), now+time.Minute) != 0 {
+		if m.record(now, "mine", string(rune('a'+i)), now+time.Minute) != 0 {
 			full++
 		}
 	}
-	if full != 90 || m.show(now, "other", "a", now+time.Minute) != 0 {
-		t.Errorf("%d of 100 turned away", full)
+	if full != 90 || m.record(now, "other", "a", now+time.Minute) != 0 {
+		t.Errorf("%d of 100 proofs rejected, want 90, and the other key's proof accepted", full)
 	}
 }
 
-func TestHeaders(t *testing.T) {
+func TestReadAuthorizationHeader(t *testing.T) {
 	for name, c := range map[string]struct {
 		headers []string
 		status  int
 		token   string
 	}{
-		"none":         {nil, 401, ""},
-		"bearer":       {[]string{"Bearer abc=="}, 0, "abc=="},
-		"any case":     {[]string{"bEARER abc"}, 0, "abc"},
-		"dpop":         {[]string{"DPoP abc"}, 0, "abc"},
-		"basic":        {[]string{"Basic YTpi"}, 400, ""},
-		"two":          {[]string{"Bearer a", "Bearer b"}, 400, ""},
-		"empty":        {[]string{"Bearer "}, 400, ""},
-		"two tokens":   {[]string{"Bearer a b"}, 400, ""},
-		"odd letters":  {[]string{`Bearer a"b`}, 400, ""},
-		"pad alone":    {[]string{"Bearer =="}, 400, ""},
-		"pad in front": {[]string{"Bearer =a"}, 400, ""},
+		"none":          {nil, 401, ""},
+		"bearer":        {[]string{"Bearer abc=="}, 0, "abc=="},
+		"any case":      {[]string{"bEARER abc"}, 0, "abc"},
+		"dpop":          {[]string{"DPoP abc"}, 0, "abc"},
+		"basic":         {[]string{"Basic YTpi"}, 400, ""},
+		"two":           {[]string{"Bearer a", "Bearer b"}, 400, ""},
+		"empty":         {[]string{"Bearer "}, 400, ""},
+		"two tokens":    {[]string{"Bearer a b"}, 400, ""},
+		"bad character": {[]string{`Bearer a"b`}, 400, ""},
+		"only padding":  {[]string{"Bearer =="}, 400, ""},
+		"pad in front":  {[]string{"Bearer =a"}, 400, ""},
 	} {
 		r := httptest.NewRequest(http.MethodGet, "https://api.example/pay?x=1", nil)
 		r.Header["Authorization"] = c.headers
@@ -228,7 +229,8 @@
 	}
 }
 
-// Whatever comes as a proof, one that the key did not sign lets nothing through.
+// A proof that was not signed with the key of the token never authorizes a request, whatever its content. A
+// challenge never contains a line break.
 func FuzzProof(f *testing.F) {
 	p, stranger := newProver(f), newProver(f)
 	f.Add(
@@ -239,7 +241,7 @@
 	)
 	f.Add("e30.e30.")
 	c := Claims{Active: true}
-	c.Bound.Key = p.print()
+	c.Bound.Key = p.thumbprint()
 	m := NewMemory(1 << 12)
 	f.Fuzz(func(t *testing.T, proof string) {
 		s := Shown{Scheme: "DPoP", Token: "t", Method: "GET", URL: "https://a/", Proofs: []string{proof}}
