--- a/front/introspect/answers.go
+++ b/front/introspect/answers.go
@@ -15,24 +15,25 @@
 )
 
 // jwtAnswer is the media type of signed answers (RFC 9701, 4).
-const jwtAnswer = "application/token-introspection+jwt"
+const signedMediaType = "application/token-introspection+jwt"
 
-// Signer signs answers (RFC 9701).
+// Signer signs introspection responses (RFC 9701).
 type Signer struct {
-	issuer string
-	signer jose.Signer
-	keys   []byte // the public ones, as a JWKS
-	names  []string
+	issuer     string
+	signer     jose.Signer
+	jwks       []byte // the public keys, as a JSON-encoded JWK set
+	algorithms []string
 }
 
-// NewSigner returns a signer for an issuer's name. The first key signs; all are told in the JWKS, so that a
-// new key can be known before it is used, and an old one for as long as answers that it signed are looked at.
+// NewSigner returns a Signer that issues responses in the name of issuer. The first key signs. All keys are
+// published in the JWK set, so that clients can fetch a new key before it is used, and an old key as long as
+// they verify responses signed with it.
 func NewSigner(issuer string, keys []jose.JSONWebKey) (*Signer, error) {
 	s := &Signer{issuer: issuer}
 	var set jose.JSONWebKeySet
 	for _, k := range keys {
 		if k.IsPublic() || !k.Valid() || k.KeyID == "" {
-			return nil, fmt.Errorf("signing key %q: want a private key with an id", k.KeyID)
+			return nil, fmt.Errorf("signing key %q: must be a valid private key with a key ID", k.KeyID)
 		}
 		signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.SignatureAlgorithm(k.Algorithm), Key: k},
 			(&jose.SignerOptions{}).WithType("token-introspection+jwt"))
@@ -45,23 +46,23 @@
 		public := k.Public()
 		public.Use = "sig"
 		set.Keys = append(set.Keys, public)
-		s.names = append(s.names, k.Algorithm)
+		s.algorithms = append(s.algorithms, k.Algorithm)
 	}
 	var err error
-	if s.keys, err = json.Marshal(set); err != nil {
+	if s.jwks, err = json.Marshal(set); err != nil {
 		return nil, fmt.Errorf("signing keys: %w", err)
 	}
 	return s, nil
 }
 
-// Encryption says how a client wants its signed answers encrypted.
+// Encryption configures how the signed responses to one client are encrypted.
 type Encryption struct {
-	Key       jose.JSONWebKey // public
+	Key       jose.JSONWebKey // the client's public key
 	Algorithm jose.KeyAlgorithm
 	Content   jose.ContentEncryption
 }
 
-// sign makes a signed answer for one client, encrypted if that wants it.
+// sign returns the signed response for one client, encrypted if the client is configured for that.
 func (s *Signer) sign(client Client, text []byte, now time.Duration) ([]byte, error) {
 	claims := struct {
 		Issuer   string          `json:"iss"`
@@ -74,28 +75,28 @@
 		return []byte(signed), err
 	}
 	e := client.Encrypt
-	box, err := jose.NewEncrypter(e.Content, jose.Recipient{Algorithm: e.Algorithm, Key: e.Key.Key,
+	encrypter, err := jose.NewEncrypter(e.Content, jose.Recipient{Algorithm: e.Algorithm, Key: e.Key.Key,
 		KeyID: e.Key.KeyID}, (&jose.EncrypterOptions{}).WithContentType("JWT"))
 	if err != nil {
 		return nil, err
 	}
-	nested, err := jwt.SignedAndEncrypted(s.signer, box).Claims(claims).Serialize()
+	nested, err := jwt.SignedAndEncrypted(s.signer, encrypter).Claims(claims).Serialize()
 	return []byte(nested), err
 }
 
-// wantsJWT reports whether a request asks for a signed answer.
+// wantsJWT reports whether a request accepts a signed response.
 func wantsJWT(r *http1.Request) bool {
 	for part := range strings.SplitSeq(strings.Join(r.Header.Values("Accept"), ","), ",") {
 		kind, params, err := mime.ParseMediaType(part)
-		if err == nil && kind == jwtAnswer && params["q"] != "0" {
+		if err == nil && kind == signedMediaType && params["q"] != "0" {
 			return true
 		}
 	}
 	return false
 }
 
-// filter leaves of an answer what the client is told.
-func filter(text []byte, claims []string) ([]byte, error) {
+// filterClaims removes the claims that the client may not see. Nil claims allow all; "active" is always kept.
+func filterClaims(text []byte, claims []string) ([]byte, error) {
 	if claims == nil {
 		return text, nil
 	}
@@ -103,36 +104,37 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		return nil, err
 	}
-	told := map[string]json.RawMessage{"active": all["active"]}
+	visible := map[string]json.RawMessage{"active": all["active"]}
 	for _, name := range claims {
 		if v, ok := all[name]; ok {
-			told[name] = v
+			visible[name] = v
 		}
 	}
-	return json.Marshal(told)
+	return json.Marshal(visible)
 }
 
-// inactive is all that is told of a token that is not active (RFC 7662, 2.2).
-var inactive = []byte(`{"active":false}`)
+// inactiveBody is the complete response for a token that is not active (RFC 7662, 2.2).
+var inactiveBody = []byte(`{"active":false}`)
 
-// tell words what is known of a token for one client.
-func (s *setup) tell(client Client, signed bool, v verdict) *http1.Answer {
+// successAnswer returns the response about a token for one client, signed if requested and configured.
+func (s *setup) successAnswer(client Client, signed bool, v verdict) *http1.Answer {
 	now := s.clock()
-	text := inactive
+	text := inactiveBody
 	if v.active(now) {
 		var err error
-		if text, err = filter(v.token.Text, client.Claims); err != nil {
-			return problemOf(http.StatusBadGateway, "server_error", "the answer can't be filtered")
+		if text, err = filterClaims(v.token.Text, client.Claims); err != nil {
+			return errorAnswer(http.StatusBadGateway, "server_error", "the answer can't be filtered")
 		}
 	}
 	if !signed || s.Signer == nil {
 		return jsonAnswer(http.StatusOK, text)
 	}
-	made, err := s.Signer.sign(client, text, now)
+	token, err := s.Signer.sign(client, text, now)
 	if err != nil {
-		s.Log.Warn().Str("code", "answer-not-signed").Str("client", client.ID).Err(err).Msg("see the keys")
-		return problemOf(http.StatusBadGateway, "server_error", "the answer can't be signed")
+		s.Log.Warn().Str("code", "answer-not-signed").Str("client", client.ID).Err(err).
+			Msg("cannot sign the response: check the signing key and the client's encryption key")
+		return errorAnswer(http.StatusBadGateway, "server_error", "the answer can't be signed")
 	}
-	return &http1.Answer{Status: http.StatusOK, Body: made, Header: [][2]string{{"Content-Type", jwtAnswer},
-		{"Cache-Control", "no-store"}}}
+	return &http1.Answer{Status: http.StatusOK, Body: token, Header: [][2]string{
+		{"Content-Type", signedMediaType}, {"Cache-Control", "no-store"}}}
 }
--- a/front/introspect/ask.go
+++ b/front/introspect/ask.go
@@ -14,30 +14,30 @@
 	"dunespoke/internal/http1"
 )
 
-// ClassName is the class under which the gates count and time questions. It is safe to repeat.
+// ClassName is the name of the request class of introspection queries. They are safe to retry.
 const ClassName = "introspection"
 
-// Class returns the gates' class of questions.
+// Class returns the request class of introspection queries.
 func Class(aim, deadline time.Duration) choice.Class {
 	return choice.Class{Name: ClassName, Repeat: choice.Safe, Aim: aim, Deadline: deadline, Worth: 1}
 }
 
-// Service says how an introspection service is asked.
+// Service describes how to query an introspection service.
 type Service struct {
 	Path       string
-	Host       string     // for the Host header; empty: the address of the server
-	Credential Credential // nil: it asks without one
+	Host       string     // for the Host header; if empty, the server's address is used
+	Credential Credential // nil for queries without authentication
 }
 
-// message is one question as it goes to a service. It is a forward.Message.
+// message is one query to a service, shared by all its attempts. It implements forward.Message.
 type message struct {
 	service     *Service
 	token, hint string
-	begun       atomic.Int32 // attempts begun
-	sent        atomic.Int32 // attempts that said something of the service
+	started     atomic.Int32 // attempts started
+	completed   atomic.Int32 // attempts that ended neither cancelled nor skipped
 }
 
-// Append writes the question.
+// Append appends the HTTP request to buf.
 func (m *message) Append(buf []byte, s core.Server, _ time.Duration) []byte {
 	form := url.Values{"token": {m.token}}
 	if m.hint != "" {
@@ -51,7 +51,7 @@
 	if m.service.Credential != nil {
 		var err error
 		if authorization, err = m.service.Credential(form); err != nil {
-			authorization = "" // the service refuses the question, which then counts as its error
+			authorization = "" // the service rejects the query, which then counts as an error of the service
 		}
 	}
 	body := form.Encode()
@@ -69,22 +69,23 @@
 	return append(buf, body...)
 }
 
-// Token is what a service says of a token.
+// Token is the introspection result for a token.
 type Token struct {
 	Active  bool          `json:"active"`
-	Expires time.Duration `json:"-"` // Unix time from which it is not active any more; 0: not told
-	Date    time.Duration `json:"-"` // the service's Unix time with its answer; 0: not told
-	Text    []byte        `json:"-"` // the service's whole answer
+	Expires time.Duration `json:"-"` // Unix time at which it expires; zero if not reported
+	Date    time.Duration `json:"-"` // Unix time in the Date header of the response; zero if missing
+	Text    []byte        `json:"-"` // the complete JSON response of the service
 }
 
-var errNoActive = errors.New(`the answer has no "active"`)
+var errMissingActive = errors.New(`the introspection response lacks "active"`)
 
-// Judge says what a response of a service means. Only a whole, well-formed answer says anything of a token;
-// whatever else comes back is a fault of the service, and never taken for an inactive token.
+// Judge classifies a response of a service. Only a complete, well-formed response with status 200 is a result
+// for a token, with a *Token as body. Every other response is an error of the service, or reports that it is
+// busy, and is never interpreted as an inactive token.
 func Judge(r *http1.Response) core.Result {
 	switch r.StatusCode {
 	case http.StatusOK:
-		token, err := decode(r.Content)
+		token, err := decodeToken(r.Content)
 		if err != nil {
 			return core.Result{Code: choice.Error}
 		}
@@ -98,20 +99,21 @@
 	return core.Result{Code: choice.Error}
 }
 
-func decode(text []byte) (*Token, error) {
-	var told struct {
+// decodeToken parses an introspection response. It ignores an "exp" that is not a plausible Unix time.
+func decodeToken(text []byte) (*Token, error) {
+	var body struct {
 		Active *bool    `json:"active"`
 		Exp    *float64 `json:"exp"`
 	}
-	if err := json.Unmarshal(text, &told); err != nil {
+	if err := json.Unmarshal(text, &body); err != nil {
 		return nil, err
 	}
-	if told.Active == nil {
-		return nil, errNoActive
+	if body.Active == nil {
+		return nil, errMissingActive
 	}
-	token := &Token{Active: *told.Active, Text: text}
-	if told.Exp != nil && *told.Exp > 0 && *told.Exp < 9e9 {
-		token.Expires = time.Duration(*told.Exp * float64(time.Second))
+	token := &Token{Active: *body.Active, Text: text}
+	if body.Exp != nil && *body.Exp > 0 && *body.Exp < 9e9 {
+		token.Expires = time.Duration(*body.Exp * float64(time.Second))
 	}
 	return token, nil
 }
--- a/front/introspect/asker.go
+++ b/front/introspect/asker.go
@@ -9,110 +9,112 @@
 	"dunespoke/internal/freshness"
 )
 
-// question is what one asker wants to know. It is the payload of a request to an askers' core.
-type question struct {
+// query is one request to introspect a token. It is the payload of a request to Issuer.Asks.
+type query struct {
 	token, hint string
 	key         freshness.Key
-	taken       time.Duration // when it was taken
-	route       []*Issuer     // whom to ask, in this order
+	receivedAt  time.Duration // by the clock of the cores
+	route       []*Issuer     // the issuers to query, in this order
 }
 
-// asker is one question that the askers' core has let in, on its way from desk to desk.
-type asker struct {
-	*question
+// waiter is one query that was admitted by Issuer.Asks. It queries the desks of its route one after the other
+// and waits for their answers.
+type waiter struct {
+	*query
 	end func(core.Result)
 
-	mu      sync.Mutex
-	left    bool
-	desk    *Desk
-	seat    *seat
-	at      int // in the route
-	trouble *outcome
+	mu         sync.Mutex
+	aborted    bool
+	desk       *Desk
+	sharedCall *sharedCall
+	routeIndex int      // index in route of the issuer being queried
+	failure    *outcome // of the issuers that gave no answer, the one with the longest wait
 }
 
-// Desks is the upstream of an askers' core. What it sends goes to the desks of the question's route.
+// Desks is the upstream of Issuer.Asks. It sends each query to the desks of its route.
 type Desks struct{}
 
-// Drop does nothing: desks stay.
+// Drop does nothing, as desks are never removed.
 func (Desks) Drop(core.Server) {}
 
-// Start lets an asker go to the desks. To the core all that they have to say is an answer: an issuer's
-// troubles must not make it hold up what it could serve.
+// Start queries the desks. It reports every outcome to the core as a success, also the failure of an issuer,
+// so that the core does not hold back requests that it could serve.
 func (Desks) Start(a core.Attempt) core.Running {
-	k := &asker{question: a.Payload.(*question), end: a.End}
-	k.walk()
+	k := &waiter{query: a.Payload.(*query), end: a.End}
+	k.tryDesks()
 	return k
 }
 
-// Abort takes the asker off the flight that it waits for.
-func (a *asker) Abort() (mayHaveRun bool) {
+// Abort stops waiting for the shared upstream query.
+func (a *waiter) Abort() (mayHaveRun bool) {
 	a.mu.Lock()
-	a.left = true
-	desk, seat := a.desk, a.seat
+	a.aborted = true
+	desk, sharedCall := a.desk, a.sharedCall
 	a.mu.Unlock()
-	if seat != nil {
-		desk.leave(seat, a)
+	if sharedCall != nil {
+		desk.leave(sharedCall, a)
 	}
 	return true
 }
 
-// sit notes the seat that a desk gave. It returns nil: the answer comes later.
-func (a *asker) sit(d *Desk, s *seat) *outcome {
+// attach records the upstream query that the waiter has joined. It returns nil: the outcome is delivered
+// later.
+func (a *waiter) attach(d *Desk, s *sharedCall) *outcome {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.desk, a.seat = d, s
+	a.desk, a.sharedCall = d, s
 	return nil
 }
 
-// told takes what a desk has to say later.
-func (a *asker) told(out outcome) {
-	if !a.take(out) {
-		a.walk()
+// deliver receives the outcome of an upstream query. If it is not final, the next desk is queried.
+func (a *waiter) deliver(out outcome) {
+	if !a.applyOutcome(out) {
+		a.tryDesks()
 	}
 }
 
-// walk goes from desk to desk until one gives a seat or the last has answered.
-func (a *asker) walk() {
+// tryDesks queries the desks in order until the waiter has joined an upstream query or has a final outcome.
+func (a *waiter) tryDesks() {
 	for {
 		a.mu.Lock()
-		desk, left := a.route[a.at].Desk, a.left
+		desk, aborted := a.route[a.routeIndex].Desk, a.aborted
 		a.mu.Unlock()
-		if left {
+		if aborted {
 			return
 		}
-		switch out := desk.put(a); {
+		switch out := desk.submit(a); {
 		case out == nil:
 			a.mu.Lock()
-			seat := a.seat
-			left = a.left && a.desk == desk
+			sharedCall := a.sharedCall
+			aborted = a.aborted && a.desk == desk
 			a.mu.Unlock()
-			if left && seat != nil { // it left just before it got its seat
-				desk.leave(seat, a)
+			if aborted && sharedCall != nil { // it was aborted just before it was attached
+				desk.leave(sharedCall, a)
 			}
 			return
-		case a.take(*out):
+		case a.applyOutcome(*out):
 			return
 		}
 	}
 }
 
-// take works out what an outcome means for the asker, and reports whether that was its answer. Where one of
-// several issuers could not be asked, the others' "inactive" is no answer.
-func (a *asker) take(out outcome) (final bool) {
+// applyOutcome processes the outcome of one issuer and reports whether it was final, in which case it has
+// ended the attempt. If one of several issuers gave no answer, "inactive" from the others is not conclusive.
+func (a *waiter) applyOutcome(out outcome) (final bool) {
 	a.mu.Lock()
-	a.at++
-	a.seat = nil
-	last := a.at == len(a.route)
-	if out.token == nil && (a.trouble == nil || out.after > a.trouble.after) {
-		a.trouble = &out
+	a.routeIndex++
+	a.sharedCall = nil
+	last := a.routeIndex == len(a.route)
+	if out.token == nil && (a.failure == nil || out.after > a.failure.after) {
+		a.failure = &out
 	}
 	if out.token == nil || !out.token.Active {
 		if !last {
 			a.mu.Unlock()
 			return false
 		}
-		if a.trouble != nil {
-			out = *a.trouble
+		if a.failure != nil {
+			out = *a.failure
 		}
 	}
 	a.mu.Unlock()
--- a/front/introspect/attempts.go
+++ b/front/introspect/attempts.go
@@ -7,21 +7,21 @@
 	"dunespoke/core"
 )
 
-// Attempts stands between the core that puts questions and the sockets. It notes which attempts told
-// something of the service, and gives up each after a limit, so that the core can try another server while
-// the question has time left.
+// Attempts is an upstream of DeskOptions.Questions that wraps the upstream to the servers. It counts the
+// attempts that say something about the health of the service, and gives up each attempt after a limit, so
+// that the core can try another server while the query has time left.
 type Attempts struct {
 	core.Upstream
-	Limit time.Duration // for one attempt; 0: the question's own
+	Limit time.Duration // for one attempt; zero means the timeout of the query
 }
 
-// Start sends an attempt.
+// Start starts an attempt.
 func (u Attempts) Start(a core.Attempt) core.Running {
 	m, end := a.Payload.(*message), a.End
-	m.begun.Add(1)
+	m.started.Add(1)
 	a.End = func(r core.Result) {
 		if r.Code != choice.Cancelled && r.Code != choice.Skipped {
-			m.sent.Add(1)
+			m.completed.Add(1)
 		}
 		end(r)
 	}
@@ -29,25 +29,25 @@
 	if u.Limit <= 0 || u.Limit >= a.Timeout {
 		return running
 	}
-	t := &timed{Running: running}
+	t := &limitedAttempt{Running: running}
 	t.timer = time.AfterFunc(u.Limit, func() {
 		code := choice.TimedOut
 		if !running.Abort() {
 			code = choice.Refused
 		}
-		a.End(core.Result{Code: code}) // of no effect if it ended meanwhile
+		a.End(core.Result{Code: code}) // has no effect if the attempt has ended meanwhile
 	})
 	return t
 }
 
-// timed is an attempt with a limit of its own.
-type timed struct {
+// limitedAttempt is an attempt with a limit shorter than its timeout.
+type limitedAttempt struct {
 	core.Running
 	timer *time.Timer
 }
 
-// Abort ends the attempt.
-func (t *timed) Abort() bool {
+// Abort stops the timer and aborts the attempt.
+func (t *limitedAttempt) Abort() bool {
 	t.timer.Stop()
 	return t.Running.Abort()
 }
--- a/front/introspect/bearer_test.go
+++ b/front/introspect/bearer_test.go
@@ -16,19 +16,21 @@
 	"dunespoke/middleware"
 )
 
-// told is an authorization server for the middleware: the same answers as the rig's.
-type told map[string]string
+// fakeIntrospector maps tokens to introspection responses for the middleware. It is unavailable for other
+// tokens.
+type fakeIntrospector map[string]string
 
-func (a told) Introspect(_ context.Context, token string) ([]byte, error) {
+func (a fakeIntrospector) Introspect(_ context.Context, token string) ([]byte, error) {
 	if text, ok := a[token]; ok {
 		return []byte(text), nil
 	}
 	return nil, &middleware.Unavailable{RetryAfter: time.Second}
 }
 
-// One table for the daemon's check and for the middleware: the same rules, and the same answers to the byte.
-func TestTheSameAnswersAsTheMiddleware(t *testing.T) {
-	answers := told{
+// The daemon's check and the middleware, given the same requirements and introspection responses, must decide
+// alike and return byte-identical error responses.
+func TestGuardMatchesMiddleware(t *testing.T) {
+	answers := fakeIntrospector{
 		"good":   `{"active":true,"scope":"read pay","acr":"gold"}`,
 		"weak":   `{"active":true,"scope":"read pay"}`,
 		"narrow": `{"active":true,"scope":"read"}`,
@@ -39,8 +41,8 @@
 		"pay": {Scopes: []string{"read", "pay"}, ACR: []string{"gold"}, Realm: "bank"},
 	}
 	inBubble(t, func(t *testing.T) {
-		r := newRig(t, oneRule, freshness.Options{}, 1e6)
-		r.services[0].becomes(
+		r := newFixture(t, oneRule, freshness.Options{}, 1e6)
+		r.services[0].setAnswer(
 			func(token string) (string, time.Duration) { return answers[token], time.Millisecond },
 		)
 		guard := NewBearer(Bearer{Front: r.front, Plan: "member", Classes: classes})
@@ -49,12 +51,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		through := 0
+		authorized := 0
 		handler := byMiddleware.Middleware(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if c, ok := middleware.Claims(r.Context()); !ok || !c.Active {
-				t.Error("let through without claims")
+				t.Error("authorized without claims")
 			}
-			through++
+			authorized++
 		}))
 		for _, c := range []struct {
 			path, header string
@@ -67,12 +69,12 @@
 			if c.header != "" {
 				req.Header.Set("Authorization", c.header)
 			}
-			w, before := httptest.NewRecorder(), through
+			w, before := httptest.NewRecorder(), authorized
 			handler.ServeHTTP(w, req)
 			var answer *http1.Answer
 			calls := 0
 			guard.Check(&http1.Request{Request: req}, core.Request{Class: strings.TrimPrefix(c.path, "/"), Spread: 1,
-				Customer: 7, Deadline: r.front.now.Load().clock() + time.Second}, func(a *http1.Answer) {
+				Customer: 7, Deadline: r.front.current.Load().clock() + time.Second}, func(a *http1.Answer) {
 				answer, calls = a, calls+1
 			})
 			time.Sleep(20 * time.Millisecond)
@@ -80,8 +82,8 @@
 			if calls != 1 {
 				t.Fatalf("%+v: %d answers", c, calls)
 			}
-			if (through > before) != (c.status == 0) || (answer == nil) != (c.status == 0) {
-				t.Errorf("%+v: let through by the middleware %v, by the guard %v", c, through > before, answer == nil)
+			if (authorized > before) != (c.status == 0) || (answer == nil) != (c.status == 0) {
+				t.Errorf("%+v: authorized by the middleware %v, by the guard %v", c, authorized > before, answer == nil)
 			}
 			if answer == nil {
 				continue
@@ -98,9 +100,10 @@
 	})
 }
 
-// What a service's silence means is the same for both, too: no answer calls a token inactive.
-func TestSilenceIsNoRefusalOfTheToken(t *testing.T) {
-	guard, err := middleware.Bearer(middleware.BearerOptions{Introspector: told{}})
+// If the introspection service is unavailable, the middleware responds with 503 and a Retry-After header, as
+// the daemon does, and doesn't report the token as invalid.
+func TestUnavailableIntrospectorIsNotInvalidToken(t *testing.T) {
+	guard, err := middleware.Bearer(middleware.BearerOptions{Introspector: fakeIntrospector{}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/front/introspect/clients.go
+++ b/front/introspect/clients.go
@@ -19,10 +19,10 @@
 	"dunespoke/internal/oauth/replay"
 )
 
-// Method is a way of client authentication, by the name that RFC 8414 gives it.
+// Method is a client authentication method, under its name from RFC 8414.
 type Method string
 
-// The methods. A client has one of them; Secret stands for the first two.
+// Client authentication methods. A client has exactly one; Secret allows SecretBasic and SecretPost.
 const (
 	Secret        Method = ""
 	SecretBasic   Method = "client_secret_basic"
@@ -34,7 +34,7 @@
 	BearerToken   Method = "bearer" // RFC 7662, 2.1: the caller's own access token
 )
 
-// Methods are all that a client may be set up with.
+// Methods lists the methods that a client may be configured with.
 var Methods = []Method{
 	Secret,
 	SecretBasic,
@@ -46,23 +46,24 @@
 	BearerToken,
 }
 
-// Client may ask questions.
+// Client is a client that may introspect tokens.
 type Client struct {
 	ID     string
 	Plan   string
 	Method Method
 
-	SecretHash  [sha256.Size]byte // of Secret, SecretBasic and SecretPost: SHA-256 of the secret
-	SharedKey   []byte            // of SecretJWT
-	Keys        []jose.JSONWebKey // of PrivateKeyJWT: public ones
-	Name        Name              // of TLS
-	Certificate [sha256.Size]byte // of SelfSignedTLS: SHA-256 of the certificate, DER
+	SecretHash  [sha256.Size]byte // for Secret, SecretBasic, SecretPost: SHA-256 of the secret
+	SharedKey   []byte            // for SecretJWT
+	Keys        []jose.JSONWebKey // for PrivateKeyJWT: the client's public keys
+	Name        Name              // for TLS
+	Certificate [sha256.Size]byte // for SelfSignedTLS: SHA-256 of the certificate in DER
 
-	Claims  []string    // that it is told beside "active"; nil: all
-	Encrypt *Encryption // of signed answers; nil: none
+	Claims  []string    // returned to it besides "active"; nil allows all
+	Encrypt *Encryption // of signed responses; nil means unencrypted
 }
 
-// Name is what a client's certificate must have in it: one of these (RFC 8705, 2.1.2).
+// Name is the subject name that a client's certificate must have. Only the first non-empty field, in the
+// order of declaration, is compared (RFC 8705, 2.1.2).
 type Name struct{ Subject, DNS, URI, IP, Email string }
 
 // matches reports whether a certificate has the name.
@@ -85,61 +86,64 @@
 	return n.Email != "" && slices.Contains(c.EmailAddresses, n.Email)
 }
 
-// Limits on assertions.
+// Limits on client assertions.
 const (
-	assertionLife = 5 * time.Minute
-	assertionSkew = 10 * time.Second // clocks may be 5 s off, either way
-	assertionMost = 4096             // a client's that are remembered
+	assertionLifetime = 5 * time.Minute
+	assertionSkew     = 10 * time.Second // each clock may be off by 5 s in either direction
+	maxAssertions     = 4096             // unexpired assertions remembered per client
 )
 
-// memories hold what each client's assertions must not repeat. They outlive changes of the configuration.
-type memories struct {
-	mu  sync.Mutex
-	all map[string]*replay.Memory
+// replayMemories hold the assertions that each client has used, to detect replays. They survive configuration
+// changes. They are safe for concurrent use.
+type replayMemories struct {
+	mu       sync.Mutex
+	byClient map[string]*replay.Memory
 }
 
-// of returns the way to a client's memory. Only clients that are set up have one, so that there are few.
-func (m *memories) of(client string) func(func(*replay.Memory)) {
+// forClient returns a function that calls its argument with a client's memory, under the lock. It must only
+// be called for configured clients, which bounds the number of memories.
+func (m *replayMemories) forClient(client string) func(func(*replay.Memory)) {
 	return func(f func(*replay.Memory)) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.all == nil {
-			m.all = map[string]*replay.Memory{}
+		if m.byClient == nil {
+			m.byClient = map[string]*replay.Memory{}
 		}
-		if m.all[client] == nil {
-			m.all[client] = replay.New(assertionMost)
+		if m.byClient[client] == nil {
+			m.byClient[client] = replay.New(maxAssertions)
 		}
-		f(m.all[client])
+		f(m.byClient[client])
 	}
 }
 
-// What is wrong with a client's authentication.
+// Reasons for rejecting a client's authentication. Clients see these texts.
 var (
-	errTwoWays    = errors.New("two ways of client authentication")
-	errMalformed  = errors.New("malformed credentials")
-	errNoClient   = errors.New("client authentication failed")
-	errNotItsWay  = errors.New("the client is set up with another way of authentication")
-	errNoCert     = errors.New("a certificate of the client is needed")
-	errWrongCert  = errors.New("the certificate is not the client's")
-	errOtherShown = errors.New("client_id is not the assertion's")
+	errMultipleMethods  = errors.New("two ways of client authentication")
+	errMalformed        = errors.New("malformed credentials")
+	errAuthFailed       = errors.New("client authentication failed")
+	errWrongMethod      = errors.New("the client is set up with another way of authentication")
+	errCertMissing      = errors.New("a certificate of the client is needed")
+	errCertMismatch     = errors.New("the certificate is not the client's")
+	errClientIDMismatch = errors.New("client_id is not the assertion's")
 )
 
-// shown is how a request says who asks.
-type shown struct {
+// credentials are the client credentials of a request.
+type credentials struct {
 	method Method
 	id     string
-	secret string // of SecretBasic and SecretPost, or the assertion, or the bearer token
+	secret string // the client secret, the assertion or the bearer token, by method
 }
 
-// show reads how a request says who asks. Only one way may be used at a time (RFC 6749, 2.3).
-func show(r *http1.Request, form url.Values) (s shown, err error) {
-	ways := 0
+// readCredentials extracts the client credentials of a request, which may use only one method (RFC 6749,
+// 2.3). PrivateKeyJWT stands for all assertions, and TLS for all certificates.
+func readCredentials(r *http1.Request, form url.Values) (s credentials, err error) {
+	methods := 0
 	headers := r.Header.Values("Authorization")
 	if len(headers) > 1 {
-		return s, errTwoWays
+		return s, errMultipleMethods
 	}
 	if len(headers) == 1 {
-		ways++
+		methods++
 		scheme, rest, _ := strings.Cut(headers[0], " ")
 		switch {
 		case strings.EqualFold(scheme, "Basic"):
@@ -150,19 +154,19 @@
 			if !ok || err1 != nil || err2 != nil {
 				return s, errMalformed
 			}
-			s = shown{SecretBasic, id, secret}
+			s = credentials{SecretBasic, id, secret}
 		case strings.EqualFold(scheme, "Bearer") && strings.TrimSpace(rest) != "":
-			s = shown{BearerToken, "", strings.TrimSpace(rest)}
+			s = credentials{BearerToken, "", strings.TrimSpace(rest)}
 		default:
 			return s, errMalformed
 		}
 	}
 	if form.Has("client_secret") {
-		ways++
-		s = shown{SecretPost, form.Get("client_id"), form.Get("client_secret")}
+		methods++
+		s = credentials{SecretPost, form.Get("client_id"), form.Get("client_secret")}
 	}
 	if form.Has("client_assertion") || form.Has("client_assertion_type") {
-		ways++
+		methods++
 		if form.Get("client_assertion_type") != assertion.Type {
 			return s, errMalformed
 		}
@@ -171,98 +175,99 @@
 			return s, assertion.ErrMalformed
 		}
 		if form.Has("client_id") && form.Get("client_id") != id {
-			return s, errOtherShown
+			return s, errClientIDMismatch
 		}
-		s = shown{PrivateKeyJWT, id, form.Get("client_assertion")}
+		s = credentials{PrivateKeyJWT, id, form.Get("client_assertion")}
 	}
-	if ways > 1 {
-		return s, errTwoWays
+	if methods > 1 {
+		return s, errMultipleMethods
 	}
-	if ways == 0 && form.Has("client_id") {
-		s = shown{TLS, form.Get("client_id"), ""}
+	if methods == 0 && form.Has("client_id") {
+		s = credentials{TLS, form.Get("client_id"), ""}
 	}
 	return s, nil
 }
 
-// authenticate tells which client asks. A bearer token is not looked at here: that takes a question of its
-// own.
-func (s *setup) authenticate(r *http1.Request, by shown) (Client, error) {
-	client, known := s.clients[by.id]
-	if by.method == SecretBasic || by.method == SecretPost {
-		sum := sha256.Sum256([]byte(by.secret))
+// authenticate returns the client that the credentials prove. It does not handle bearer tokens, which need an
+// introspection of their own; see serveCaller.
+func (s *setup) authenticate(r *http1.Request, creds credentials) (Client, error) {
+	client, known := s.clients[creds.id]
+	if creds.method == SecretBasic || creds.method == SecretPost {
+		sum := sha256.Sum256([]byte(creds.secret))
 		same := subtle.ConstantTimeCompare(sum[:], client.SecretHash[:]) == 1
 		switch {
 		case !known || !same:
-			return Client{}, errNoClient
-		case client.Method != Secret && client.Method != by.method:
-			return Client{}, errNotItsWay
+			return Client{}, errAuthFailed
+		case client.Method != Secret && client.Method != creds.method:
+			return Client{}, errWrongMethod
 		}
 		return client, nil
 	}
 	if !known {
-		return Client{}, errNoClient
+		return Client{}, errAuthFailed
 	}
-	switch by.method {
+	switch creds.method {
 	case PrivateKeyJWT:
-		rules := assertion.Rules{ClientID: client.ID, Audiences: s.Audiences, Life: assertionLife,
-			Skew: assertionSkew, Memory: s.memories.of(client.ID)}
+		rules := assertion.Rules{ClientID: client.ID, Audiences: s.Audiences, Life: assertionLifetime,
+			Skew: assertionSkew, Memory: s.replayMemories.forClient(client.ID)}
 		switch client.Method {
 		case PrivateKeyJWT:
 			rules.Keys = client.Keys
 		case SecretJWT:
 			rules.Secret = client.SharedKey
 		default:
-			return Client{}, errNotItsWay
+			return Client{}, errWrongMethod
 		}
-		return client, assertion.Check(s.clock(), by.secret, rules)
+		return client, assertion.Check(s.clock(), creds.secret, rules)
 	case TLS:
-		return client, s.byCertificate(r, client)
+		return client, s.checkCertificate(r, client)
 	}
-	return Client{}, errNotItsWay
+	return Client{}, errWrongMethod
 }
 
-// byCertificate checks the certificate that the client showed in the handshake (RFC 8705, 2).
-func (s *setup) byCertificate(r *http1.Request, client Client) error {
+// checkCertificate checks the certificate that the client presented in the TLS handshake (RFC 8705, 2).
+func (s *setup) checkCertificate(r *http1.Request, client Client) error {
 	if client.Method != TLS && client.Method != SelfSignedTLS {
-		return errNoClient
+		return errAuthFailed
 	}
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
-		return errNoCert
+		return errCertMissing
 	}
 	chain := r.TLS.PeerCertificates
-	if client.Method == SelfSignedTLS { // trusted for itself, whoever signed it
+	if client.Method == SelfSignedTLS { // trusted by its hash, whoever signed it
 		sum := sha256.Sum256(chain[0].Raw)
 		if subtle.ConstantTimeCompare(sum[:], client.Certificate[:]) != 1 {
-			return errWrongCert
+			return errCertMismatch
 		}
 		return nil
 	}
 	if s.Trust == nil {
-		return errWrongCert
+		return errCertMismatch
 	}
 	if err := s.Trust(chain); err != nil {
-		return errWrongCert
+		return errCertMismatch
 	}
 	if !client.Name.matches(chain[0]) {
-		return errWrongCert
+		return errCertMismatch
 	}
 	return nil
 }
 
-// refuse words what is wrong with a client's authentication, and logs it without what it showed.
-func (s *setup) refuse(by shown, err error) *http1.Answer {
-	id := by.id
+// authFailure returns the error response for a failed authentication, and logs it without the credentials.
+func (s *setup) authFailure(creds credentials, err error) *http1.Answer {
+	id := creds.id
 	if _, known := s.clients[id]; !known {
-		id = "" // strangers don't write our log
+		id = "" // don't let unauthenticated senders write arbitrary text into the log
 	}
-	s.Log.Warn().Str("code", "client-refused").Str("client", id).Str("method", string(by.method)).Err(err).
-		Msg("not let in")
-	if errors.Is(err, errTwoWays) || errors.Is(err, errMalformed) {
-		return problemOf(http.StatusBadRequest, "invalid_request", err.Error())
+	s.Log.Warn().Str("code", "client-refused").Str("client", id).Str("method", string(creds.method)).Err(err).
+		Msg("client authentication failed")
+	if errors.Is(err, errMultipleMethods) || errors.Is(err, errMalformed) {
+		return errorAnswer(http.StatusBadRequest, "invalid_request", err.Error())
 	}
 	if errors.Is(err, assertion.ErrFull) {
-		return withRetry(problemOf(http.StatusTooManyRequests, "temporarily_unavailable", err.Error()), time.Second)
+		return withRetryAfter(errorAnswer(http.StatusTooManyRequests, "temporarily_unavailable", err.Error()),
+			time.Second)
 	}
-	a := problemOf(http.StatusUnauthorized, "invalid_client", err.Error())
+	a := errorAnswer(http.StatusUnauthorized, "invalid_client", err.Error())
 	return withHeader(a, "WWW-Authenticate", `Basic realm="introspection"`)
 }
--- a/front/introspect/clients_test.go
+++ b/front/introspect/clients_test.go
@@ -28,7 +28,7 @@
 	"dunespoke/internal/freshness"
 )
 
-// certificate makes one that is its own root.
+// certificate returns a self-signed certificate.
 func certificate(t *testing.T, name string) *x509.Certificate {
 	t.Helper()
 	key := sign.Key(t)
@@ -48,20 +48,20 @@
 	return c
 }
 
-func showing(certs ...*x509.Certificate) func(*http.Request) {
+func withCertificates(certs ...*x509.Certificate) func(*http.Request) {
 	return func(r *http.Request) { r.TLS = &tls.ConnectionState{PeerCertificates: certs} }
 }
 
-func basic(id, secret string) func(*http.Request) {
+func withBasicAuth(id, secret string) func(*http.Request) {
 	return func(r *http.Request) { r.SetBasicAuth(url.QueryEscape(id), url.QueryEscape(secret)) }
 }
 
-func TestWhoMayAsk(t *testing.T) {
+func TestClientAuthentication(t *testing.T) {
 	key, secret := sign.Key(t), strings.Repeat("s", 32)
 	trusted, self, other := certificate(t, "trusted"), certificate(t, "self"), certificate(t, "other")
 	inBubble(t, func(t *testing.T) {
-		r := newRig(t, oneRule, freshness.Options{}, 1e6)
-		r.services[0].becomes(func(token string) (string, time.Duration) {
+		r := newFixture(t, oneRule, freshness.Options{}, 1e6)
+		r.services[0].setAnswer(func(token string) (string, time.Duration) {
 			switch token {
 			case "caller":
 				return `{"active":true,"client_id":"bearer","scope":"x introspection"}`, time.Millisecond
@@ -96,7 +96,7 @@
 			return errors.New("no root")
 		}
 		r.front.Use(o)
-		made := func(id, audience string, key any, alg string) url.Values {
+		newAssertion := func(id, audience string, key any, alg string) url.Values {
 			m, err := assertion.NewMaker(id, audience, time.Minute, key, alg, "")
 			if err != nil {
 				t.Fatal(err)
@@ -108,10 +108,10 @@
 			return url.Values{"client_assertion_type": {assertion.Type}, "client_assertion": {text}}
 		}
 		const here, endpoint = "https://here.example", "https://here.example/introspect"
-		replayed := made("key", endpoint, key, "ES256")
+		replayed := newAssertion("key", endpoint, key, "ES256")
 		none := url.Values{"client_assertion_type": {assertion.Type},
 			"client_assertion": {"eyJhbGciOiJub25lIn0.eyJzdWIiOiJrZXkifQ."}}
-		by := func(token string) func(*http.Request) {
+		withBearer := func(token string) func(*http.Request) {
 			return func(r *http.Request) { r.Header.Set("Authorization", "Bearer "+token) }
 		}
 		form := func(pairs ...string) url.Values {
@@ -128,39 +128,42 @@
 			status int
 			text   string
 		}{
-			{"basic", nil, basic("basic", "pass&word"), 200, ""},
+			{"basic", nil, withBasicAuth("basic", "pass&word"), 200, ""},
 			{"post", form("client_id", "post", "client_secret", "pass&word"), nil, 200, ""},
-			{"either: basic", nil, basic("any", "pass&word"), 200, ""},
+			{"either: basic", nil, withBasicAuth("any", "pass&word"), 200, ""},
 			{"either: post", form("client_id", "any", "client_secret", "pass&word"), nil, 200, ""},
 			{"post for basic", form("client_id", "basic", "client_secret", "pass&word"), nil, 401, "another way"},
-			{"wrong secret", nil, basic("basic", "pass"), 401, "invalid_client"},
-			{"unknown", nil, basic("nobody", "pass&word"), 401, "invalid_client"},
-			{"a key's client by secret", nil, basic("key", ""), 401, "invalid_client"},
+			{"wrong secret", nil, withBasicAuth("basic", "pass"), 401, "invalid_client"},
+			{"unknown", nil, withBasicAuth("nobody", "pass&word"), 401, "invalid_client"},
+			{"client with a key, by secret", nil, withBasicAuth("key", ""), 401, "invalid_client"},
 			{"nothing", nil, nil, 401, "invalid_client"},
-			{"two ways", form("client_id", "any", "client_secret", "x"), basic("any", "pass&word"), 400, "two ways"},
-			{"key", made("key", endpoint, key, "ES256"), nil, 200, ""},
-			{"key, for the issuer", made("key", here, key, "ES256"), nil, 200, ""},
+			{"two methods", form("client_id", "any", "client_secret", "x"), withBasicAuth("any", "pass&word"), 400,
+				"two ways"},
+			{"key", newAssertion("key", endpoint, key, "ES256"), nil, 200, ""},
+			{"key, for the issuer", newAssertion("key", here, key, "ES256"), nil, 200, ""},
 			{"key, once", replayed, nil, 200, ""},
 			{"key, again", replayed, nil, 401, "shown before"},
-			{"key, another audience", made("key", "https://there.example", key, "ES256"), nil, 401, "audience"},
-			{"another's key", made("key", here, sign.Key(t), "ES256"), nil, 401, "signature"},
+			{"key, another audience", newAssertion("key", "https://there.example", key, "ES256"), nil, 401,
+				"audience"},
+			{"another key", newAssertion("key", here, sign.Key(t), "ES256"), nil, 401, "signature"},
 			{"alg none", none, nil, 401, "not a JWT"},
-			{"shared", made("shared", here, []byte(secret), "HS256"), nil, 200, ""},
-			{"another secret", made("shared", here, []byte(strings.Repeat("x", 32)), "HS256"), nil, 401, "signature"},
-			{"a key for a secret", made("shared", here, key, "ES256"), nil, 401, "algorithm"},
-			{"a secret for a key", made("key", here, []byte(secret), "HS256"), nil, 401, "algorithm"},
-			{"certificate", form("client_id", "tls"), showing(trusted), 200, ""},
-			{"certificate by DNS", form("client_id", "dns"), showing(trusted), 200, ""},
-			{"another's certificate", form("client_id", "tls"), showing(other), 401, "not the client's"},
-			{"untrusted", form("client_id", "tls"), showing(self), 401, "not the client's"},
+			{"shared", newAssertion("shared", here, []byte(secret), "HS256"), nil, 200, ""},
+			{"another secret", newAssertion("shared", here, []byte(strings.Repeat("x", 32)), "HS256"), nil, 401,
+				"signature"},
+			{"a key for a secret", newAssertion("shared", here, key, "ES256"), nil, 401, "algorithm"},
+			{"a secret for a key", newAssertion("key", here, []byte(secret), "HS256"), nil, 401, "algorithm"},
+			{"certificate", form("client_id", "tls"), withCertificates(trusted), 200, ""},
+			{"certificate by DNS", form("client_id", "dns"), withCertificates(trusted), 200, ""},
+			{"another certificate", form("client_id", "tls"), withCertificates(other), 401, "not the client's"},
+			{"untrusted", form("client_id", "tls"), withCertificates(self), 401, "not the client's"},
 			{"no certificate", form("client_id", "tls"), nil, 401, "needed"},
-			{"self-signed", form("client_id", "self"), showing(self), 200, ""},
-			{"another self-signed", form("client_id", "self"), showing(trusted), 401, "not the client's"},
-			{"a certificate for a secret", form("client_id", "any"), showing(trusted), 401, "invalid_client"},
-			{"bearer", nil, by("caller"), 200, ""},
-			{"bearer without scope", nil, by("unscoped"), 403, "scope"},
-			{"bearer of another client", nil, by("stranger"), 401, "invalid_token"},
-			{"bearer that is over", nil, by("over"), 401, "invalid_token"},
+			{"self-signed", form("client_id", "self"), withCertificates(self), 200, ""},
+			{"another self-signed", form("client_id", "self"), withCertificates(trusted), 401, "not the client's"},
+			{"a certificate for a secret", form("client_id", "any"), withCertificates(trusted), 401, "invalid_client"},
+			{"bearer", nil, withBearer("caller"), 200, ""},
+			{"bearer without scope", nil, withBearer("unscoped"), 403, "scope"},
+			{"bearer of another client", nil, withBearer("stranger"), 401, "invalid_token"},
+			{"inactive bearer", nil, withBearer("over"), 401, "invalid_token"},
 		} {
 			if c.form == nil {
 				c.form = url.Values{}
@@ -168,8 +171,8 @@
 			c.form.Set("token", "tok")
 			a := r.send(c.form, c.with)
 			time.Sleep(20 * time.Millisecond)
-			if a.status() != c.status || !strings.Contains(a.says(), c.text) || a.times != 1 {
-				t.Errorf("%s: %d %s, want %d with %q", c.name, a.status(), a.says(), c.status, c.text)
+			if a.status() != c.status || !strings.Contains(a.body(), c.text) || a.times != 1 {
+				t.Errorf("%s: %d %s, want %d with %q", c.name, a.status(), a.body(), c.status, c.text)
 			}
 		}
 		if log := r.log.String(); !strings.Contains(log, "client-refused") ||
@@ -193,7 +196,7 @@
 
 func TestSignedAnswers(t *testing.T) {
 	first, second := sign.Key(t), sign.Key(t)
-	box, err := rsa.GenerateKey(rand.Reader, 2048)
+	encryptionKey, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,8 +204,9 @@
 		return jose.JSONWebKey{Key: key, KeyID: id, Algorithm: "ES256"}
 	}
 	inBubble(t, func(t *testing.T) {
-		r := newRig(t, oneRule, freshness.Options{}, 1e6)
-		r.services[0].becomes(says(`{"active":true,"sub":"me","scope":"a b","client_id":"x"}`, time.Millisecond))
+		r := newFixture(t, oneRule, freshness.Options{}, 1e6)
+		r.services[0].setAnswer(
+			respondWith(`{"active":true,"sub":"me","scope":"a b","client_id":"x"}`, time.Millisecond))
 		o := r.options
 		o.Issuer = "https://here.example"
 		o.Clients = []Client{{ID: "plain", Plan: "member", SecretHash: sha256.Sum256([]byte("b"))},
@@ -213,29 +217,29 @@
 				Claims:     []string{"scope", "exp"},
 			},
 			{ID: "secret", Plan: "member", SecretHash: sha256.Sum256([]byte("b")), Encrypt: &Encryption{
-				Key: jose.JSONWebKey{Key: &box.PublicKey, KeyID: "box"}, Algorithm: jose.RSA_OAEP_256,
+				Key: jose.JSONWebKey{Key: &encryptionKey.PublicKey, KeyID: "box"}, Algorithm: jose.RSA_OAEP_256,
 				Content: jose.A256GCM}}}
-		keysOf := []jose.JSONWebKey{private("new", second), private("old", first)}
-		if o.Signer, err = NewSigner(o.Issuer, keysOf); err != nil {
+		signingKeys := []jose.JSONWebKey{private("new", second), private("old", first)}
+		if o.Signer, err = NewSigner(o.Issuer, signingKeys); err != nil {
 			t.Fatal(err)
 		}
 		r.front.Use(o)
-		ask := func(id string, accept string) *asked {
+		ask := func(id string, accept string) *pendingAnswer {
 			a := r.send(url.Values{"token": {"tok"}}, func(req *http.Request) {
-				basic(id, "b")(req)
+				withBasicAuth(id, "b")(req)
 				req.Header.Set("Accept", accept)
 			})
 			time.Sleep(20 * time.Millisecond)
 			if a.status() != 200 {
-				t.Fatalf("%s: %d %s", id, a.status(), a.says())
+				t.Fatalf("%s: %d %s", id, a.status(), a.body())
 			}
 			return a
 		}
-		if a := ask("told little", "application/json"); a.says() != `{"active":true,"scope":"a b"}` {
-			t.Errorf("filtered: %s", a.says())
+		if a := ask("told little", "application/json"); a.body() != `{"active":true,"scope":"a b"}` {
+			t.Errorf("filtered: %s", a.body())
 		}
 		a := ask("plain", "application/json, application/token-introspection+jwt;q=0.9")
-		if header(a.answer, "Content-Type") != jwtAnswer {
+		if header(a.answer, "Content-Type") != signedMediaType {
 			t.Errorf("type %s", header(a.answer, "Content-Type"))
 		}
 		read := func(text string) map[string]any {
@@ -253,22 +257,23 @@
 			}
 			return claims
 		}
-		claims := read(a.says())
-		told, _ := claims["token_introspection"].(map[string]any)
+		claims := read(a.body())
+		introspection, _ := claims["token_introspection"].(map[string]any)
 		if claims["iss"] != o.Issuer || claims["aud"] != "plain" || claims["iat"] == nil || claims["exp"] != nil ||
-			claims["sub"] != nil || told["sub"] != "me" || told["active"] != true {
+			claims["sub"] != nil || introspection["sub"] != "me" || introspection["active"] != true {
 			t.Errorf("claims %v", claims)
 		}
-		sealed, err := jose.ParseEncrypted(ask("secret", jwtAnswer).says(),
+		sealed, err := jose.ParseEncrypted(ask("secret", signedMediaType).body(),
 			[]jose.KeyAlgorithm{jose.RSA_OAEP_256}, []jose.ContentEncryption{jose.A256GCM})
 		if err != nil {
 			t.Fatal(err)
 		}
-		opened, err := sealed.Decrypt(box)
+		plaintext, err := sealed.Decrypt(encryptionKey)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if inner := read(string(opened)); inner["aud"] != "secret" || sealed.Header.ExtraHeaders["cty"] != "JWT" {
+		if inner := read(string(plaintext)); inner["aud"] != "secret" ||
+			sealed.Header.ExtraHeaders["cty"] != "JWT" {
 			t.Errorf("%v, header %v", inner, sealed.Header)
 		}
 		var keys jose.JSONWebKeySet
@@ -283,22 +288,23 @@
 			meta["jwks_uri"] != o.Issuer+"/jwks" {
 			t.Errorf("metadata %v", meta)
 		}
-		r.services[0].becomes(says(`{"active":false,"sub":"me"}`, time.Millisecond))
-		claims = read(ask("plain", jwtAnswer).says())
-		if told, _ := claims["token_introspection"].(map[string]any); len(told) != 1 || told["active"] != false {
+		r.services[0].setAnswer(respondWith(`{"active":false,"sub":"me"}`, time.Millisecond))
+		claims = read(ask("plain", signedMediaType).body())
+		if introspection, _ := claims["token_introspection"].(map[string]any); len(introspection) != 1 ||
+			introspection["active"] != false {
 			t.Errorf("inactive: %v", claims)
 		}
 	})
 }
 
-// get reads what the front tells of itself.
-func (r *rig) get(path string, into any) {
+// get fetches a JSON document from the front and decodes it.
+func (r *fixture) get(path string, into any) {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://h"+path, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	a := &asked{}
+	a := &pendingAnswer{}
 	r.front.Serve(&http1.Request{Request: req}, func(answer *http1.Answer) { a.answer = answer })
 	if a.answer == nil || a.answer.Status != 200 {
 		r.t.Fatalf("%s: %+v", path, a.answer)
@@ -308,7 +314,7 @@
 	}
 }
 
-func TestKeysThatCannotSign(t *testing.T) {
+func TestNewSignerRejectsInvalidKeys(t *testing.T) {
 	key := sign.Key(t)
 	for name, k := range map[string]jose.JSONWebKey{
 		"public":       {Key: &key.PublicKey, KeyID: "1", Algorithm: "ES256"},
@@ -318,17 +324,17 @@
 		"no algorithm": {Key: key, KeyID: "1"},
 	} {
 		if _, err := NewSigner("https://here", []jose.JSONWebKey{k}); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 }
 
-// A configuration read again takes effect for the next question, and what assertions were shown is
-// remembered.
-func TestUseKeepsWhatWasShown(t *testing.T) {
+// After a reload, the new configuration applies to the next request, and an assertion used before the reload
+// is still rejected as a replay.
+func TestUseKeepsReplayMemories(t *testing.T) {
 	key := sign.Key(t)
 	inBubble(t, func(t *testing.T) {
-		r := newRig(t, []issuers.Rule{{Name: "only"}}, freshness.Options{}, 1e6)
+		r := newFixture(t, []issuers.Rule{{Name: "only"}}, freshness.Options{}, 1e6)
 		o := r.options
 		o.Issuer = "https://here.example"
 		o.Clients = []Client{{ID: "key", Plan: "member", Method: PrivateKeyJWT,
@@ -348,10 +354,11 @@
 		second := r.send(form, nil)
 		time.Sleep(20 * time.Millisecond)
 		if first.status() != 200 || second.status() != 401 {
-			t.Errorf("status %d, and %d after the configuration was read again", first.status(), second.status())
+			t.Errorf("status %d, want 200; replayed after the reload: status %d, want 401",
+				first.status(), second.status())
 		}
 		if old := r.ask("tok"); old.status() != 401 {
-			t.Errorf("a client that is not there any more: %d", old.status())
+			t.Errorf("removed client: status %d, want 401", old.status())
 		}
 	})
 }
--- a/front/introspect/credentials.go
+++ b/front/introspect/credentials.go
@@ -8,18 +8,18 @@
 	"dunespoke/internal/oauth/assertion"
 )
 
-// Credential shows a service who asks: it adds to the form of a question, and returns the Authorization
-// header, if there is one. It may be called from several goroutines.
+// Credential authenticates a query to a service: it adds parameters to the form, and returns the value of the
+// Authorization header, or an empty string if the method uses none. It must be safe for concurrent use.
 type Credential func(form url.Values) (authorization string, err error)
 
-// BasicCredential is client_secret_basic (RFC 6749, 2.3.1).
+// BasicCredential returns a Credential for client_secret_basic (RFC 6749, 2.3.1).
 func BasicCredential(id, secret string) Credential {
 	pair := url.QueryEscape(id) + ":" + url.QueryEscape(secret)
 	header := "Basic " + base64.StdEncoding.EncodeToString([]byte(pair))
 	return func(url.Values) (string, error) { return header, nil }
 }
 
-// PostCredential is client_secret_post.
+// PostCredential returns a Credential for client_secret_post.
 func PostCredential(id, secret string) Credential {
 	return func(form url.Values) (string, error) {
 		form.Set("client_id", id)
@@ -28,7 +28,8 @@
 	}
 }
 
-// AssertionCredential is private_key_jwt or client_secret_jwt (RFC 7523), with a new assertion each time.
+// AssertionCredential returns a Credential for private_key_jwt or client_secret_jwt (RFC 7523). Each call
+// makes a new assertion.
 func AssertionCredential(m *assertion.Maker) Credential {
 	return func(form url.Values) (string, error) {
 		text, err := m.Make(time.Duration(time.Now().UnixNano()))
@@ -42,8 +43,8 @@
 	}
 }
 
-// CertificateCredential is tls_client_auth and its self-signed sister (RFC 8705): the certificate is shown
-// in the handshake, and the form names the client.
+// CertificateCredential returns a Credential for tls_client_auth and self_signed_tls_client_auth (RFC 8705).
+// The certificate is presented in the TLS handshake; the form only names the client.
 func CertificateCredential(id string) Credential {
 	return func(form url.Values) (string, error) {
 		form.Set("client_id", id)
@@ -51,7 +52,7 @@
 	}
 }
 
-// BearerCredential is an access token of this program's own (RFC 7662, 2.1).
+// BearerCredential returns a Credential that sends this program's own access token (RFC 7662, 2.1).
 func BearerCredential(token string) Credential {
 	return func(url.Values) (string, error) { return "Bearer " + token, nil }
 }
--- a/front/introspect/credentials_test.go
+++ b/front/introspect/credentials_test.go
@@ -16,8 +16,8 @@
 	"dunespoke/internal/oauth/replay"
 )
 
-// sent writes a question as it would go out, and reads it as a service would.
-func sent(t *testing.T, c Credential) (*http.Request, url.Values) {
+// appendAndParse writes a query in its wire format and parses it as a service would.
+func appendAndParse(t *testing.T, c Credential) (*http.Request, url.Values) {
 	t.Helper()
 	m := &message{service: &Service{Path: "/ask", Host: "as.example", Credential: c}, token: "a b&c", hint: "x"}
 	text := m.Append(nil, core.Server{Addr: "127.0.0.1:1"}, 0)
@@ -38,27 +38,28 @@
 	}
 	if r.Host != "as.example" || r.URL.Path != "/ask" || form.Get("token") != "a b&c" ||
 		form.Get("token_type_hint") != "x" {
-		t.Errorf("%q", text)
+		t.Errorf("unexpected request %q", text)
 	}
 	return r.Request, form
 }
 
-func TestHowServicesAreShownWhoAsks(t *testing.T) {
-	if r, form := sent(t, nil); r.Header.Get("Authorization") != "" || len(form) != 2 {
+func TestServiceCredentials(t *testing.T) {
+	if r, form := appendAndParse(t, nil); r.Header.Get("Authorization") != "" || len(form) != 2 {
 		t.Errorf("without a credential: %v %v", r.Header, form)
 	}
-	r, _ := sent(t, BasicCredential("a:b", "c&d"))
+	r, _ := appendAndParse(t, BasicCredential("a:b", "c&d"))
 	if id, secret, ok := r.BasicAuth(); !ok || id != "a%3Ab" || secret != "c%26d" {
 		t.Errorf("basic: %q %q", id, secret)
 	}
-	if _, form := sent(t, PostCredential("a:b", "c&d")); form.Get("client_id") != "a:b" ||
+	if _, form := appendAndParse(t, PostCredential("a:b", "c&d")); form.Get("client_id") != "a:b" ||
 		form.Get("client_secret") != "c&d" {
 		t.Errorf("post: %v", form)
 	}
-	if r, _ := sent(t, BearerCredential("tok")); r.Header.Get("Authorization") != "Bearer tok" {
+	if r, _ := appendAndParse(t, BearerCredential("tok")); r.Header.Get("Authorization") != "Bearer tok" {
 		t.Errorf("bearer: %v", r.Header)
 	}
-	if _, form := sent(t, CertificateCredential("app")); form.Get("client_id") != "app" || len(form) != 3 {
+	if _, form := appendAndParse(t, CertificateCredential("app")); form.Get("client_id") != "app" ||
+		len(form) != 3 {
 		t.Errorf("certificate: %v", form)
 	}
 	key := sign.Key(t)
@@ -74,8 +75,8 @@
 		Keys:      []jose.JSONWebKey{{Key: &key.PublicKey, KeyID: "1"}},
 		Memory:    func(f func(*replay.Memory)) { f(memory) },
 	}
-	for range 3 { // each question, and each attempt for it, has one of its own
-		_, form := sent(t, AssertionCredential(maker))
+	for range 3 { // each attempt of each query has a new assertion
+		_, form := appendAndParse(t, AssertionCredential(maker))
 		err := assertion.Check(time.Duration(time.Now().UnixNano()), form.Get("client_assertion"), rules)
 		if err != nil || form.Get("client_assertion_type") != assertion.Type ||
 			strings.Contains(form.Get("client_assertion"), "a b&c") {
--- a/front/introspect/desk.go
+++ b/front/introspect/desk.go
@@ -17,103 +17,108 @@
 
 // DeskOptions are what NewDesk needs.
 type DeskOptions struct {
-	Issuer    string // its name, for log lines
+	Issuer    string // name of the issuer in log lines
 	Service   Service
-	Questions *core.Core    // puts questions to the issuer's servers; its upstream is Attempts
-	Limit     time.Duration // for one question, over all its attempts
-	Silence   time.Duration // without an answer to a question that speak of a silent service
-	Alone     bool          // each asker has a question of its own, as long as no answer is kept
+	Questions *core.Core    // sends queries to the issuer's servers; its upstream is an Attempts
+	Limit     time.Duration // for one upstream query, over all its attempts
+	Silence   time.Duration // time without an answer after which a query counts as late
+	Alone     bool          // don't share upstream queries; cached answers are still used
 	Breaker   breaker.Options
 	Freshness freshness.Options
-	Fallback  *Fallback // nil: none
+	Fallback  *Fallback // nil disables local validation
 	Log       zerolog.Logger
 }
 
-// Desk is where those who ask about one issuer's tokens get their answers: one that may be used again, or
-// that of a question under way, or of a new one. It turns questions away while the issuer is left alone.
+// Desk answers queries about the tokens of one issuer: from its cache, by joining an upstream query in
+// flight, or by a new upstream query. It rejects queries while the circuit breaker of the issuer is open. It
+// is safe for concurrent use.
 type Desk struct {
 	DeskOptions
 
-	mu      sync.Mutex
-	store   *freshness.Store
-	flights *flights.Group[freshness.Key, *asker, *flight]
-	breaker *breaker.Breaker
-	state   breaker.State // as last logged
-	opened  time.Duration // when it was last left alone
-	clockAt time.Duration // when a difference of clocks was last logged
-	lone    uint64        // makes keys differ, with Alone
+	mu           sync.Mutex
+	store        *freshness.Store
+	flights      *flights.Group[freshness.Key, *waiter, *issuerCall]
+	breaker      *breaker.Breaker
+	state        breaker.State // as last logged
+	openedAt     time.Duration // when the breaker last left the closed state
+	nextClockLog time.Duration // earliest time of the next log line about clocks
+	soloCount    uint64        // makes the keys unique if Alone is set
 }
 
-// flight is one question put to the issuer.
-type flight struct {
+// issuerCall is one upstream query to the issuer, shared by all that wait for it.
+type issuerCall struct {
 	*message
-	permit *breaker.Permit
-	asked  time.Duration
-	ticket core.Ticket
-	timer  *time.Timer
-	late   bool
+	permit      *breaker.Permit
+	submittedAt time.Duration
+	ticket      core.Ticket
+	timer       *time.Timer
+	late        bool // it was reported to the breaker as late
 }
 
-// seat is an asker's place in a flight.
-type seat = flights.Flight[freshness.Key, *asker, *flight]
+// sharedCall is an issuerCall with the waiters that have joined it.
+type sharedCall = flights.Flight[freshness.Key, *waiter, *issuerCall]
 
-// outcome is what a desk has for an asker.
+// outcome is the result of a query at a desk.
 type outcome struct {
-	token *Token        // nil: turned away, or the issuer gave no answer
-	after time.Duration // without a token: when to come back
+	token *Token        // nil if the query was rejected or the issuer gave no answer
+	after time.Duration // if token is nil, the time after which to retry
 }
 
-// NewDesk returns a desk. Its options must be valid.
+// NewDesk returns a Desk. It does not validate the options.
 func NewDesk(o DeskOptions) *Desk {
 	return &Desk{DeskOptions: o, store: freshness.New(o.Freshness), breaker: breaker.New(o.Breaker),
-		flights: flights.New[freshness.Key, *asker, *flight]()}
+		flights: flights.New[freshness.Key, *waiter, *issuerCall]()}
 }
 
-// questionPlan is the plan of questions as they go to an issuer: their askers have paid for them.
+// questionPlan is the quota plan of upstream queries. They are not counted, as the queries that cause them
+// are.
 const questionPlan = "questions"
 
-// QuestionPlan returns that plan: it has no quota.
+// QuestionPlan returns the plan of upstream queries, which has no quota.
 func QuestionPlan() choice.Plan { return choice.Plan{Name: questionPlan, Price: 1} }
 
-// keyOf names a question without keeping its token.
-func keyOf(token, hint string) freshness.Key { return sha256.Sum256([]byte(hint + "\x00" + token)) }
+// cacheKey returns a hash that identifies a query, so that the token itself is not stored.
+func cacheKey(token, hint string) freshness.Key {
+	return sha256.Sum256([]byte(hint + "\x00" + token))
+}
 
-// atOnce answers, or turns away, a question that needs no more than a look. It returns nil for all others.
-func (d *Desk) atOnce(key freshness.Key, taken time.Duration) *outcome {
+// answerImmediately answers a query from the cache, or rejects it if the breaker does. It returns nil if the
+// query must go through submit.
+func (d *Desk) answerImmediately(key freshness.Key, receivedAt time.Duration) *outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Questions.Now()
-	if a := d.store.Get(key, taken, now); a != nil {
+	if a := d.store.Get(key, receivedAt, now); a != nil {
 		return &outcome{token: a.Value.(*Token)}
 	}
 	if d.breaker.State() == breaker.Closed || d.breaker.State() == breaker.Returning && d.flights.Has(key) {
 		return nil
 	}
-	after, turned := d.breaker.Wait(now)
-	if !turned {
+	after, mustWait := d.breaker.Wait(now)
+	if !mustWait {
 		return nil
 	}
 	return &outcome{after: after}
 }
 
-// put finds an answer for an asker, a seat in a flight, or begins one. It returns nil if the answer comes
-// later.
-func (d *Desk) put(a *asker) *outcome {
+// submit answers a query from the cache, lets it join an upstream query in flight, or starts one. It returns
+// nil if the outcome will be delivered to the waiter later.
+func (d *Desk) submit(a *waiter) *outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, key := d.Questions.Now(), a.key
-	if kept := d.store.Get(key, a.taken, now); kept != nil {
-		return &outcome{token: kept.Value.(*Token)}
+	if cached := d.store.Get(key, a.receivedAt, now); cached != nil {
+		return &outcome{token: cached.Value.(*Token)}
 	}
 	if d.Alone {
-		d.lone++
-		key = keyOf(a.token, a.hint+"\x00"+strconv.FormatUint(d.lone, 10))
+		d.soloCount++
+		key = cacheKey(a.token, a.hint+"\x00"+strconv.FormatUint(d.soloCount, 10))
 	}
-	// What is under way while the issuer is left alone is in doubt, a trial most of all: one asker risks its
-	// time on it, and others are told at once when to come back.
+	// While the breaker is open, a query in flight is likely to fail, most of all a probe. Only the waiters
+	// that it has spend their time on it; later ones are rejected immediately with a time to retry.
 	if d.breaker.State() != breaker.Open {
 		if s, ok := d.flights.Join(key, a); ok {
-			return a.sit(d, s)
+			return a.attach(d, s)
 		}
 	} else if d.flights.Has(key) {
 		after, _ := d.breaker.Wait(now)
@@ -123,162 +128,169 @@
 	if permit == nil {
 		return &outcome{after: after}
 	}
-	f := &flight{
-		message: &message{service: &d.Service, token: a.token, hint: a.hint},
-		permit:  permit,
-		asked:   now,
+	f := &issuerCall{
+		message:     &message{service: &d.Service, token: a.token, hint: a.hint},
+		permit:      permit,
+		submittedAt: now,
 	}
 	s := d.flights.Begin(key, a, f)
 	f.ticket = d.Questions.Submit(core.Request{Class: ClassName, Plan: questionPlan, Units: 1, Spread: 1,
-		Deadline: now + d.Limit, Payload: f.message, Reply: func(ans core.Answer) { d.answered(s, a.key, ans) }})
-	f.timer = time.AfterFunc(d.patience(), func() { d.overdue(s) })
-	return a.sit(d, s)
+		Deadline: now + d.Limit, Payload: f.message,
+		Reply: func(ans core.Answer) { d.handleAnswer(s, a.key, ans) }})
+	f.timer = time.AfterFunc(d.silenceTimeout(), func() { d.markLate(s) })
+	return a.attach(d, s)
 }
 
-// A question is late after usualTimes the usual time of an answer, but not before a part of Silence nor,
-// unless answers usually take so long, after the whole of it.
+// An upstream query is late after latencyFactor times the smoothed latency, but at least minSilenceFraction
+// of Silence and at most Silence. In any case it is not late before minLatencyFactor times the latency.
 const (
-	usualTimes  = 8 // services were seen to run nine times slower for a while, few at a stroke
-	slowTimes   = 3
-	silencePart = 0.2
+	latencyFactor      = 8 // some services ran nine times slower for a while; few slowed down abruptly
+	minLatencyFactor   = 3
+	minSilenceFraction = 0.2
 )
 
-// patience is how long a question may go unanswered before it speaks of silence: a slow service is not a
-// silent one, and one that usually answers at once is recognised the sooner.
-func (d *Desk) patience() time.Duration {
+// silenceTimeout returns the time without an answer after which an upstream query counts as late. It adapts
+// to the latency, so that a slow service is not taken for a silent one, and a fast service that falls silent
+// is detected sooner. It never exceeds Limit.
+func (d *Desk) silenceTimeout() time.Duration {
 	usual := d.breaker.SmoothedLatency()
 	wait := d.Silence
 	if usual > 0 {
-		wait = min(wait, max(usualTimes*usual, time.Duration(silencePart*float64(d.Silence))))
+		wait = min(wait, max(latencyFactor*usual, time.Duration(minSilenceFraction*float64(d.Silence))))
 	}
-	return min(d.Limit, max(wait, slowTimes*usual))
+	return min(d.Limit, max(wait, minLatencyFactor*usual))
 }
 
-// answered takes the final answer to a question, and gives it to all who wait for it.
-func (d *Desk) answered(s *seat, key freshness.Key, ans core.Answer) {
+// handleAnswer processes the final answer to an upstream query: it updates cache and breaker, and delivers
+// the outcome to all waiters.
+func (d *Desk) handleAnswer(s *sharedCall, key freshness.Key, ans core.Answer) {
 	d.mu.Lock()
 	f, now := s.Value, d.Questions.Now()
 	f.timer.Stop()
-	out, end := outcome{after: ans.RetryAfter}, breaker.Failure
+	out, result := outcome{after: ans.RetryAfter}, breaker.Failure
 	switch t, ok := ans.Body.(*Token); {
 	case ok && ans.Kind == core.Served:
-		ahead := freshness.Ahead(t.Date, f.asked, now)
-		t.Expires = freshness.Expiry(t.Expires, ahead)
-		d.compareClocks(now, ahead)
-		out, end = outcome{token: t}, breaker.Success
-		d.store.Put(key, &freshness.Answer{Active: t.Active, Expires: t.Expires, Asked: f.asked, Came: now,
+		clockOffset := freshness.Ahead(t.Date, f.submittedAt, now)
+		t.Expires = freshness.Expiry(t.Expires, clockOffset)
+		d.checkClockOffset(now, clockOffset)
+		out, result = outcome{token: t}, breaker.Success
+		d.store.Put(key, &freshness.Answer{Active: t.Active, Expires: t.Expires, Asked: f.submittedAt, Came: now,
 			Size: len(t.Text), Value: t})
-	case f.sent.Load() == 0 && !f.late: // refused by the gate's own reasons: nothing was learned of the issuer
-		end = breaker.Unknown
+	case f.completed.Load() == 0 && !f.late: // refused locally: says nothing about the issuer
+		result = breaker.Unknown
 	}
-	d.breaker.Done(now, f.permit, end, now-f.asked)
-	askers := d.flights.End(s)
-	given := d.settle(now)
+	d.breaker.Done(now, f.permit, result, now-f.submittedAt)
+	waiters := d.flights.End(s)
+	rejected := d.followBreaker(now)
 	d.mu.Unlock()
-	for _, a := range askers {
-		a.told(out)
+	for _, a := range waiters {
+		a.deliver(out)
 	}
-	d.refuse(given)
+	d.rejectWaiters(rejected)
 }
 
-// overdue notes that a question has been out for so long that the issuer may be silent.
-func (d *Desk) overdue(s *seat) {
+// markLate reports an upstream query to the breaker that has gone unanswered for silenceTimeout.
+func (d *Desk) markLate(s *sharedCall) {
 	d.mu.Lock()
 	now := d.Questions.Now()
 	if s.Ended() {
 		d.mu.Unlock()
 		return
 	}
-	if s.Value.begun.Load() == 0 { // it waits here for room, and says nothing of the issuer
-		s.Value.timer.Reset(d.patience())
+	if s.Value.started.Load() == 0 { // still queued locally: says nothing about the issuer
+		s.Value.timer.Reset(d.silenceTimeout())
 		d.mu.Unlock()
 		return
 	}
 	s.Value.late = true
 	d.breaker.Late(now, s.Value.permit)
-	given := d.settle(now)
+	rejected := d.followBreaker(now)
 	d.mu.Unlock()
-	d.refuse(given)
+	d.rejectWaiters(rejected)
 }
 
-// refusals are askers whose question is given up.
-type refusals struct {
-	askers []*asker
-	after  time.Duration
+// rejections are waiters whose upstream query was given up, and the time after which they may retry.
+type rejections struct {
+	waiters []*waiter
+	after   time.Duration
 }
 
-// settle follows the breaker after whatever it learned: it logs its turns, and while the issuer is left alone
-// it gives up the questions that are late. The lock is held.
-func (d *Desk) settle(now time.Duration) (given refusals) {
+// followBreaker must be called after each report to the breaker. It logs state changes and, if the breaker is
+// open, gives up the upstream queries that are late. d.mu must be held.
+func (d *Desk) followBreaker(now time.Duration) (rejected rejections) {
 	state := d.breaker.State()
 	if state != d.state {
 		line := d.Log.Warn().Str("issuer", d.Issuer).Int("out", d.breaker.InFlight())
 		switch state {
 		case breaker.Open:
 			if d.state == breaker.Closed {
-				d.opened = now
+				d.openedAt = now
 			}
-			line.Str("code", "issuer-left-alone").Msg("no good answers: questions are refused, and single ones tried")
+			line.Str("code", "issuer-left-alone").
+				Msg("issuer unhealthy: queries are rejected except for single probes")
 		case breaker.Returning:
-			line.Str("code", "issuer-returns").Dur("after", now-d.opened).Msg("it answers: questions go out again")
+			line.Str("code", "issuer-returns").Dur("after", now-d.openedAt).
+				Msg("issuer answers again: sending queries")
 		case breaker.Closed:
-			line.Str("code", "issuer-back").Dur("after", now-d.opened).Msg("taken back whole")
+			line.Str("code", "issuer-back").Dur("after", now-d.openedAt).Msg("issuer fully recovered")
 		}
 		d.state = state
 	}
 	if state != breaker.Open {
-		return given
+		return rejected
 	}
 	for _, s := range d.flights.All() {
 		if f := s.Value; f.late {
-			given.askers = append(given.askers, d.flights.End(s)...)
-			d.breaker.Done(now, f.permit, breaker.Failure, now-f.asked)
+			rejected.waiters = append(rejected.waiters, d.flights.End(s)...)
+			d.breaker.Done(now, f.permit, breaker.Failure, now-f.submittedAt)
 			f.ticket.Leave()
 		}
 	}
-	given.after, _ = d.breaker.Wait(now)
-	return given
+	rejected.after, _ = d.breaker.Wait(now)
+	return rejected
 }
 
-// refuse tells askers that their question was given up. The lock is not held.
-func (d *Desk) refuse(r refusals) {
-	for _, a := range r.askers {
-		a.told(outcome{after: r.after})
+// rejectWaiters delivers the rejections. d.mu must not be held.
+func (d *Desk) rejectWaiters(r rejections) {
+	for _, a := range r.waiters {
+		a.deliver(outcome{after: r.after})
 	}
 }
 
-// leave takes an asker off a flight. A question for which nobody waits any more is withdrawn; had it been out
-// for long, that counts against the issuer, and may be what makes it be left alone.
-func (d *Desk) leave(s *seat, a *asker) {
-	d.refuse(d.withdraw(s, a))
+// leave removes a waiter from an upstream query. A query without waiters is withdrawn. If it had been in
+// flight for half of silenceTimeout, it counts as a failure of the issuer, which may open the breaker.
+func (d *Desk) leave(s *sharedCall, a *waiter) {
+	d.rejectWaiters(d.withdraw(s, a))
 }
 
-func (d *Desk) withdraw(s *seat, a *asker) (given refusals) {
+// withdraw does the part of leave that needs d.mu, and returns the waiters to reject.
+func (d *Desk) withdraw(s *sharedCall, a *waiter) (rejected rejections) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.flights.Leave(s, a) {
-		return given
+		return rejected
 	}
 	f, now := s.Value, d.Questions.Now()
 	f.timer.Stop()
 	f.ticket.Leave()
-	end := breaker.Unknown
-	if now-f.asked >= d.patience()/2 {
-		end = breaker.Failure
+	result := breaker.Unknown
+	if now-f.submittedAt >= d.silenceTimeout()/2 {
+		result = breaker.Failure
 	}
-	d.breaker.Done(now, f.permit, end, now-f.asked)
-	return d.settle(now)
+	d.breaker.Done(now, f.permit, result, now-f.submittedAt)
+	return d.followBreaker(now)
 }
 
-// clocksEvery is the least time between two log lines about clocks.
-const clocksEvery = time.Minute
+// clockLogInterval is the minimum time between two log lines about clocks.
+const clockLogInterval = time.Minute
 
-// compareClocks tells on-call staff of clocks that differ: ends of tokens are read by the issuer's.
-func (d *Desk) compareClocks(now, ahead time.Duration) {
-	if ahead > -2*time.Second && ahead < 2*time.Second || now < d.clockAt {
+// checkClockOffset logs an issuer's clock that differs by 2 s or more, as token expiry is evaluated by that
+// clock. d.mu must be held.
+func (d *Desk) checkClockOffset(now, clockOffset time.Duration) {
+	if clockOffset > -2*time.Second && clockOffset < 2*time.Second || now < d.nextClockLog {
 		return
 	}
-	d.clockAt = now + clocksEvery
-	d.Log.Warn().Str("code", "clocks-differ").Str("issuer", d.Issuer).Dur("ahead", ahead).
-		Msg("the issuer's clock is not ours: exp is read by its own")
+	d.nextClockLog = now + clockLogInterval
+	d.Log.Warn().Str("code", "clocks-differ").Str("issuer", d.Issuer).Dur("ahead", clockOffset).
+		Msg("the issuer's clock differs from the local clock: exp is evaluated by the issuer's clock")
 }
--- a/front/introspect/fallback.go
+++ b/front/introspect/fallback.go
@@ -10,25 +10,26 @@
 	"dunespoke/internal/oauth/accesstoken"
 )
 
-// Fallback checks JWT access tokens (RFC 9068) here while their issuer is left alone. It can't know of
-// revocations, and so has a bound on how long.
+// Fallback configures the local validation of JWT access tokens (RFC 9068) while the breaker of their issuer
+// is not closed. Local validation can't detect revoked tokens, so its duration is limited.
 type Fallback struct {
 	Issuer    string
 	Audiences []string
 	Keys      func() []jose.JSONWebKey
-	For       time.Duration // since the issuer was left alone
+	For       time.Duration // maximum time since the breaker opened
 	Skew      time.Duration
 }
 
-// source marks answers that come from here, and not from the issuer.
-const source = "local"
+// introspectionSource marks responses that come from local validation and not from the issuer.
+const introspectionSource = "local"
 
-// fallBack answers a question that its issuer could not be asked, if the token proves itself and the operator
-// lets that do. What proves nothing is refused as before: it is not told as inactive.
-func (s *setup) fallBack(q *question, v verdict) verdict {
+// tryFallback answers a query that no issuer could answer, if an issuer of its route has a Fallback and the
+// token passes local validation. Otherwise it returns v, a refusal: a token that fails is not reported as
+// inactive.
+func (s *setup) tryFallback(q *query, v verdict) verdict {
 	for _, i := range q.route {
 		d := i.Desk
-		down := d.downFor()
+		down := d.outageDuration()
 		if d.Fallback == nil || down <= 0 || down > d.Fallback.For {
 			continue
 		}
@@ -38,27 +39,27 @@
 		if err != nil {
 			continue
 		}
-		text, err := accesstoken.Answer(claims, source)
+		text, err := accesstoken.Answer(claims, introspectionSource)
 		if err != nil {
 			continue
 		}
-		token, err := decode(text)
+		token, err := decodeToken(text)
 		if err != nil {
 			continue
 		}
 		s.Log.Warn().Str("code", "answered-by-fallback").Str("issuer", d.Issuer).Dur("down", down).
-			Msg("a token was checked here; its issuer is left alone")
+			Msg("token validated locally because its issuer is unavailable")
 		return verdict{outcome: outcome{token: token}, kind: core.Served}
 	}
 	return v
 }
 
-// downFor is how long the issuer has been left alone; 0: it is not.
-func (d *Desk) downFor() time.Duration {
+// outageDuration returns the time since the breaker opened, or zero if the breaker is closed.
+func (d *Desk) outageDuration() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state == breaker.Closed {
 		return 0
 	}
-	return max(1, d.Questions.Now()-d.opened)
+	return max(1, d.Questions.Now()-d.openedAt)
 }
--- a/front/introspect/introspect.go
+++ b/front/introspect/introspect.go
@@ -1,10 +1,12 @@
-// Package introspect is the front for OAuth 2 token introspection (RFC 7662). It answers such questions of
-// member apps by asking the services of the tokens' issuers, and it checks the bearer tokens of other fronts'
-// requests (RFC 6750). Each question is a request of a core: counted against a quota, timed, and refused like
-// any other work. A question that was refused or got no answer is never answered with "active": false.
+// Package introspect is the front for OAuth 2 token introspection (RFC 7662). It answers the queries of
+// member apps by querying the introspection services of the tokens' issuers, and it checks the bearer tokens
+// of other fronts' requests (RFC 6750). Each query is a request to a core: it counts against a quota, has a
+// deadline, and can be refused like any other request. A query that was refused or got no answer is never
+// answered with "active": false.
 //
-// A question goes from Front to the askers' core of its issuer, from there to the issuer's Desk, and, unless
-// that has its answer, to the issuer's questions' core, which puts it to one of the issuer's servers. See
+// A query goes from Front to Issuer.Asks, a core that enforces the quotas, and from there to the issuer's
+// Desk. Unless the Desk can answer it from its cache or an upstream query in flight, the Desk sends an
+// upstream query through DeskOptions.Questions, a core that balances over the issuer's servers. See
 // docs/design/introspection.md for the reasons.
 package introspect
 
@@ -30,84 +32,85 @@
 	"dunespoke/internal/issuers"
 )
 
-// Issuer answers for some of the tokens.
+// Issuer is an authorization server whose introspection service answers for some of the tokens.
 type Issuer struct {
 	Desk *Desk
-	Asks *core.Core // the askers' core; its upstream is Desks
+	Asks *core.Core // admits the clients' queries; its upstream is Desks
 }
 
-// Options are what New and Front.Use need.
+// Options configure a Front.
 type Options struct {
 	Issuers  []*Issuer      // at least one
-	Table    *issuers.Table // whose indexes are those of Issuers
-	Path     string         // where questions come in
-	Patience time.Duration  // of clients that don't tell theirs by X-Remaining
-	Gateways int            // through which a client's questions arrive, the issuers' cores counted apart
+	Table    *issuers.Table // its results are indexes into Issuers
+	Path     string         // of the introspection endpoint
+	Patience time.Duration  // timeout of requests without the header X-Remaining
+	Gateways int            // over which a client's queries spread; each issuer's core counts as one
 	Clients  []Client
 	Callers  Callers
-	Draining func() bool // whether the program is on its way out
+	Draining func() bool // reports whether the program is shutting down
 	Log      zerolog.Logger
 
-	Issuer    string    // this front's own name, an https URL; empty: there is no metadata
-	Audiences []string  // that clients' assertions may name; Issuer and the endpoint go without saying
-	Signer    *Signer   // of signed answers; nil: all are JSON
-	Resource  *Resource // what is told of the resource behind; nil: nothing
-	// Trust reports whether a client's chain of certificates ends in a root; nil: none does.
+	Issuer    string    // issuer URL (https) of this front; empty disables the metadata
+	Audiences []string  // accepted in client assertions, besides Issuer and the endpoint URL
+	Signer    *Signer   // signs responses on request; nil means plain JSON only
+	Resource  *Resource // metadata of the protected resource; nil disables it
+	// Trust returns nil if a client's certificate chain ends in a trusted root. If Trust is nil, none does.
 	Trust func(chain []*x509.Certificate) error
 }
 
-// Front answers questions. It is an accept.Handler.
+// Front serves the introspection endpoint. It implements accept.Handler. It is safe for concurrent use.
 type Front struct {
-	now      atomic.Pointer[setup]
-	memories memories
+	current        atomic.Pointer[setup]
+	replayMemories replayMemories
 }
 
-// setup is what the front goes by. One question goes by one setup from its beginning to its end.
+// setup is one immutable configuration of the front. A query uses the same setup from start to end.
 type setup struct {
 	Options
-	clients  map[string]Client
-	memories *memories
+	clients        map[string]Client
+	replayMemories *replayMemories
 }
 
-// margin is how long before the client gives up its answer is due.
-const margin = 20 * time.Millisecond
+// responseMargin is how long before the client's timeout the response is due.
+const responseMargin = 20 * time.Millisecond
 
-// New returns a front.
+// New returns a Front with the given options.
 func New(o Options) *Front {
 	f := &Front{}
 	f.Use(o)
 	return f
 }
 
-// Use makes the front go by other options from now on. Questions under way end by those they began with.
+// Use replaces the options. Queries in flight keep the options that they started with.
 func (f *Front) Use(o Options) {
-	s := &setup{Options: o, clients: map[string]Client{}, memories: &f.memories}
+	s := &setup{Options: o, clients: map[string]Client{}, replayMemories: &f.replayMemories}
 	if o.Issuer != "" {
 		base := strings.TrimSuffix(o.Issuer, "/")
 		s.Audiences = append(slices.Clone(o.Audiences), o.Issuer, base+o.Path)
 	}
-	// A flood of strangers is not to be a flood of log lines.
-	s.Log = sampled(o.Log)
+	// A flood of unauthenticated requests must not flood the log.
+	s.Log = rateLimitedLog(o.Log)
 	for _, c := range o.Clients {
 		s.clients[c.ID] = c
 	}
-	f.now.Store(s)
+	f.current.Store(s)
 }
 
-// Ready reports whether some issuer has a server that may be asked.
-func (f *Front) Ready() bool { return f.now.Load().ready() }
+// Ready reports whether at least one issuer has a server that can be queried.
+func (f *Front) Ready() bool { return f.current.Load().ready() }
 
-// Customer is the number under which quotas are counted for a named client. Its highest bit tells it from the
-// platform's customers, who are counted by the same counter.
+// Customer returns the customer number under which quotas are counted for the client with the given ID. Its
+// highest bit is set, to distinguish it from the platform's customers, who share the counter.
 func Customer(id string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, id)
 	return h.Sum64() | 1<<63
 }
 
-// Serve takes a question.
+// Serve handles a request and calls respond once, unless the returned function is called before. That
+// function, if not nil, cancels the request.
 func (f *Front) Serve(r *http1.Request, respond func(*http1.Answer)) (leave func()) {
-	s := f.now.Load()
+	s := f.current.Load()
 	arrived := s.clock()
 	switch {
 	case r.URL.Path == "/healthz":
@@ -118,7 +121,7 @@
 		}
 		return nil
 	case r.URL.Path != s.Path:
-		a := s.describe(r)
+		a := s.metadataAnswer(r)
 		if a == nil {
 			a = http1.Plain(404, "no such path")
 		}
@@ -133,50 +136,51 @@
 		respond(problem)
 		return nil
 	}
-	patience, ok := s.patience(r.Header.Get("X-Remaining"))
+	clientTimeout, ok := s.clientTimeout(r.Header.Get("X-Remaining"))
 	if !ok {
-		respond(problemOf(400, "invalid_request", "X-Remaining is not in seconds"))
+		respond(errorAnswer(400, "invalid_request", "X-Remaining is not in seconds"))
 		return nil
 	}
-	deadline := arrived + patience - margin
-	by, err := show(r, form)
+	deadline := arrived + clientTimeout - responseMargin
+	creds, err := readCredentials(r, form)
 	if err != nil {
-		respond(s.refuse(by, err))
+		respond(s.authFailure(creds, err))
 		return nil
 	}
-	if by.method == BearerToken {
-		return s.serveCaller(r, form, by, deadline, respond)
+	if creds.method == BearerToken {
+		return s.serveCaller(r, form, creds, deadline, respond)
 	}
-	client, err := s.authenticate(r, by)
+	client, err := s.authenticate(r, creds)
 	if err != nil {
-		respond(s.refuse(by, err))
+		respond(s.authFailure(creds, err))
 		return nil
 	}
 	return s.serve(r, form, client, deadline, respond)
 }
 
-// serve takes the question of a client that is known.
+// serve handles the query of an authenticated client.
 func (s *setup) serve(r *http1.Request, form url.Values, client Client, deadline time.Duration,
 	respond func(*http1.Answer)) (leave func()) {
 	token := form.Get("token")
 	if token == "" {
-		respond(problemOf(400, "invalid_request", "token is missing"))
+		respond(errorAnswer(400, "invalid_request", "token is missing"))
 		return nil
 	}
 	signed := wantsJWT(r)
 	return s.ask(core.Request{Plan: client.Plan, Customer: Customer(client.ID), Spread: s.Gateways,
 		Deadline: deadline}, token, form.Get("token_type_hint"), func(v verdict) {
 		if v.kind == core.Served {
-			respond(s.tell(client, signed, v))
+			respond(s.successAnswer(client, signed, v))
 		} else {
-			respond(s.word(v))
+			respond(s.failureAnswer(v))
 		}
 	})
 }
 
-// clock is the time that all cores of the front share.
+// clock returns the current time of the clock that all cores of the front share.
 func (s *setup) clock() time.Duration { return s.Issuers[0].Asks.Now() }
 
+// ready implements Front.Ready.
 func (s *setup) ready() bool {
 	for _, i := range s.Issuers {
 		if i.Desk.Questions.Ready() {
@@ -186,33 +190,34 @@
 	return false
 }
 
-// verdict is the front's one answer to a question.
+// verdict is the final result of a query.
 type verdict struct {
 	outcome
-	kind    core.Kind
-	trouble bool // refused for the issuer's sake, not for the asker's
+	kind         core.Kind
+	issuerFailed bool // refused because of the issuer, not because of the client's quota
 }
 
-// ask finds the answer to a question by way of the cores.
-func (s *setup) ask(in core.Request, token, hint string, then func(verdict)) (leave func()) {
+// ask introspects a token through the cores, and calls done with the verdict. The returned function, if not
+// nil, cancels the query.
+func (s *setup) ask(in core.Request, token, hint string, done func(verdict)) (leave func()) {
 	route := s.Table.Route(token)
-	if len(route) == 0 { // nobody here answers for such tokens, so that no resource of ours takes it
-		then(verdict{outcome: outcome{token: &Token{}}, kind: core.Served})
+	if len(route) == 0 { // no configured issuer answers for such tokens, so they are inactive here
+		done(verdict{outcome: outcome{token: &Token{}}, kind: core.Served})
 		return nil
 	}
-	q := &question{token: token, hint: hint, key: keyOf(token, hint), taken: s.clock()}
+	q := &query{token: token, hint: hint, key: cacheKey(token, hint), receivedAt: s.clock()}
 	for _, i := range route {
 		q.route = append(q.route, s.Issuers[i])
 	}
 	finish := func(out outcome) {
 		v := verdictOf(out)
-		if v.trouble {
-			v = s.fallBack(q, v)
+		if v.issuerFailed {
+			v = s.tryFallback(q, v)
 		}
-		then(v)
+		done(v)
 	}
 	if len(route) == 1 {
-		if out := q.route[0].Desk.atOnce(q.key, q.taken); out != nil {
+		if out := q.route[0].Desk.answerImmediately(q.key, q.receivedAt); out != nil {
 			finish(*out)
 			return nil
 		}
@@ -223,25 +228,27 @@
 			finish(out)
 			return
 		}
-		then(verdict{outcome: outcome{after: a.RetryAfter}, kind: a.Kind})
+		done(verdict{outcome: outcome{after: a.RetryAfter}, kind: a.Kind})
 	}
 	return q.route[0].Asks.Submit(in).Leave
 }
 
+// verdictOf converts an outcome. An outcome without a token is a refusal caused by the issuer.
 func verdictOf(out outcome) verdict {
 	if out.token == nil {
-		return verdict{outcome: out, kind: core.Refused, trouble: true}
+		return verdict{outcome: out, kind: core.Refused, issuerFailed: true}
 	}
 	return verdict{outcome: out, kind: core.Served}
 }
 
-// active reports whether the token is active now: a token may end while its question waits.
+// active reports whether the token is active now. It checks the expiry, which may pass while the query waits.
 func (v verdict) active(now time.Duration) bool {
 	return v.kind == core.Served && v.token.Active && (v.token.Expires == 0 || now < v.token.Expires)
 }
 
-// patience is how long the client waits for an answer.
-func (s *setup) patience(header string) (time.Duration, bool) {
+// patience returns the client's timeout from the header X-Remaining, in seconds, or else the default. It
+// reports false if the header is not a number of seconds below 3600.
+func (s *setup) clientTimeout(header string) (time.Duration, bool) {
 	if header == "" {
 		return s.Patience, true
 	}
@@ -249,42 +256,43 @@
 	return time.Duration(seconds * float64(time.Second)), ok && seconds < 3600
 }
 
-// word tells a client that its question got no answer.
-func (s *setup) word(v verdict) *http1.Answer {
+// failureAnswer returns the error response for a query that got no answer.
+func (s *setup) failureAnswer(v verdict) *http1.Answer {
 	switch {
-	case v.trouble:
-		return withRetry(problemOf(503, "temporarily_unavailable",
+	case v.issuerFailed:
+		return withRetryAfter(errorAnswer(503, "temporarily_unavailable",
 			"the issuer's service does not answer: ask again later"), v.after)
 	case v.kind == core.Refused:
-		return withRetry(problemOf(429, "temporarily_unavailable", "refused: ask again later"), v.after)
+		return withRetryAfter(errorAnswer(429, "temporarily_unavailable", "refused: ask again later"), v.after)
 	}
-	return problemOf(502, "server_error", "the introspection service gave no answer")
+	return errorAnswer(502, "server_error", "the introspection service gave no answer")
 }
 
-// readForm reads the body. RFC 6749, 3.2: a parameter must not come twice.
+// readForm parses the body, or returns an error response. A parameter must not occur twice (RFC 6749, 3.2).
 func readForm(r *http1.Request) (url.Values, *http1.Answer) {
 	kind, _, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
 	if err != nil || kind != "application/x-www-form-urlencoded" {
-		return nil, problemOf(400, "invalid_request", "want application/x-www-form-urlencoded")
+		return nil, errorAnswer(400, "invalid_request", "want application/x-www-form-urlencoded")
 	}
 	form, err := url.ParseQuery(string(r.Content))
 	if err != nil {
-		return nil, problemOf(400, "invalid_request", "malformed form")
+		return nil, errorAnswer(400, "invalid_request", "malformed form")
 	}
 	for _, values := range form {
 		if len(values) > 1 {
-			return nil, problemOf(400, "invalid_request", "a parameter came twice")
+			return nil, errorAnswer(400, "invalid_request", "a parameter came twice")
 		}
 	}
 	return form, nil
 }
 
-// problemOf is an error response of RFC 6749, 5.2.
-func problemOf(status int, code, description string) *http1.Answer {
+// errorAnswer returns an error response in the form of RFC 6749, 5.2.
+func errorAnswer(status int, code, description string) *http1.Answer {
 	text, _ := json.Marshal(map[string]string{"error": code, "error_description": description})
 	return jsonAnswer(status, text)
 }
 
+// jsonAnswer returns a JSON response that must not be cached.
 func jsonAnswer(status int, text []byte) *http1.Answer {
 	return &http1.Answer{Status: status, Body: text, Header: [][2]string{
 		{"Content-Type", "application/json"}, {"Cache-Control", "no-store"}}}
@@ -295,7 +303,7 @@
 	return a
 }
 
-// withRetry says when to come back, in whole seconds as RFC 9110 has it.
-func withRetry(a *http1.Answer, after time.Duration) *http1.Answer {
+// withRetryAfter adds a Retry-After header, rounded up to whole seconds (RFC 9110) and at least 1.
+func withRetryAfter(a *http1.Answer, after time.Duration) *http1.Answer {
 	return withHeader(a, "Retry-After", strconv.Itoa(max(1, int(math.Ceil(after.Seconds())))))
 }
--- a/front/introspect/introspect_test.go
+++ b/front/introspect/introspect_test.go
@@ -13,7 +13,7 @@
 	return &http1.Response{Response: &http.Response{StatusCode: status}, Content: []byte(text)}
 }
 
-func TestOnlyAWholeAnswerSaysAnythingOfAToken(t *testing.T) {
+func TestJudgeAcceptsOnlyCompleteAnswers(t *testing.T) {
 	for text, want := range map[string]choice.Code{
 		`{"active":true}`: choice.OK, `{"active":false}`: choice.OK, ` {"active":true,"x":[1]} `: choice.OK,
 		``: choice.Error, `{}`: choice.Error, `null`: choice.Error, `{"active":"true"}`: choice.Error,
@@ -32,7 +32,7 @@
 	}
 }
 
-// Whatever a service answers, it counts as an answer only where other readers of JSON see the same in it.
+// Judge accepts only responses that are valid JSON, and never returns a negative expiry.
 func FuzzJudge(f *testing.F) {
 	f.Add(`{"active":true,"exp":1.5e9}`)
 	f.Add(`{"active":false`)
@@ -43,7 +43,7 @@
 			t.Fatalf("code %d with %v", result.Code, result.Body)
 		}
 		if ok && (!json.Valid([]byte(text)) || token.Expires < 0) {
-			t.Fatalf("%q passed as %+v", text, token)
+			t.Fatalf("%q accepted as %+v", text, token)
 		}
 	})
 }
--- a/front/introspect/metadata.go
+++ b/front/introspect/metadata.go
@@ -12,14 +12,14 @@
 	"dunespoke/internal/oauth/assertion"
 )
 
-// Paths of what the front tells of itself.
+// Paths of the metadata documents.
 const (
 	metadataPath = "/.well-known/oauth-authorization-server" // RFC 8414, 3
 	resourcePath = "/.well-known/oauth-protected-resource"   // RFC 9728, 3
 	keysPath     = "/jwks"
 )
 
-// Resource is what is told of the resource that bearer tokens are for (RFC 9728).
+// Resource is the metadata of the protected resource that bearer tokens are for (RFC 9728).
 type Resource struct {
 	Resource string   `json:"resource"`
 	Servers  []string `json:"authorization_servers,omitempty"`
@@ -32,14 +32,14 @@
 	Bound    bool     `json:"tls_client_certificate_bound_access_tokens,omitempty"`
 }
 
-// describe answers requests for what the front tells of itself. It returns nil for all others.
-func (s *setup) describe(r *http1.Request) *http1.Answer {
+// metadataAnswer answers requests for metadata documents and the JWK set. It returns nil for all other paths.
+func (s *setup) metadataAnswer(r *http1.Request) *http1.Answer {
 	var text []byte
 	switch {
 	case r.URL.Path == metadataPath && s.Issuer != "":
 		text = s.metadata()
 	case r.URL.Path == keysPath && s.Signer != nil:
-		text = s.Signer.keys
+		text = s.Signer.jwks
 	case r.URL.Path == resourcePath && s.Resource != nil:
 		text, _ = json.Marshal(s.Resource)
 	default:
@@ -52,10 +52,10 @@
 		{"Content-Type", "application/json"}, {"Cache-Control", "max-age=60"}}}
 }
 
-// metadata is what RFC 8414 has of a server that does nothing but introspection.
+// metadata returns the RFC 8414 metadata of a server that only supports introspection.
 func (s *setup) metadata() []byte {
 	base := strings.TrimSuffix(s.Issuer, "/")
-	told := map[string]any{"issuer": s.Issuer, "introspection_endpoint": base + s.Path,
+	fields := map[string]any{"issuer": s.Issuer, "introspection_endpoint": base + s.Path,
 		"response_types_supported": []string{}}
 	var methods, algorithms []string
 	add := func(names ...Method) {
@@ -86,22 +86,22 @@
 			add(c.Method)
 		}
 	}
-	told["introspection_endpoint_auth_methods_supported"] = methods
+	fields["introspection_endpoint_auth_methods_supported"] = methods
 	if len(algorithms) > 0 {
-		told["introspection_endpoint_auth_signing_alg_values_supported"] = algorithms
+		fields["introspection_endpoint_auth_signing_alg_values_supported"] = algorithms
 	}
 	if s.Signer != nil {
-		told["jwks_uri"] = base + keysPath
-		told["introspection_signing_alg_values_supported"] = slices.Compact(
-			slices.Sorted(slices.Values(s.Signer.names)),
+		fields["jwks_uri"] = base + keysPath
+		fields["introspection_signing_alg_values_supported"] = slices.Compact(
+			slices.Sorted(slices.Values(s.Signer.algorithms)),
 		)
-		told["introspection_encryption_alg_values_supported"] = []string{
+		fields["introspection_encryption_alg_values_supported"] = []string{
 			"RSA-OAEP-256",
 			"ECDH-ES",
 			"ECDH-ES+A256KW",
 		}
-		told["introspection_encryption_enc_values_supported"] = []string{"A128GCM", "A256GCM", "A128CBC-HS256"}
+		fields["introspection_encryption_enc_values_supported"] = []string{"A128GCM", "A256GCM", "A128CBC-HS256"}
 	}
-	text, _ := json.Marshal(told)
+	text, _ := json.Marshal(fields)
 	return text
 }
