--- a/internal/issuers/issuers.go
+++ b/internal/issuers/issuers.go
@@ -1,6 +1,6 @@
-// Package issuers decides which services may answer for a token, by the operator's rules and the look of the
-// token alone. It checks no signature: what a token says of itself only chooses whom to ask, and that one's
-// answer counts.
+// Package issuers selects the issuers whose introspection services may answer for a token, by the operator's
+// rules and the content of the token only. It verifies no signature: the unverified claims of a token only
+// select the services to query, and the answers of these services decide.
 package issuers
 
 import (
@@ -11,23 +11,23 @@
 	"strings"
 )
 
-// MostToken is the length in bytes over which no token is looked into. Longer ones are nobody's.
+// MostToken is the maximum length of a token in bytes. Longer tokens belong to no issuer and are not parsed.
 const MostToken = 16 << 10
 
-// Rule says which tokens one issuer answers for. One with neither Iss nor Prefixes answers for whatever no
-// other rule names, in its turn, as does one with Rest.
+// Rule describes the tokens that one issuer answers for. An issuer with Rest, or with neither Iss nor
+// Prefixes, is queried for all tokens that match no rule, in the order of the rules.
 type Rule struct {
 	Name     string
 	Iss      string   // the "iss" of its JWTs
-	Prefixes []string // with which its tokens begin
-	Rest     bool     // it answers for the rest all the same
+	Prefixes []string // of its tokens
+	Rest     bool     // also query it for tokens that match no rule
 }
 
-// Table chooses issuers. It does not change, and is safe for concurrent use.
+// Table selects issuers by rules. It is immutable and safe for concurrent use.
 type Table struct {
 	byIss    map[string]int
 	prefixes []prefix // longest first
-	rest     []int    // of whatever is named by no rule, in the operator's order
+	rest     []int    // queried for tokens that match no rule, in the operator's order
 }
 
 type prefix struct {
@@ -35,7 +35,8 @@
 	issuer int
 }
 
-// New returns the table of some rules, or an error that names two that contradict each other.
+// New returns the Table for rules, or an error that describes a rule that is invalid or conflicts with
+// another.
 func New(rules []Rule) (*Table, error) {
 	t := &Table{byIss: map[string]int{}}
 	named := map[string]bool{}
@@ -45,7 +46,7 @@
 		}
 		named[r.Name] = true
 		if r.Iss != "" {
-			if j, taken := t.byIss[r.Iss]; taken {
+			if j, exists := t.byIss[r.Iss]; exists {
 				return nil, fmt.Errorf("issuer %q: its iss %q is that of %q", r.Name, r.Iss, rules[j].Name)
 			}
 			t.byIss[r.Iss] = i
@@ -65,9 +66,9 @@
 	return t, nil
 }
 
-// Route returns the indexes of the issuers to ask, in their order: the one whose prefix is the longest that
-// fits, else the one whose iss the token names, else all that answer for the rest. None means that the token
-// is nobody's here. The result must not be changed.
+// Route returns the indexes of the issuers to query, in order: the issuer with the longest matching prefix,
+// else the one whose Iss equals the "iss" of the token, else all that are queried for the rest. An empty
+// result means that no issuer answers for the token. The caller must not modify the result.
 func (t *Table) Route(token string) []int {
 	if len(token) > MostToken {
 		return nil
@@ -78,18 +79,18 @@
 		}
 	}
 	if iss, ok := Iss(token); ok && len(t.byIss) > 0 {
-		if i, known := t.byIss[iss]; known {
+		if i, found := t.byIss[iss]; found {
 			return []int{i}
 		}
 	}
 	return t.rest
 }
 
-// Iss reads the issuer that a JWT in compact form names. Nothing of it is verified.
+// Iss returns the "iss" claim of a JWT in compact form, without verifying it. ok is false for other tokens.
 func Iss(token string) (iss string, ok bool) {
-	header, rest, one := strings.Cut(token, ".")
-	payload, signature, two := strings.Cut(rest, ".")
-	if !one || !two || header == "" || strings.Contains(signature, ".") || len(token) > MostToken {
+	header, rest, hasPayload := strings.Cut(token, ".")
+	payload, signature, hasSignature := strings.Cut(rest, ".")
+	if !hasPayload || !hasSignature || header == "" || strings.Contains(signature, ".") || len(token) > MostToken {
 		return "", false
 	}
 	text, err := base64.RawURLEncoding.DecodeString(payload)
--- a/internal/issuers/issuers_test.go
+++ b/internal/issuers/issuers_test.go
@@ -11,7 +11,7 @@
 	return "eyJhbGciOiJub25lIn0." + base64.RawURLEncoding.EncodeToString([]byte(payload)) + ".c2ln"
 }
 
-func TestRoutes(t *testing.T) {
+func TestRoute(t *testing.T) {
 	table, err := New([]Rule{{Name: "members", Iss: "https://a.example"},
 		{Name: "partners", Prefixes: []string{"pt_", "pt_old_x"}}, {Name: "old", Prefixes: []string{"pt_old_"}},
 		{Name: "first"}, {Name: "second", Iss: "https://c.example", Rest: true}})
@@ -20,10 +20,10 @@
 	}
 	for token, want := range map[string][]int{
 		jwt(`{"iss":"https://a.example"}`):     {0},
-		jwt(`{"iss":"https://b.example"}`):     {3, 4}, // not of ours by name: those that take the rest say so
+		jwt(`{"iss":"https://b.example"}`):     {3, 4}, // unknown iss: queried at the issuers for the rest
 		jwt(`{"iss":7}`):                       {3, 4},
 		"pt_1":                                 {1},
-		"pt_old_1":                             {2}, // the longest that fits
+		"pt_old_1":                             {2}, // the longest matching prefix
 		"pt_old_x":                             {1},
 		"opaque":                               {3, 4},
 		"":                                     {3, 4},
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestRulesThatContradict(t *testing.T) {
+func TestNewRejectsContradictoryRules(t *testing.T) {
 	for name, rules := range map[string][]Rule{
 		"no name":    {{}},
 		"one name":   {{Name: "a"}, {Name: "a"}},
@@ -46,12 +46,12 @@
 		"no prefix":  {{Name: "a", Prefixes: []string{""}}},
 	} {
 		if _, err := New(rules); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 }
 
-// What a token says of itself never chooses an issuer that the rules don't name for it.
+// A token is never routed to an issuer whose rule it does not match.
 func FuzzRoute(f *testing.F) {
 	f.Add("pt_x")
 	f.Add(jwt(`{"iss":"https://a.example"}`))
@@ -64,7 +64,7 @@
 		iss, _ := Iss(token)
 		for _, i := range table.Route(token) {
 			if i == 0 && iss != "https://a.example" || i == 1 && !strings.HasPrefix(token, "pt_") {
-				t.Fatalf("%q goes to %d", token, i)
+				t.Fatalf("%q routed to issuer %d, whose rule it does not match", token, i)
 			}
 		}
 	})
