--- a/internal/flights/flights_test.go
+++ b/internal/flights/flights_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestTheLeaderLeavesAThousandAskers(t *testing.T) {
+func TestFlightSurvivesItsFirstWaiter(t *testing.T) {
 	g := New[string, int, string]()
 	f := g.Begin("token", 0, "")
 	for i := 1; i <= 1000; i++ {
 		if joined, ok := g.Join("token", i); !ok || joined != f {
-			t.Fatalf("asker %d got no place", i)
+			t.Fatalf("waiter %d could not join the flight", i)
 		}
 	}
-	for call := range 2 { // who has left may leave again
+	for call := range 2 { // leaving twice has no effect
 		if g.Leave(f, 0) {
-			t.Errorf("call %d: the leader took the flight along", call+1)
+			t.Errorf("call %d: the flight ended with its first waiter", call+1)
 		}
 	}
 	got := map[int]bool{}
@@ -20,16 +20,16 @@
 		got[a] = true
 	}
 	if len(got) != 1000 || got[0] || g.Len() != 0 || len(g.End(f)) != 0 {
-		t.Errorf("%d askers answered, leader %v, %d flights left", len(got), got[0], g.Len())
+		t.Errorf("%d waiters returned, the first included: %v, %d flights left", len(got), got[0], g.Len())
 	}
 }
 
-func TestTheLastOneEndsIt(t *testing.T) {
+func TestLastWaiterEndsTheFlight(t *testing.T) {
 	g := New[string, int, string]()
 	f := g.Begin("token", 1, "")
 	g.Join("token", 2)
 	if g.Leave(f, 1) || !g.Leave(f, 2) || g.Leave(f, 2) || g.Len() != 0 {
-		t.Error("want the flight to end with its last asker, once")
+		t.Error("want the flight to end with its last waiter, once")
 	}
 	if _, ok := g.Join("token", 3); ok {
 		t.Error("joined a flight that has ended")
