--- a/internal/issuers/issuers.go
+++ b/internal/issuers/issuers.go
@@ -88,9 +88,9 @@
 
 // Iss returns the "iss" claim of a JWT in compact form, without verifying it. ok is false for other tokens.
 func Iss(token string) (iss string, ok bool) {
-	header, rest, hasPayload := strings.Cut(token, ".")
-	payload, signature, hasSignature := strings.Cut(rest, ".")
-	if !hasPayload || !hasSignature || header == "" || strings.Contains(signature, ".") || len(token) > MostToken {
+	header, rest, dotted := strings.Cut(token, ".")
+	payload, signature, signed := strings.Cut(rest, ".")
+	if !dotted || !signed || header == "" || strings.Contains(signature, ".") || len(token) > MostToken {
 		return "", false
 	}
 	text, err := base64.RawURLEncoding.DecodeString(payload)
