--- a/internal/oauth/accesstoken/accesstoken.go
+++ b/internal/oauth/accesstoken/accesstoken.go
@@ -1,5 +1,5 @@
-// Package accesstoken checks JWT access tokens (RFC 9068) by an issuer's public keys. It knows no clock and
-// no wire. What it can't tell is whether a token has been revoked.
+// Package accesstoken validates JWT access tokens (RFC 9068) with an issuer's public keys. It reads no clock
+// and does no I/O. It cannot detect revoked tokens.
 package accesstoken
 
 import (
@@ -15,27 +15,27 @@
 	"dunespoke/internal/oauth/assertion"
 )
 
-// Most bounds what is looked into, in bytes.
+// Most is the maximum length of a token in bytes. Longer tokens are not parsed.
 const Most = 16 << 10
 
-// What may be wrong with a token.
+// Reasons for rejecting a token.
 var (
-	ErrMalformed = errors.New("no JWT access token that is taken")
-	ErrSignature = errors.New("no key of the issuer made the signature")
-	ErrClaims    = errors.New("a claim that RFC 9068 asks for is missing, or the issuer is another")
+	ErrMalformed = errors.New("not a JWT access token with an accepted algorithm")
+	ErrSignature = errors.New("the signature matches no key of the issuer")
+	ErrClaims    = errors.New("a claim required by RFC 9068 is missing, or the issuer differs")
 	ErrAudience  = errors.New("for another audience")
 	ErrTime      = errors.New("expired, or not valid yet")
 )
 
-// Rules say which tokens are believed.
+// Rules configure which tokens are accepted.
 type Rules struct {
 	Issuer    string
-	Audiences []string // one of them must be in aud
+	Audiences []string // at least one must be in "aud"
 	Keys      []jose.JSONWebKey
-	Skew      time.Duration // by which clocks may differ; an expired token is expired, whatever this is
+	Skew      time.Duration // tolerated clock difference; does not apply to "exp"
 }
 
-// Check returns a token's claims, as it holds them, at a moment of Unix time.
+// Check validates a token at the Unix time now and returns its claims, undecoded.
 func Check(now time.Duration, text string, r Rules) (claims map[string]json.RawMessage, err error) {
 	if len(text) > Most {
 		return nil, ErrMalformed
@@ -48,40 +48,41 @@
 	if kind, _ := head.ExtraHeaders[jose.HeaderType].(string); kind != "at+jwt" && kind != "application/at+jwt" {
 		return nil, ErrMalformed
 	}
-	var told jwt.Claims
+	var parsed jwt.Claims
 	if !slices.ContainsFunc(r.Keys, func(k jose.JSONWebKey) bool {
 		return (head.KeyID == "" || k.KeyID == head.KeyID) && k.Use != "enc" && k.IsPublic() &&
-			(k.Algorithm == "" || k.Algorithm == head.Algorithm) && token.Claims(k.Key, &told, &claims) == nil
+			(k.Algorithm == "" || k.Algorithm == head.Algorithm) && token.Claims(k.Key, &parsed, &claims) == nil
 	}) {
 		return nil, ErrSignature
 	}
 	at := time.Unix(0, int64(now))
 	switch {
-	case told.Issuer != r.Issuer || told.Subject == "" || told.ID == "" || told.Expiry == nil ||
-		told.IssuedAt == nil || len(claims["client_id"]) < 3: // a text in quotes
+	case parsed.Issuer != r.Issuer || parsed.Subject == "" || parsed.ID == "" || parsed.Expiry == nil ||
+		parsed.IssuedAt == nil || len(claims["client_id"]) < 3: // a non-empty JSON string has at least 3 bytes
 		return nil, ErrClaims
-	case !slices.ContainsFunc(told.Audience, func(a string) bool { return slices.Contains(r.Audiences, a) }):
+	case !slices.ContainsFunc(parsed.Audience, func(a string) bool { return slices.Contains(r.Audiences, a) }):
 		return nil, ErrAudience
-	case !at.Before(told.Expiry.Time()), told.IssuedAt.Time().After(at.Add(r.Skew)),
-		told.NotBefore != nil && told.NotBefore.Time().After(at.Add(r.Skew)):
+	case !at.Before(parsed.Expiry.Time()), parsed.IssuedAt.Time().After(at.Add(r.Skew)),
+		parsed.NotBefore != nil && parsed.NotBefore.Time().After(at.Add(r.Skew)):
 		return nil, ErrTime
 	}
 	return claims, nil
 }
 
-// Answer words claims as an answer of introspection, marked with where they come from: no claim of the
-// token's own can take that mark away, or make it active.
+// Answer returns claims as an introspection response for an active token. "active", "introspection_source",
+// which is set to source, and "token_type" override claims of the same name in the token.
 func Answer(claims map[string]json.RawMessage, source string) ([]byte, error) {
-	mark, err := json.Marshal(source)
+	encodedSource, err := json.Marshal(source)
 	if err != nil {
 		return nil, fmt.Errorf("access token: %w", err)
 	}
-	told := map[string]json.RawMessage{}
+	response := map[string]json.RawMessage{}
 	for name, v := range claims {
-		told[name] = v
+		response[name] = v
 	}
-	told["active"], told["introspection_source"], told["token_type"] = []byte("true"), mark, []byte(`"Bearer"`)
-	text, err := json.Marshal(told)
+	response["active"], response["introspection_source"], response["token_type"] =
+		[]byte("true"), encodedSource, []byte(`"Bearer"`)
+	text, err := json.Marshal(response)
 	if err != nil {
 		return nil, fmt.Errorf("access token: %w", err)
 	}
--- a/internal/oauth/accesstoken/accesstoken_test.go
+++ b/internal/oauth/accesstoken/accesstoken_test.go
@@ -27,11 +27,11 @@
 	}
 }
 
-func TestWhichTokensAreBelieved(t *testing.T) {
+func TestCheck(t *testing.T) {
 	key, old := sign.Key(t), sign.Key(t)
 	r := Rules{Issuer: "https://as", Audiences: []string{"https://api"}, Skew: 5 * time.Second,
 		Keys: []jose.JSONWebKey{{Key: &old.PublicKey, KeyID: "old"}, {Key: &key.PublicKey, KeyID: "new"}}}
-	but := func(name string, v any) string {
+	altered := func(name string, v any) string {
 		c := good()
 		if c[name] = v; v == nil {
 			delete(c, name)
@@ -42,26 +42,26 @@
 		text string
 		want error
 	}{
-		"good":             {but("x", 1), nil},
-		"the old key":      {sign.JWT(t, jose.ES256, old, "at+jwt", "old", false, good()), nil},
-		"full type":        {sign.JWT(t, jose.ES256, key, "application/at+jwt", "new", false, good()), nil},
-		"another type":     {sign.JWT(t, jose.ES256, key, "JWT", "new", false, good()), ErrMalformed},
-		"another's key":    {sign.JWT(t, jose.ES256, sign.Key(t), "at+jwt", "new", false, good()), ErrSignature},
-		"unknown key":      {sign.JWT(t, jose.ES256, key, "at+jwt", "newest", false, good()), ErrSignature},
-		"alg none":         {"eyJhbGciOiJub25lIiwidHlwIjoiYXQrand0In0.e30.", ErrMalformed},
-		"another issuer":   {but("iss", "https://b"), ErrClaims},
-		"no subject":       {but("sub", nil), ErrClaims},
-		"no client":        {but("client_id", nil), ErrClaims},
-		"empty client":     {but("client_id", ""), ErrClaims},
-		"no id":            {but("jti", nil), ErrClaims},
-		"no end":           {but("exp", nil), ErrClaims},
-		"another audience": {but("aud", "https://apis"), ErrAudience},
-		"expired":          {but("exp", 1_800_000_000), ErrTime},
-		"of the future":    {but("iat", 1_800_000_006), ErrTime},
-		"not yet":          {but("nbf", 1_800_000_006), ErrTime},
-		"a clock 5 s off":  {but("nbf", 1_800_000_005), nil},
-		"too long":         {but("x", strings.Repeat("x", Most)), ErrMalformed},
-		"opaque":           {"abc", ErrMalformed},
+		"good":              {altered("x", 1), nil},
+		"the old key":       {sign.JWT(t, jose.ES256, old, "at+jwt", "old", false, good()), nil},
+		"full type":         {sign.JWT(t, jose.ES256, key, "application/at+jwt", "new", false, good()), nil},
+		"another type":      {sign.JWT(t, jose.ES256, key, "JWT", "new", false, good()), ErrMalformed},
+		"another key":       {sign.JWT(t, jose.ES256, sign.Key(t), "at+jwt", "new", false, good()), ErrSignature},
+		"unknown key":       {sign.JWT(t, jose.ES256, key, "at+jwt", "newest", false, good()), ErrSignature},
+		"alg none":          {"eyJhbGciOiJub25lIiwidHlwIjoiYXQrand0In0.e30.", ErrMalformed},
+		"another issuer":    {altered("iss", "https://b"), ErrClaims},
+		"no subject":        {altered("sub", nil), ErrClaims},
+		"no client":         {altered("client_id", nil), ErrClaims},
+		"empty client":      {altered("client_id", ""), ErrClaims},
+		"no id":             {altered("jti", nil), ErrClaims},
+		"no expiry":         {altered("exp", nil), ErrClaims},
+		"another audience":  {altered("aud", "https://apis"), ErrAudience},
+		"expired":           {altered("exp", 1_800_000_000), ErrTime},
+		"issued in future":  {altered("iat", 1_800_000_006), ErrTime},
+		"not yet valid":     {altered("nbf", 1_800_000_006), ErrTime},
+		"clock skew of 5 s": {altered("nbf", 1_800_000_005), nil},
+		"too long":          {altered("x", strings.Repeat("x", Most)), ErrMalformed},
+		"opaque":            {"abc", ErrMalformed},
 	} {
 		claims, err := Check(now, c.text, r)
 		if !errors.Is(err, c.want) || (claims == nil) != (err != nil) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Nothing that the issuer did not sign is believed.
+// No token is accepted that was not signed with the issuer's key.
 func FuzzCheck(f *testing.F) {
 	f.Add(sign.JWT(f, jose.ES256, sign.Key(f), "at+jwt", "new", false, good()))
 	r := Rules{
@@ -89,7 +89,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := Check(now, text, r); err == nil {
-			t.Fatalf("%q is believed", text)
+			t.Fatalf("%q accepted", text)
 		}
 	})
 }
--- a/internal/oauth/assertion/assertion.go
+++ b/internal/oauth/assertion/assertion.go
@@ -1,5 +1,6 @@
-// Package assertion makes and checks the JWTs by which OAuth clients authenticate (RFC 7523, section 2.2).
-// It knows no clock and no wire. Signatures are go-jose's; what is decided here is which of them to believe.
+// Package assertion makes and validates the JWTs by which OAuth clients authenticate (RFC 7523, section 2.2).
+// It reads no clock and does no I/O. go-jose makes and verifies the signatures; this package decides which
+// keys, algorithms and claims are accepted.
 package assertion
 
 import (
@@ -16,20 +17,20 @@
 	"dunespoke/internal/oauth/replay"
 )
 
-// Type is the client_assertion_type of a JWT.
+// Type is the client_assertion_type of a JWT assertion.
 const Type = "urn:ietf:params:oauth:client-assertion-type:jwt-bearer"
 
-// Most bounds what is looked into, in bytes.
+// Most is the maximum length of an assertion in bytes. Longer ones are not parsed.
 const Most = 8 << 10
 
-// The algorithms that are taken, of keys and of shared secrets. "none" is not among them.
+// Accepted signature algorithms, for public keys and for shared secrets. They don't include "none".
 var (
 	KeyAlgorithms = []jose.SignatureAlgorithm{jose.ES256, jose.ES384, jose.ES512, jose.PS256, jose.PS384,
 		jose.PS512, jose.RS256, jose.RS384, jose.RS512, jose.EdDSA}
 	SecretAlgorithms = []jose.SignatureAlgorithm{jose.HS256, jose.HS384, jose.HS512}
 )
 
-// What may be wrong with an assertion.
+// Reasons for rejecting an assertion. Clients see these texts.
 var (
 	ErrMalformed = errors.New("not a JWT that is taken here")
 	ErrAlgorithm = errors.New("signed by an algorithm that is not taken")
@@ -41,18 +42,18 @@
 	ErrFull      = errors.New("too many assertions of this client are still valid")
 )
 
-// Rules say which assertions of a client are believed.
+// Rules configure which assertions of one client are accepted.
 type Rules struct {
 	ClientID  string
-	Audiences []string                     // any of them must be in aud
-	Keys      []jose.JSONWebKey            // public ones
-	Secret    []byte                       // for client_secret_jwt; then Keys is not used
-	Life      time.Duration                // exp may be so far ahead
-	Skew      time.Duration                // by which clocks may differ
-	Memory    func(f func(*replay.Memory)) // lends the client's memory of jti, alone to f
+	Audiences []string                     // at least one must be in "aud"
+	Keys      []jose.JSONWebKey            // public keys
+	Secret    []byte                       // for client_secret_jwt; if set, Keys is ignored
+	Life      time.Duration                // maximum time until "exp"
+	Skew      time.Duration                // tolerated clock difference
+	Memory    func(f func(*replay.Memory)) // calls f with exclusive access to the client's memory of "jti"
 }
 
-// Claimed reads the client that an assertion names, unverified, to find its rules.
+// Claimed returns the client ID that an assertion claims, unverified, so that the caller can find its rules.
 func Claimed(text string) (id string, ok bool) {
 	if len(text) > Most {
 		return "", false
@@ -69,8 +70,8 @@
 	return claims.Subject, claims.Subject != ""
 }
 
-// Check reports what is wrong with an assertion at a moment of Unix time. One that is good is remembered, and
-// good only once.
+// Check validates an assertion at the Unix time now and returns nil if it is accepted. An accepted assertion
+// is recorded in the memory, so that it is accepted only once.
 func Check(now time.Duration, text string, r Rules) error {
 	if len(text) > Most {
 		return ErrMalformed
@@ -80,15 +81,15 @@
 		algorithms = SecretAlgorithms
 	}
 	token, err := jwt.ParseSigned(text, algorithms)
-	var odd *jose.ErrUnexpectedSignatureAlgorithm
+	var unexpected *jose.ErrUnexpectedSignatureAlgorithm
 	switch {
-	case errors.As(err, &odd):
+	case errors.As(err, &unexpected):
 		return ErrAlgorithm
 	case err != nil:
 		return ErrMalformed
 	}
 	var claims jwt.Claims
-	if !verified(token, r, &claims) {
+	if !verifyClaims(token, r, &claims) {
 		return ErrSignature
 	}
 	at := time.Unix(0, int64(now))
@@ -102,7 +103,7 @@
 		claims.IssuedAt != nil && claims.IssuedAt.Time().After(at.Add(r.Skew)):
 		return ErrTime
 	}
-	verdict := replay.New(0).Show(0, "", 0) // Full, if no memory is lent
+	verdict := replay.New(0).Show(0, "", 0) // Full if r.Memory does not call its argument
 	r.Memory(func(m *replay.Memory) {
 		verdict = m.Show(now, claims.ID, time.Duration(claims.Expiry.Time().UnixNano())+r.Skew)
 	})
@@ -115,8 +116,9 @@
 	return nil
 }
 
-// verified reads the claims if a key of the client, or its secret, made the signature.
-func verified(token *jwt.JSONWebToken, r Rules, claims *jwt.Claims) bool {
+// verifyClaims decodes the claims and returns true if the signature matches the client's secret or one of its
+// keys.
+func verifyClaims(token *jwt.JSONWebToken, r Rules, claims *jwt.Claims) bool {
 	if r.Secret != nil {
 		return token.Claims(r.Secret, claims) == nil
 	}
@@ -146,7 +148,7 @@
 	signer   jose.Signer
 }
 
-// NewMaker returns a maker that signs by a private key, whose algorithm must be told, or by a secret.
+// NewMaker returns a Maker that signs with a private key or a shared secret. algorithm must match the key.
 func NewMaker(id, audience string, life time.Duration, key any, algorithm, kid string) (*Maker, error) {
 	o := (&jose.SignerOptions{}).WithType("JWT")
 	if kid != "" {
@@ -159,7 +161,7 @@
 	return &Maker{ClientID: id, Audience: audience, Life: life, signer: signer}, nil
 }
 
-// Make returns an assertion that is valid from a moment of Unix time on.
+// Make returns a new assertion, issued at the Unix time now and valid for m.Life.
 func (m *Maker) Make(now time.Duration) (string, error) {
 	at := time.Unix(0, int64(now))
 	text, err := jwt.Signed(m.signer).Claims(jwt.Claims{Issuer: m.ClientID, Subject: m.ClientID,
@@ -171,14 +173,15 @@
 	return text, nil
 }
 
-// ErrNoKey says that a set of keys holds none that can be used.
-var ErrNoKey = errors.New("no usable key in it")
+// ErrNoKey reports that a JWK set contains no usable key.
+var ErrNoKey = errors.New("no usable public key")
 
-// PublicKeys reads a JWKS (RFC 7517) of public keys. Private ones are not taken: they have no business in it.
+// PublicKeys parses a JWK set (RFC 7517) with 1 to 64 public keys. It ignores private and invalid keys, which
+// don't belong in such a set.
 func PublicKeys(text []byte) ([]jose.JSONWebKey, error) {
 	var set jose.JSONWebKeySet
 	if err := json.Unmarshal(text, &set); err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("JWK set: %w", err)
 	}
 	var keys []jose.JSONWebKey
 	for _, k := range set.Keys {
@@ -187,7 +190,7 @@
 		}
 	}
 	if len(keys) == 0 || len(keys) > 64 {
-		return nil, fmt.Errorf("keys: %w, or over 64", ErrNoKey)
+		return nil, fmt.Errorf("JWK set: %w, or more than 64 keys", ErrNoKey)
 	}
 	return keys, nil
 }
--- a/internal/oauth/assertion/assertion_test.go
+++ b/internal/oauth/assertion/assertion_test.go
@@ -30,7 +30,7 @@
 
 func at(d time.Duration) *jwt.NumericDate { return jwt.NewNumericDate(time.Unix(0, int64(d))) }
 
-func TestGoodOnceAndNeverAgain(t *testing.T) {
+func TestAssertionIsAcceptedOnce(t *testing.T) {
 	key := sign.Key(t)
 	m, err := NewMaker("app", "https://here/introspect", 30*time.Second, key, "ES256", "k1")
 	if err != nil {
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	if id, ok := Claimed(text); id != "app" || !ok {
-		t.Errorf("claims %q", id)
+		t.Errorf("claimed client ID %q", id)
 	}
 	if err := Check(now, text, r); err != nil {
 		t.Error(err)
@@ -53,11 +53,11 @@
 		}
 	}
 	if err := Check(now+36*time.Second, text, r); !errors.Is(err, ErrTime) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("after its expiry: %v", err)
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
+func TestCheck(t *testing.T) {
 	key, other := sign.Key(t), sign.Key(t)
 	good := jwt.Claims{Issuer: "app", Subject: "app", Audience: jwt.Audience{"https://here"}, ID: "1",
 		Expiry: at(now + 30*time.Second)}
@@ -66,14 +66,14 @@
 		f(&c)
 		return c
 	}
-	but := func(f func(*jwt.Claims)) string { return sign.JWT(t, jose.ES256, key, "", "", false, change(f)) }
+	altered := func(f func(*jwt.Claims)) string { return sign.JWT(t, jose.ES256, key, "", "", false, change(f)) }
 	payload, err := json.Marshal(good)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b64 := base64.RawURLEncoding.EncodeToString
 	none := b64([]byte(`{"alg":"none"}`)) + "." + b64(payload) + "."
-	byShared := sign.JWT(t, jose.HS256, []byte(strings.Repeat("k", 32)), "", "", false, good)
+	sharedSecretSigned := sign.JWT(t, jose.HS256, []byte(strings.Repeat("k", 32)), "", "", false, good)
 	signed := sign.JWT(t, jose.ES256, key, "", "", false, good)
 	parts := strings.Split(signed, ".")
 	forged := parts[0] + "." + b64(
@@ -83,25 +83,25 @@
 		text string
 		want error
 	}{
-		"good":             {signed, nil},
-		"alg none":         {none, ErrAlgorithm},
-		"another payload":  {forged, ErrSignature},
-		"another's key":    {sign.JWT(t, jose.ES256, other, "", "", false, good), ErrSignature},
-		"a secret's alg":   {byShared, ErrAlgorithm},
-		"another audience": {but(func(c *jwt.Claims) { c.Audience = jwt.Audience{"x"} }), ErrAudience},
-		"no audience":      {but(func(c *jwt.Claims) { c.Audience = nil }), ErrAudience},
-		"another issuer":   {but(func(c *jwt.Claims) { c.Issuer = "x" }), ErrClaims},
-		"another subject":  {but(func(c *jwt.Claims) { c.Subject = "x" }), ErrClaims},
-		"no jti":           {but(func(c *jwt.Claims) { c.ID = "" }), ErrClaims},
-		"no exp":           {but(func(c *jwt.Claims) { c.Expiry = nil }), ErrClaims},
-		"expired":          {but(func(c *jwt.Claims) { c.Expiry = at(now - 5*time.Second) }), ErrTime},
-		"for too long":     {but(func(c *jwt.Claims) { c.Expiry = at(now + time.Hour) }), ErrTime},
-		"not yet":          {but(func(c *jwt.Claims) { c.NotBefore = at(now + 9*time.Second) }), ErrTime},
-		"made in future":   {but(func(c *jwt.Claims) { c.IssuedAt = at(now + 9*time.Second) }), ErrTime},
-		"a clock 5 s off":  {but(func(c *jwt.Claims) { c.IssuedAt = at(now + 5*time.Second) }), nil},
-		"no JWT":           {"x.y.z", ErrMalformed},
-		"nothing":          {"", ErrMalformed},
-		"too long":         {signed + strings.Repeat("A", Most), ErrMalformed},
+		"good":              {signed, nil},
+		"alg none":          {none, ErrAlgorithm},
+		"another payload":   {forged, ErrSignature},
+		"another key":       {sign.JWT(t, jose.ES256, other, "", "", false, good), ErrSignature},
+		"secret algorithm":  {sharedSecretSigned, ErrAlgorithm},
+		"another audience":  {altered(func(c *jwt.Claims) { c.Audience = jwt.Audience{"x"} }), ErrAudience},
+		"no audience":       {altered(func(c *jwt.Claims) { c.Audience = nil }), ErrAudience},
+		"another issuer":    {altered(func(c *jwt.Claims) { c.Issuer = "x" }), ErrClaims},
+		"another subject":   {altered(func(c *jwt.Claims) { c.Subject = "x" }), ErrClaims},
+		"no jti":            {altered(func(c *jwt.Claims) { c.ID = "" }), ErrClaims},
+		"no exp":            {altered(func(c *jwt.Claims) { c.Expiry = nil }), ErrClaims},
+		"expired":           {altered(func(c *jwt.Claims) { c.Expiry = at(now - 5*time.Second) }), ErrTime},
+		"valid too long":    {altered(func(c *jwt.Claims) { c.Expiry = at(now + time.Hour) }), ErrTime},
+		"not yet valid":     {altered(func(c *jwt.Claims) { c.NotBefore = at(now + 9*time.Second) }), ErrTime},
+		"issued in future":  {altered(func(c *jwt.Claims) { c.IssuedAt = at(now + 9*time.Second) }), ErrTime},
+		"clock skew of 5 s": {altered(func(c *jwt.Claims) { c.IssuedAt = at(now + 5*time.Second) }), nil},
+		"not a JWT":         {"x.y.z", ErrMalformed},
+		"nothing":           {"", ErrMalformed},
+		"too long":          {signed + strings.Repeat("A", Most), ErrMalformed},
 	} {
 		if err := Check(now, c.text, rules(public(key, ""))); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
@@ -129,14 +129,14 @@
 	if err := Check(now, text, r); err != nil {
 		t.Error(err)
 	}
-	// A public key must not do as a secret that everybody knows.
+	// A public key must not be usable as a shared secret, since everybody knows it.
 	key := sign.Key(t)
 	if err := Check(now, text, rules(public(key, ""))); !errors.Is(err, ErrAlgorithm) {
-		t.Errorf("HS256 before a key: %v", err)
+		t.Errorf("HS256 for a client with a key: %v", err)
 	}
 }
 
-func TestAClientThatFillsItsMemory(t *testing.T) {
+func TestFullReplayMemory(t *testing.T) {
 	key := sign.Key(t)
 	r := rules(public(key, ""))
 	m, err := NewMaker("app", "https://here", time.Minute, key, "ES256", "")
@@ -154,11 +154,11 @@
 		}
 	}
 	if full != 10 {
-		t.Errorf("%d of 110 turned away by a memory for 100", full)
+		t.Errorf("%d of 110 rejected with a memory for 100, want 10", full)
 	}
 }
 
-func TestKeySets(t *testing.T) {
+func TestPublicKeys(t *testing.T) {
 	key := sign.Key(t)
 	private := jose.JSONWebKey{Key: key, KeyID: "p"}
 	for name, c := range map[string]struct {
@@ -175,11 +175,11 @@
 		}
 	}
 	if _, err := PublicKeys([]byte("[")); err == nil {
-		t.Error("malformed keys are taken")
+		t.Error("a malformed JWK set is accepted")
 	}
 }
 
-// Nothing that was not signed by the key is ever believed.
+// No assertion is accepted that was not signed with the client's key. Claimed must not panic.
 func FuzzCheck(f *testing.F) {
 	key := sign.Key(f)
 	f.Add(
@@ -198,7 +198,7 @@
 	r := rules(public(key, ""))
 	f.Fuzz(func(t *testing.T, text string) {
 		if Check(now, text, r) == nil {
-			t.Fatalf("%q is believed", text)
+			t.Fatalf("%q accepted", text)
 		}
 		Claimed(text)
 	})
--- a/internal/oauth/replay/replay.go
+++ b/internal/oauth/replay/replay.go
@@ -1,5 +1,5 @@
-// Package replay remembers what must be used only once, such as the jti of an assertion, within bounded
-// memory. It knows no clock and no wire.
+// Package replay detects repeated use of IDs that may be used only once, such as the "jti" of an assertion,
+// within bounded memory. It reads no clock and does no I/O.
 package replay
 
 import (
@@ -8,65 +8,66 @@
 	"time"
 )
 
-// Verdict is what a Memory says of something that is shown to it.
+// Verdict is the result of Memory.Show.
 type Verdict int
 
-// The verdicts.
+// Results of Memory.Show.
 const (
-	Unseen Verdict = iota // not seen before; it is remembered now
-	Seen                  // shown before
-	Full                  // nothing more can be remembered before something ends: it must not be accepted
+	Unseen Verdict = iota // not seen before; it is now recorded
+	Seen                  // seen before
+	Full                  // not recorded for lack of capacity; it must not be accepted
 )
 
-// Memory remembers what was shown until its end. When it is full it accepts nothing new, since to forget
-// something that could still be shown again would open the door to it. So whoever can fill a memory must have
-// one of its own: give each client one. It is not safe for concurrent use.
+// Memory records IDs until they expire. When full it accepts no new ID, since evicting one that has not
+// expired would allow its replay. As a client can fill a Memory, each client needs its own, so that it can't
+// lock out others. It is not safe for concurrent use.
 type Memory struct {
-	most int
-	seen map[key]struct{}
-	ends ends
+	capacity   int
+	seen       map[key]struct{}
+	expiryHeap expiryHeap
 }
 
-type key [16]byte // of SHA-256: chance can't make two the same, and nobody gains by making them so
+type key [16]byte // truncated SHA-256: accidental collisions are negligible, and deliberate ones gain nothing
 
-// New returns a memory for at most so many at a time.
-func New(most int) *Memory { return &Memory{most: most, seen: map[key]struct{}{}} }
+// New returns a Memory for at most the given number of unexpired IDs.
+func New(capacity int) *Memory { return &Memory{capacity: capacity, seen: map[key]struct{}{}} }
 
-// Show asks whether something was shown before, and remembers it until its end.
-func (m *Memory) Show(now time.Duration, what string, end time.Duration) Verdict {
-	for len(m.ends) > 0 && m.ends[0].at <= now {
-		delete(m.seen, heap.Pop(&m.ends).(ending).key)
+// Show reports whether an unexpired id was seen before, and otherwise records it until expires if there is
+// capacity.
+func (m *Memory) Show(now time.Duration, id string, expires time.Duration) Verdict {
+	for len(m.expiryHeap) > 0 && m.expiryHeap[0].expiresAt <= now {
+		delete(m.seen, heap.Pop(&m.expiryHeap).(expiry).key)
 	}
-	sum := sha256.Sum256([]byte(what))
+	sum := sha256.Sum256([]byte(id))
 	k := key(sum[:16])
 	if _, ok := m.seen[k]; ok {
 		return Seen
 	}
-	if len(m.seen) >= m.most {
+	if len(m.seen) >= m.capacity {
 		return Full
 	}
 	m.seen[k] = struct{}{}
-	heap.Push(&m.ends, ending{k, end})
+	heap.Push(&m.expiryHeap, expiry{k, expires})
 	return Unseen
 }
 
-// Len is how many are remembered.
+// Len returns the number of recorded IDs.
 func (m *Memory) Len() int { return len(m.seen) }
 
-type ending struct {
-	key key
-	at  time.Duration
+type expiry struct {
+	key       key
+	expiresAt time.Duration
 }
 
-// ends is a heap of what is remembered, what ends first at the top.
-type ends []ending
+// expiryHeap is a heap of the recorded IDs with the earliest expiry at the top.
+type expiryHeap []expiry
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(ending)) }
+func (e expiryHeap) Len() int           { return len(e) }
+func (e expiryHeap) Less(i, j int) bool { return e[i].expiresAt < e[j].expiresAt }
+func (e expiryHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *expiryHeap) Push(x any)        { *e = append(*e, x.(expiry)) }
 
-func (e *ends) Pop() any {
+func (e *expiryHeap) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	*e = (*e)[:last]
--- a/internal/oauth/replay/replay_test.go
+++ b/internal/oauth/replay/replay_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-func TestOnceUntilItsEnd(t *testing.T) {
+func TestShowUntilExpiry(t *testing.T) {
 	m := New(10)
 	for _, c := range []struct {
-		now  time.Duration
-		what string
-		end  time.Duration
-		want Verdict
+		now     time.Duration
+		id      string
+		expires time.Duration
+		want    Verdict
 	}{{0, "a", 5, Unseen}, {1, "a", 9, Seen}, {4, "b", 8, Unseen}, {5, "a", 9, Unseen},
 		{7, "b", 9, Seen}, {8, "b", 9, Unseen}} {
-		if got := m.Show(c.now, c.what, c.end); got != c.want {
+		if got := m.Show(c.now, c.id, c.expires); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 }
 
-func TestAFloodIsNotAWayToForget(t *testing.T) {
+func TestFullMemoryForgetsNothing(t *testing.T) {
 	m := New(100)
 	m.Show(0, "mine", 50)
 	full := 0
@@ -31,9 +31,9 @@
 		}
 	}
 	if full != 10_000-99 || m.Len() != 100 || m.Show(49, "mine", 60) != Seen {
-		t.Errorf("%d turned away, %d remembered", full, m.Len())
+		t.Errorf("%d rejected, %d recorded", full, m.Len())
 	}
 	if m.Show(60, "next", 70) != Unseen || m.Len() != 1 {
-		t.Errorf("after their end %d are remembered", m.Len())
+		t.Errorf("after the expiry of all others, %d recorded, want 1", m.Len())
 	}
 }
