--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,12 +1,12 @@
-// Package events numbers the lines that the gateway logs. docs/events.md is their catalogue: it tells what
-// each means and what to do about it. A test holds the two equal.
+// Package events defines the numbered events that the gateway logs. docs/events.md documents what each event
+// means and what to do about it. A test checks that both list the same events.
 package events
 
-// Event is one kind of log line. Its number never changes and is never used again.
+// Event is one kind of log line. Its number never changes and is never reused.
 type Event struct {
-	Number int    // as told in the line's field "event"
-	Text   string // a short sentence, the line's message
-	Level  int    // 0: always logged; 1: only with --verbose
+	Number int    // value of the field "event" of the log line
+	Text   string // message of the log line
+	Level  int    // 0: always logged; 1: logged only with --verbose
 }
 
 // Events of the process.
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Given the code and the catalogue, then they name the same events, and no number stands for two.
+// The code and the catalogue docs/events.md must list the same events, and each number only once.
 func TestTheCatalogueIsTheCode(t *testing.T) {
 	find := func(file, pattern string) map[string]string {
 		text, err := os.ReadFile(file)
