--- a/front/introspect/desk.go
+++ b/front/introspect/desk.go
@@ -15,13 +15,13 @@
 	"dunespoke/internal/freshness"
 )
 
-// DeskOptions are what NewDesk needs.
+// DeskOptions configure a Desk.
 type DeskOptions struct {
 	Issuer    string // name of the issuer in log lines
 	Service   Service
 	Questions *core.Core    // sends queries to the issuer's servers; its upstream is an Attempts
 	Limit     time.Duration // for one upstream query, over all its attempts
-	Silence   time.Duration // time without an answer after which a query counts as late
+	Silence   time.Duration // time without an answer after which a query counts as late; see silenceTimeout
 	Alone     bool          // don't share upstream queries; cached answers are still used
 	Breaker   breaker.Options
 	Freshness freshness.Options
@@ -70,8 +70,8 @@
 		flights: flights.New[freshness.Key, *waiter, *issuerCall]()}
 }
 
-// questionPlan is the quota plan of upstream queries. They are not counted, as the queries that cause them
-// are.
+// questionPlan is the plan of upstream queries. They have no quota, since the queries that cause them are
+// counted already.
 const questionPlan = "questions"
 
 // QuestionPlan returns the plan of upstream queries, which has no quota.
@@ -150,8 +150,8 @@
 )
 
 // silenceTimeout returns the time without an answer after which an upstream query counts as late. It adapts
-// to the latency, so that a slow service is not taken for a silent one, and a fast service that falls silent
-// is detected sooner. It never exceeds Limit.
+// to the latency, so that a slow service is not mistaken for a silent one, and a fast service that falls
+// silent is detected sooner. It never exceeds Limit.
 func (d *Desk) silenceTimeout() time.Duration {
 	usual := d.breaker.SmoothedLatency()
 	wait := d.Silence
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -113,7 +113,7 @@
 }
 
 // retention is the minimum time for which an answer is stored for requests received before it arrived. It
-// exceeds any client timeout.
+// is meant to exceed the clients' timeouts.
 const retention = 10 * time.Second
 
 // Len returns the number of stored answers.
